--- a/peers/downlink.go
+++ b/peers/downlink.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// frameQueue is how many frames wait for a link. A VM that is further behind
-	// is told everything anew instead.
+	// frameQueue is the capacity of a link's frame queue. If it overflows, the VM is sent the
+	// full state instead.
 	frameQueue = 32
-	// replyQueue is how many answers to questions wait for a link: more than a VM
-	// has requests that wait for a model or adapter.
+	// replyQueue is the capacity of a link's reply queue. It exceeds the number of a VM's
+	// requests that wait for a model or adapter.
 	replyQueue = 512
 )
 
@@ -22,27 +22,28 @@
 	vm      string
 	frames  chan []byte
 	replies chan []byte
-	// behind is set when frames were left out, so that all must be told anew.
-	behind atomic.Bool
+	// overflowed is set when a frame was dropped, so that the full state must be sent.
+	overflowed atomic.Bool
 }
 
 func newDownlink(c *link.Conn) *downlink {
 	return &downlink{conn: c, vm: c.Peer().Node, frames: make(chan []byte, frameQueue), replies: make(chan []byte, replyQueue)}
 }
 
-// offer queues a frame, or notes that the link is behind. To end such a link
-// instead would make the VM open another, which begins with the whole view: with
-// many of them the hub's own link fills up.
-func (d *downlink) offer(frame []byte) {
+// enqueue adds a frame to the queue, or drops it and sets overflowed if the queue is full. The link
+// is not closed then: the VM would open another one, which starts with the full state, and many such
+// links would saturate the hub's network connection.
+func (d *downlink) enqueue(frame []byte) {
 	select {
 	case d.frames <- frame:
 	default:
-		d.behind.Store(true)
+		d.overflowed.Store(true)
 	}
 }
 
-// reply queues an answer to a question. A VM that takes none is given up.
-func (d *downlink) reply(frame []byte) {
+// enqueueReply adds the reply to a call to the queue. It closes the link if the queue is full,
+// because the VM reads no replies.
+func (d *downlink) enqueueReply(frame []byte) {
 	select {
 	case d.replies <- frame:
 	default:
@@ -50,9 +51,9 @@
 	}
 }
 
-// write sends what is queued until ctx ends or the link breaks. whole returns the
-// frames that tell everything.
-func (d *downlink) write(ctx context.Context, whole func() ([][]byte, error)) error {
+// write sends queued frames until ctx ends or the link fails. fullState returns the frames with the
+// full state.
+func (d *downlink) write(ctx context.Context, fullState func() ([][]byte, error)) error {
 	for {
 		var next [][]byte
 		select {
@@ -62,12 +63,12 @@
 			next = [][]byte{frame}
 		case frame := <-d.frames:
 			next = [][]byte{frame}
-			if d.behind.Load() {
-				all, err := d.catchUp(whole)
+			if d.overflowed.Load() {
+				frames, err := d.resync(fullState)
 				if err != nil {
 					return err
 				}
-				next = all
+				next = frames
 			}
 		}
 		for _, frame := range next {
@@ -78,11 +79,12 @@
 	}
 }
 
-// catchUp drops what is queued, all of it older than the whole view.
-func (d *downlink) catchUp(whole func() ([][]byte, error)) ([][]byte, error) {
-	d.behind.Store(false)
+// resync discards the queued frames, all of which are older than the full state, and returns the
+// frames of the full state.
+func (d *downlink) resync(fullState func() ([][]byte, error)) ([][]byte, error) {
+	d.overflowed.Store(false)
 	for len(d.frames) > 0 {
 		<-d.frames
 	}
-	return whole()
+	return fullState()
 }
--- a/peers/frames.go
+++ b/peers/frames.go
@@ -14,11 +14,11 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// configFrame compresses a configuration: its names repeat, and it goes to
-// every VM over links of the smallest of them.
+// configFrame returns the frame of a compressed configuration. Its names repeat often, and it is
+// sent to every VM, including those with the least bandwidth.
 func configFrame(revision int, value []byte) ([]byte, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, fmt.Errorf("compress configuration: %w", err)
 	}
@@ -28,27 +28,28 @@
 	if err := w.Close(); err != nil {
 		return nil, fmt.Errorf("compress configuration: %w", err)
 	}
-	return link.Encode(&wire.Message{ConfigState: &wire.ConfigState{Revision: revision, Value: packed.String()}})
+	return link.Encode(&wire.Message{ConfigState: &wire.ConfigState{Revision: revision, Value: compressed.String()}})
 }
 
-// configLimit bounds what a compressed configuration may grow to; the store
-// holds a megabyte.
-const configLimit = 4 << 20
+// maxConfigBytes bounds the size of a decompressed configuration. The store accepts at most one
+// megabyte.
+const maxConfigBytes = 4 << 20
 
-func unpackConfig(s *wire.ConfigState) ([]byte, error) {
+func decompressConfig(s *wire.ConfigState) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader([]byte(s.Value)))
-	value, err := io.ReadAll(io.LimitReader(r, configLimit))
+	value, err := io.ReadAll(io.LimitReader(r, maxConfigBytes))
 	if err != nil {
 		return nil, fmt.Errorf("decompress configuration: %w", err)
 	}
 	return value, nil
 }
 
-func statesOf(states []backs.State) []wire.ServerState {
+// stateList converts server states to their wire form.
+func stateList(states []backs.State) []wire.ServerState {
 	list := make([]wire.ServerState, 0, len(states))
 	for _, s := range states {
 		state := wire.ServerState{
-			Server: s.ID, Name: s.Name, BornMs: inMillis(s.Born), Unreadable: s.Unreadable, Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
+			Server: s.ID, Name: s.Name, BornMs: toUnixMillis(s.Born), Unreadable: s.Unreadable, Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
 			Gone: s.Gone, HoldMs: int(s.Hold.Milliseconds()), ColdMs: int(s.Cold.Milliseconds()), Models: []wire.HeldModel{},
 		}
 		for _, h := range s.Models {
@@ -59,9 +60,10 @@
 	return list
 }
 
+// stateOf converts a server state from its wire form.
 func stateOf(s wire.ServerState) backs.State {
 	state := backs.State{Gone: s.Gone, Unreadable: s.Unreadable, Hold: time.Duration(s.HoldMs) * time.Millisecond, Entry: backs.Entry{
-		ID: s.Server, Name: s.Name, Born: timeOf(s.BornMs), Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
+		ID: s.Server, Name: s.Name, Born: fromUnixMillis(s.BornMs), Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
 		Cold: time.Duration(s.ColdMs) * time.Millisecond,
 	}}
 	for _, m := range s.Models {
@@ -70,21 +72,23 @@
 	return state
 }
 
-// inMillis returns Unix milliseconds, 0 for the zero time; timeOf is its reverse.
-func inMillis(t time.Time) int {
+// toUnixMillis returns t in Unix milliseconds, or 0 for the zero time.
+func toUnixMillis(t time.Time) int {
 	if t.IsZero() {
 		return 0
 	}
 	return int(t.UnixMilli())
 }
 
-func timeOf(ms int) time.Time {
+// fromUnixMillis is the inverse of toUnixMillis.
+func fromUnixMillis(ms int) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(int64(ms))
 }
 
+// loadList converts loads to their wire form. Servers without running requests are omitted.
 func loadList(loads map[string]pick.Load) []wire.ServerLoad {
 	list := make([]wire.ServerLoad, 0, len(loads))
 	for id, l := range loads {
@@ -95,6 +99,7 @@
 	return list
 }
 
+// loadsOf converts loads from their wire form.
 func loadsOf(list []wire.ServerLoad) map[string]pick.Load {
 	loads := make(map[string]pick.Load, len(list))
 	for _, l := range list {
@@ -103,17 +108,19 @@
 	return loads
 }
 
-func wantsOf(list []wire.ModelWant) []steer.Want {
-	wants := make([]steer.Want, 0, len(list))
+// demandOf converts demand from its wire form.
+func demandOf(list []wire.ModelWant) []steer.Want {
+	demand := make([]steer.Want, 0, len(list))
 	for _, w := range list {
-		wants = append(wants, steer.Want{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, Time: time.Duration(w.TimeUs) * time.Microsecond})
+		demand = append(demand, steer.Want{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, Time: time.Duration(w.TimeUs) * time.Microsecond})
 	}
-	return wants
+	return demand
 }
 
-func wantList(wants []steer.Want) []wire.ModelWant {
-	list := make([]wire.ModelWant, 0, len(wants))
-	for _, w := range wants {
+// demandList converts demand to its wire form.
+func demandList(demand []steer.Want) []wire.ModelWant {
+	list := make([]wire.ModelWant, 0, len(demand))
+	for _, w := range demand {
 		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.Time.Microseconds())})
 	}
 	return list
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -15,83 +15,82 @@
 )
 
 const (
-	// findLimit bounds the controller's work for one question; the VM that asks
-	// has given up by then.
-	findLimit = 10 * time.Second
-	// gatherLeast and gatherMost bound how long a change waits for others that
-	// follow, so that they go out in one frame; gatherPerLink is by how much it
-	// grows with the links. While dozens of servers restart there is a change every
-	// few milliseconds, and a frame for each to every VM fills the links of the
-	// weak ones.
-	gatherLeast   = 10 * time.Millisecond
-	gatherMost    = 60 * time.Millisecond
-	gatherPerLink = 2 * time.Millisecond
+	// findTimeout bounds the controller's work for one find call. The calling VM has timed out
+	// by then.
+	findTimeout = 10 * time.Second
+	// minBatchDelay and maxBatchDelay bound how long a change is delayed so that later changes
+	// are sent in the same frame. The delay grows by batchDelayPerLink with each link. While
+	// dozens of servers restart, a change occurs every few milliseconds, and a frame per change
+	// to every VM would saturate the links of the smallest VMs.
+	minBatchDelay     = 10 * time.Millisecond
+	maxBatchDelay     = 60 * time.Millisecond
+	batchDelayPerLink = 2 * time.Millisecond
 )
 
-// gather returns how long a change waits for others, by the number of links.
-func gather(links int) time.Duration {
-	return min(max(gatherLeast, time.Duration(links)*gatherPerLink), gatherMost)
+// batchDelay returns how long to collect changes before sending them, for a number of links.
+func batchDelay(links int) time.Duration {
+	return min(max(minBatchDelay, time.Duration(links)*batchDelayPerLink), maxBatchDelay)
 }
 
-// serveLink is the hub's side of a link, from its opening to its end.
+// serveLink serves the hub's side of a link until the link is closed.
 func (p *Peers) serveLink(ctx context.Context, c *link.Conn) {
 	d := newDownlink(c)
 	if err := p.addLink(d); err != nil {
-		p.Log.Info().Str("peer", d.vm).Err(err).Msg("link not taken")
+		p.Log.Info().Str("peer", d.vm).Err(err).Msg("link rejected")
 		return
 	}
 	p.Log.Info().Str("peer", d.vm).Msg("link opened")
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		if err := d.write(ctx, p.catchUp); err != nil {
-			p.Log.Info().Str("peer", d.vm).Err(err).Msg("link not written")
+		if err := d.write(ctx, p.fullStateFrames); err != nil {
+			p.Log.Info().Str("peer", d.vm).Err(err).Msg("write to link failed; closing it")
 			d.conn.Close()
 		}
 	}()
 	for {
 		m, err := c.Receive(ctx)
 		if err != nil {
-			p.dropLink(d)
+			p.removeLink(d)
 			p.Log.Info().Str("peer", d.vm).Err(err).Msg("link closed")
 			return
 		}
-		p.take(ctx, d, m)
+		p.handleMessage(ctx, d, m)
 	}
 }
 
-// catchUp returns the frames that tell everything.
-func (p *Peers) catchUp() ([][]byte, error) {
-	loads := loadList(p.totals())
+// fullStateFrames returns the frames with the full state, including the load.
+func (p *Peers) fullStateFrames() ([][]byte, error) {
+	loads := loadList(p.totalLoads())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	frames, _, err := p.wholeView(loads)
+	frames, _, err := p.fullState(loads)
 	return frames, err
 }
 
-var errWeaker = errors.New("the VM is far stronger than this relay, and is to link to the controller")
+var errStrongerPeer = errors.New("the VM has a much larger CPU share than this relay and must link to the controller")
 
-// addLink begins a link with the whole view; what changes follows.
+// addLink enqueues the full state on a new link and registers the link for changes.
 func (p *Peers) addLink(d *downlink) error {
-	loads := loadList(p.totals())
+	loads := loadList(p.totalLoads())
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
 	if !p.Lease.Held(now) && !p.relaying {
 		return errNoController
 	}
-	if p.relaying && p.yields(now, d.conn.Peer()) {
-		return errWeaker
+	if p.relaying && p.rejectsStronger(now, d.conn.Peer()) {
+		return errStrongerPeer
 	}
-	first, at, err := p.wholeView(loads)
+	frames, sent, err := p.fullState(loads)
 	if err != nil {
 		return err
 	}
-	for _, frame := range first {
-		d.offer(frame)
+	for _, frame := range frames {
+		d.enqueue(frame)
 	}
 	if len(p.links) == 0 {
-		p.shown = at
+		p.sent = sent
 	}
 	if p.links == nil {
 		p.links = make(map[*downlink]bool)
@@ -100,44 +99,44 @@
 	return nil
 }
 
-// shown are the revisions that all links have been told: of the view of servers, and of the
-// configuration.
-type shown struct{ servers, config int }
+// sentRevisions holds the revisions of the server view and the configuration that have been sent on
+// all links.
+type sentRevisions struct{ servers, config int }
 
-// wholeView returns the frames that a new link begins with, and what they tell. p.mu is held.
-func (p *Peers) wholeView(loads []wire.ServerLoad) (frames [][]byte, at shown, err error) {
+// fullState returns the frames to send first on a new link, and their revisions. p.mu must be held.
+func (p *Peers) fullState(loads []wire.ServerLoad) (frames [][]byte, sent sentRevisions, err error) {
 	revision, value := p.Config()
 	if revision > 0 {
 		frame, err := configFrame(revision, value)
 		if err != nil {
-			return nil, shown{}, err
+			return nil, sentRevisions{}, err
 		}
 		frames = append(frames, frame)
 	}
 	now := p.Now()
 	states, servers := p.Servers.Since(now, 0)
-	state := p.fleetState(states)
-	state.AgeMs, state.Vms, state.Full, state.Relayed = p.age(now), max(p.vms, 1), true, p.relaying
-	p.addLoad(state, loads)
+	state := p.newFleetState(states)
+	state.AgeMs, state.Vms, state.Full, state.Relayed = p.dataAgeMs(now), max(p.vms, 1), true, p.relaying
+	p.addLoadState(state, loads)
 	frame, err := link.Encode(&wire.Message{FleetState: state})
 	if err != nil {
-		return nil, shown{}, err
+		return nil, sentRevisions{}, err
 	}
-	return append(frames, frame), shown{servers: servers, config: revision}, nil
+	return append(frames, frame), sentRevisions{servers: servers, config: revision}, nil
 }
 
-func (p *Peers) fleetState(states []backs.State) *wire.FleetState {
+func (p *Peers) newFleetState(states []backs.State) *wire.FleetState {
 	version, record := p.Lease.Renewed()
 	return &wire.FleetState{
 		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.Known(p.Now()).Milliseconds()),
-		Servers: statesOf(states), Loads: []wire.ServerLoad{}, Relays: []wire.Relay{},
+		Servers: stateList(states), Loads: []wire.ServerLoad{}, Relays: []wire.Relay{},
 	}
 }
 
-// addLoad adds to a frame what is told with the load. p.mu is held.
-func (p *Peers) addLoad(state *wire.FleetState, loads []wire.ServerLoad) {
+// addLoadState adds the load, and what is sent along with it, to a frame. p.mu must be held.
+func (p *Peers) addLoadState(state *wire.FleetState, loads []wire.ServerLoad) {
 	state.Loads, state.HasLoads = loads, true
-	state.PauseMs = int(interval(len(p.links)).Milliseconds())
+	state.PauseMs = int(loadInterval(len(p.links)).Milliseconds())
 	state.Suspects = suspectList(p.Poison.Suspects(p.Now()))
 	state.Limits = limitList(p.Limits.Rates())
 	state.Relays = p.relays
@@ -146,46 +145,46 @@
 	}
 }
 
-// age returns the time in milliseconds since the store told, this VM or the one
-// whose word it passes on, that what it knows is current. p.mu is held.
-func (p *Peers) age(now time.Time) int {
-	fresh := p.fresh
-	if own := p.Current(); own.After(fresh) {
-		fresh = own
+// dataAgeMs returns the time in milliseconds since the store confirmed, to this VM or to the hub
+// whose data it relays, that the data is current. p.mu must be held.
+func (p *Peers) dataAgeMs(now time.Time) int {
+	confirmedAt := p.hubConfirmedAt
+	if own := p.Current(); own.After(confirmedAt) {
+		confirmedAt = own
 	}
-	return int(now.Sub(fresh).Milliseconds())
+	return int(now.Sub(confirmedAt).Milliseconds())
 }
 
-func (p *Peers) dropLink(d *downlink) {
+func (p *Peers) removeLink(d *downlink) {
 	p.mu.Lock()
 	delete(p.links, d)
-	again := false
+	relinked := false
 	for other := range p.links {
-		again = again || other.vm == d.vm
+		relinked = relinked || other.vm == d.vm
 	}
-	if !again {
-		delete(p.branches, d.vm)
+	if !relinked {
+		delete(p.subtrees, d.vm)
 	}
 	p.mu.Unlock()
-	if !again {
+	if !relinked {
 		p.Controller.Left(d.vm)
 	}
 }
 
-// take handles one frame of another VM.
-func (p *Peers) take(ctx context.Context, d *downlink, m *wire.Message) {
+// handleMessage handles one message from a linked VM.
+func (p *Peers) handleMessage(ctx context.Context, d *downlink, m *wire.Message) {
 	if m.VMReport != nil {
 		p.mergeCrashes(m.VMReport)
 		p.Limits.AddReport(p.Now(), limitsOf(m.VMReport.Limits))
 	}
 	switch {
 	case m.VMReport != nil && p.isRelaying():
-		p.branchReport(d.vm, m.VMReport)
+		p.mergeReport(d.vm, m.VMReport)
 	case m.VMReport != nil:
 		p.mu.Lock()
-		p.noteBranch(d.vm, branch{vms: m.VMReport.Vms, relaying: m.VMReport.Relaying})
+		p.setSubtree(d.vm, subtree{vms: m.VMReport.Vms, relaying: m.VMReport.Relaying})
 		p.mu.Unlock()
-		p.Controller.Report(p.Now(), d.vm, loadsOf(m.VMReport.Loads), wantsOf(m.VMReport.Wants))
+		p.Controller.Report(p.Now(), d.vm, loadsOf(m.VMReport.Loads), demandOf(m.VMReport.Wants))
 		p.Controller.Doubt(m.VMReport.Doubts)
 	case m.FindCall != nil:
 		go p.answerFind(spans.Extract(ctx, m.Traceparent), d, m.FindCall)
@@ -195,7 +194,7 @@
 }
 
 func (p *Peers) answerFind(ctx context.Context, d *downlink, call *wire.FindCall) {
-	ctx, cancel := context.WithTimeout(ctx, findLimit)
+	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	ctx, span := spans.Start(ctx, "find", attribute.String("model", call.Model), attribute.String("adapter", call.Adapter))
 	reply := &wire.FindReply{Call: call.Call}
@@ -207,26 +206,26 @@
 	reply.Server = id
 	frame, err := link.Encode(&wire.Message{FindReply: reply})
 	if err != nil {
-		p.Log.Error().Err(err).Msg("reply to a VM not sent")
+		p.Log.Error().Err(err).Msg("encoding a find reply failed")
 		return
 	}
-	d.reply(frame)
+	d.enqueueReply(frame)
 }
 
-// broadcast tells all links what changes, each renewal of the lease, and at
-// intervals the load, until ctx ends. Each frame is encoded once.
+// broadcast sends changes, lease renewals and, at intervals, the load on all links until ctx ends.
+// Each frame is encoded once.
 //
-// Changes are told from what all links have been shown, whenever this begins: VMs link before
-// it does, and keep their links when a relay becomes the controller. A change in between would
-// never be told.
+// It starts from the revisions that have been sent on all links, not from the current ones. VMs link
+// before broadcast starts, and their links stay open when a relay becomes the controller. Changes
+// made in between would otherwise never be sent.
 func (p *Peers) broadcast(ctx context.Context, renewed <-chan struct{}) {
-	last := p.Now()
+	lastLoad := p.Now()
 	for ctx.Err() == nil {
 		changed := p.Servers.Changed()
 		configured := p.ConfigChanged()
 		links := p.linkCount()
-		every := interval(links)
-		wait := time.NewTimer(every)
+		interval := loadInterval(links)
+		timer := time.NewTimer(interval)
 		renewal := false
 		select {
 		case <-ctx.Done():
@@ -234,66 +233,66 @@
 		case <-renewed:
 			renewal = true
 		case <-changed:
-			pause.For(ctx, gather(links))
-		case <-wait.C:
+			pause.For(ctx, batchDelay(links))
+		case <-timer.C:
 		}
-		wait.Stop()
+		timer.Stop()
 		now := p.Now()
-		before := p.shownToAll()
-		next := before
-		if at, value := p.Config(); at > before.config {
-			next.config = at
-			p.tellConfig(at, value)
+		sent := p.sentToAll()
+		next := sent
+		if revision, value := p.Config(); revision > sent.config {
+			next.config = revision
+			p.broadcastConfig(revision, value)
 		}
-		states, servers := p.Servers.Since(now, before.servers)
-		due := now.Sub(last) >= every
-		if due {
-			last = now
+		states, servers := p.Servers.Since(now, sent.servers)
+		loadDue := now.Sub(lastLoad) >= interval
+		if loadDue {
+			lastLoad = now
 			if p.isRelaying() {
-				p.shareInside()
+				p.updateOtherLoads()
 			}
 		}
-		if len(states) > 0 || renewal || due {
+		if len(states) > 0 || renewal || loadDue {
 			next.servers = servers
-			p.tellFleet(now, states, due)
+			p.broadcastFleetState(now, states, loadDue)
 		}
-		p.show(next)
+		p.setSent(next)
 	}
 }
 
-func (p *Peers) shownToAll() shown {
+func (p *Peers) sentToAll() sentRevisions {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shown
+	return p.sent
 }
 
-func (p *Peers) show(at shown) {
+func (p *Peers) setSent(sent sentRevisions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shown = at
+	p.sent = sent
 }
 
-// tellFleet tells of servers, and of their load when it is due: it is the larger
-// part of a frame, and changes of servers can come a hundred times a second.
-func (p *Peers) tellFleet(now time.Time, states []backs.State, load bool) {
-	state := p.fleetState(states)
+// broadcastFleetState sends server states on all links, and with them the load if withLoad is set.
+// The load is the larger part of a frame, and servers can change a hundred times per second.
+func (p *Peers) broadcastFleetState(now time.Time, states []backs.State, withLoad bool) {
+	state := p.newFleetState(states)
 	var loads []wire.ServerLoad
-	if load {
-		loads = loadList(p.totals())
+	if withLoad {
+		loads = loadList(p.totalLoads())
 	}
 	vms := p.VMs()
 	p.mu.Lock()
-	state.AgeMs, state.Vms, state.Relayed = p.age(now), vms, p.relaying
-	if load {
-		p.addLoad(state, loads)
+	state.AgeMs, state.Vms, state.Relayed = p.dataAgeMs(now), vms, p.relaying
+	if withLoad {
+		p.addLoadState(state, loads)
 	}
 	p.mu.Unlock()
 	frame, err := link.Encode(&wire.Message{FleetState: state})
 	if err != nil {
-		p.Log.Error().Err(err).Msg("view not told")
+		p.Log.Error().Err(err).Msg("encoding the fleet state failed")
 		return
 	}
-	p.offerAll(frame)
+	p.enqueueAll(frame)
 }
 
 func (p *Peers) linkCount() int {
@@ -302,19 +301,19 @@
 	return len(p.links)
 }
 
-func (p *Peers) tellConfig(revision int, value []byte) {
+func (p *Peers) broadcastConfig(revision int, value []byte) {
 	frame, err := configFrame(revision, value)
 	if err != nil {
-		p.Log.Error().Err(err).Msg("configuration not told")
+		p.Log.Error().Err(err).Msg("encoding the configuration failed")
 		return
 	}
-	p.offerAll(frame)
+	p.enqueueAll(frame)
 }
 
-func (p *Peers) offerAll(frame []byte) {
+func (p *Peers) enqueueAll(frame []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for d := range p.links {
-		d.offer(frame)
+		d.enqueue(frame)
 	}
 }
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -1,5 +1,6 @@
-// Package peers lets the VMs act as one: it keeps the lease of the VM that
-// steers the servers, and the links of the others to it.
+// Package peers connects the VMs of a fleet. One VM, the controller, holds a lease and manages the
+// backend servers. The other VMs are linked to it, directly or through a relay VM in their failure
+// domain. The hub of a VM is the controller or relay that it is linked to.
 package peers
 
 import (
@@ -20,46 +21,46 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Where the lease lies in the store.
+// Kind and name of the lease record in the store.
 const (
 	leaseKind = "leases"
 	leaseName = "controller"
 )
 
-// leaseCall bounds one call to the store for the lease. It is shorter than the
-// time between renewals.
-const leaseCall = 400 * time.Millisecond
+// leaseCallTimeout bounds one read or write of the lease record. It is shorter than the interval
+// between renewals.
+const leaseCallTimeout = 400 * time.Millisecond
 
 const (
-	// recallFrom is the weakness from which a VM that starts reads the record
-	// without the promise that it is current, recallMost how often: with the pause
-	// between reads a second, after which it wants to know for sure.
-	recallFrom = 300 * time.Millisecond
-	recallMost = 3
+	// A VM with an acquire delay of at least minStaleReadDelay makes up to maxStaleReads stale
+	// reads of the record when it starts. With the pauses between reads these take one second.
+	// Then it makes consistent reads.
+	minStaleReadDelay = 300 * time.Millisecond
+	maxStaleReads     = 3
 )
 
-var errNotYet = errors.New("there was no record some seconds ago")
+var errStaleNotFound = errors.New("stale read found no lease record")
 
-// orderSlack is for an order that the VM before sent right before its lease
-// ended: it is on its way until its call times out.
-const orderSlack = 400 * time.Millisecond
+// commandTimeout covers a command that the previous holder sent right before its lease ended. It may
+// be in flight until its call times out.
+const commandTimeout = 400 * time.Millisecond
 
-// Lease is the right to give orders to servers. Its record lies in the store
-// and is written only under the version that was read, so that of two VMs that
-// race one loses. The version at which it was taken is the fence of the
-// orders.
+// Lease is the controller's lease, the right to send commands to servers. Its record is in the store.
+// Each write is conditional on the version that was read, so that only one of two concurrent writes
+// succeeds. The version written on acquisition is the fencing token of the term.
 type Lease struct {
-	// Name is the VM's, Address where it takes links.
+	// Name is the name of this VM. Address is where it accepts links.
 	Name, Address string
 	Objects       store.Objects
 	// Duration is how long the lease lasts after a renewal.
 	Duration time.Duration
-	// Handover is the least time between the last order of one VM and the first
+	// Handover is the minimum time between the last command of one holder and the first command
 	// of the next.
 	Handover time.Duration
-	// Weakness is how long this VM leaves a free lease to stronger ones.
+	// Weakness is how long this VM waits before it acquires an expired lease, so that VMs with a
+	// larger CPU share acquire it first.
 	Weakness time.Duration
-	// Count returns how many VMs there are, for the record; nil for not known.
+	// Count returns the number of VMs for the record. If nil, the number is unknown.
 	Count func() int
 	// Poison tracks blocked requests. The record stores them, so that the next holder and VMs
 	// that start also block them. If nil, the record stores none.
@@ -68,40 +69,39 @@
 	Log    zerolog.Logger
 
 	mu sync.Mutex
-	// freeSince is when the lease was first seen to be free.
-	freeSince time.Time
-	keeper    lease.Keeper
-	record    wire.ControllerLease
-	key       string
-	fence     int
-	// recalls counts the reads that may have been old.
-	recalls int
-	// ended is when the VM before gave its last order at the latest, orders from
-	// when this one may give any.
-	ended, orders time.Time
+	// expiredSince is when this VM first observed that the lease had expired.
+	expiredSince time.Time
+	keeper       lease.Keeper
+	record       wire.ControllerLease
+	key          string
+	fencingToken int
+	// staleReads counts the stale reads made.
+	staleReads int
+	// previousTermEnd is the latest time at which the previous holder may have sent a command.
+	// commandsFrom is when this VM may send its first command.
+	previousTermEnd, commandsFrom time.Time
 }
 
-// Fence returns the fencing number while orders may be given.
+// Fence returns the fencing token, and whether this VM may send commands.
 func (l *Lease) Fence(now time.Time) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence, l.keeper.Held(now) && !now.Before(l.orders)
+	return l.fencingToken, l.keeper.Held(now) && !now.Before(l.commandsFrom)
 }
 
-// Term returns the fencing number while this VM holds the lease, also before it
-// may give orders.
+// Term returns the fencing token, and whether this VM holds the lease. It may hold the lease before
+// it may send commands.
 func (l *Lease) Term(now time.Time) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence, l.keeper.Held(now)
+	return l.fencingToken, l.keeper.Held(now)
 }
 
-// Ended returns when the VM that held the lease before gave its last order at the
-// latest.
+// Ended returns the latest time at which the previous holder may have sent a command.
 func (l *Lease) Ended() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ended
+	return l.previousTermEnd
 }
 
 // Held reports whether this VM holds the lease.
@@ -111,7 +111,7 @@
 	return l.keeper.Held(now)
 }
 
-// Key returns what links to this VM must present, "" when it takes none.
+// Key returns the key that VMs must present to link to this VM, or "" if it does not hold the lease.
 func (l *Lease) Key(now time.Time) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,15 +121,15 @@
 	return l.key
 }
 
-// Free reports whether the lease has run out, as far as this VM knows.
+// Free reports whether the lease has expired or was released, according to the record last observed.
 func (l *Lease) Free(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.keeper.Known() && l.keeper.Next(now) == lease.Take
 }
 
-// Holder returns the address and key of another VM that holds the lease, as
-// read last.
+// Holder returns the address and key of the holder in the record last observed, or "" if that is this
+// VM or no VM.
 func (l *Lease) Holder() (address, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,74 +139,73 @@
 	return l.record.Address, l.record.Key
 }
 
-// VMs returns how many VMs there were by the record as read last, 0 when not known.
+// VMs returns the number of VMs in the record last observed, or 0 if unknown.
 func (l *Lease) VMs() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record.Vms
 }
 
-// Step does what is due: it reads the record unless the lease is held, and
-// takes or renews the lease.
+// Step reads the record unless this VM holds the lease, and acquires or renews the lease if due.
 func (l *Lease) Step(ctx context.Context) {
-	l.prepare()
-	if !l.renewing() {
+	l.initialize()
+	if !l.holding() {
 		if err := l.read(ctx); err != nil {
-			l.Log.Info().Err(err).Msg("lease not read")
+			l.Log.Info().Err(err).Msg("reading the controller lease failed")
 			return
 		}
 	}
 	l.mu.Lock()
 	action := l.keeper.Next(l.Now())
 	l.mu.Unlock()
-	if action == lease.Wait || action == lease.Take && l.yields() {
+	if action == lease.Wait || action == lease.Take && l.delaysAcquisition() {
 		return
 	}
 	if err := l.write(ctx, action); err != nil {
-		l.Log.Info().Err(err).Msg("lease not written")
+		l.Log.Info().Err(err).Msg("writing the controller lease failed")
 	}
 }
 
-// yields reports whether a free lease is left to stronger VMs for now.
-func (l *Lease) yields() bool {
+// delaysAcquisition reports whether this VM still leaves an expired lease to stronger VMs.
+func (l *Lease) delaysAcquisition() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
 	if l.record.Address == l.Address {
 		return false
 	}
-	if l.freeSince.IsZero() {
-		l.freeSince = now
+	if l.expiredSince.IsZero() {
+		l.expiredSince = now
 	}
-	return now.Sub(l.freeSince) < l.Weakness
+	return now.Sub(l.expiredSince) < l.Weakness
 }
 
-func (l *Lease) prepare() {
+func (l *Lease) initialize() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.keeper.Name == "" {
-		// The address tells runs apart: a process that starts again at the same
-		// address knows that the one before it has ended, and may go on at once.
+		// The address identifies the process, because only one can listen on it. A process
+		// restarted at the same address may continue with the lease at once.
 		l.keeper = lease.Keeper{Name: l.Name, Boot: l.Address, Duration: l.Duration}
 		l.key = uuid.NewString()
 	}
 }
 
-func (l *Lease) renewing() bool {
+func (l *Lease) holding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.keeper.Known() && l.keeper.Held(l.Now())
 }
 
 func (l *Lease) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, leaseCall)
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
-	get, recalled := l.reader()
+	get, stale := l.recordReader()
 	obj, err := get(ctx, leaseKind, leaseName)
 	var record wire.ControllerLease
 	switch {
-	case trace.IsNotFound(err) && recalled:
-		return errNotYet
+	case trace.IsNotFound(err) && stale:
+		return errStaleNotFound
 	case trace.IsNotFound(err):
 		obj.Version = 0
 	case err != nil:
@@ -222,23 +221,24 @@
 	return nil
 }
 
-// reader returns the call to read the record with. A weak VM that starts wants to
-// know where the controller is, and leaves the lease to others at first: a read
-// that may be some seconds old tells it mostly, and costs the platform little.
-// Dozens of VMs start together.
-func (l *Lease) reader() (get func(ctx context.Context, kind, name string) (store.Object, error), recalled bool) {
+// recordReader returns the store call to read the record with, and whether it is a stale read. A
+// starting VM with a small CPU share needs the controller's address but does not acquire the lease at
+// first. A read that may be some seconds old usually returns that address at little cost to the store.
+// Dozens of VMs start at the same time.
+func (l *Lease) recordReader() (get func(ctx context.Context, kind, name string) (store.Object, error), stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.Weakness < recallFrom || l.recalls >= recallMost || l.keeper.Known() {
+	if l.Objects.Recall == nil || l.Weakness < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Known() {
 		return l.Objects.Get, false
 	}
-	l.recalls++
+	l.staleReads++
 	return l.Objects.Recall, true
 }
 
+// observe applies a record that was read or received. l.mu must be held.
 func (l *Lease) observe(version int, record wire.ControllerLease) {
 	if version != 0 && record.Renewals != l.record.Renewals {
-		l.freeSince = time.Time{}
+		l.expiredSince = time.Time{}
 	}
 	l.record = record
 	if l.Poison != nil {
@@ -249,9 +249,8 @@
 	})
 }
 
-// Told takes in the record as the holder wrote it last, so that a VM which loses
-// the link knows from when the lease runs and need not wait its whole length from
-// then.
+// Told applies the record last announced by the holder. A VM that loses its link then counts the
+// lease duration from the last announced renewal, and not from its own next read of the record.
 func (l *Lease) Told(version int, record wire.ControllerLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,7 +261,7 @@
 	l.observe(version, record)
 }
 
-// Renewed returns the record as it is known, and its version.
+// Renewed returns the record last observed or written, and its version.
 func (l *Lease) Renewed() (version int, record wire.ControllerLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -271,56 +270,55 @@
 }
 
 func (l *Lease) write(ctx context.Context, action lease.Action) error {
-	ctx, cancel := context.WithTimeout(ctx, leaseCall)
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	vms := 0
 	if l.Count != nil {
 		vms = l.Count()
 	}
 	l.mu.Lock()
-	begun := l.Now()
+	startedAt := l.Now()
 	next, version := l.keeper.Record()
-	before, seen := l.record, l.keeper.Changed()
+	previous, previousChangedAt := l.record, l.keeper.Changed()
 	l.mu.Unlock()
 	record := wire.ControllerLease{
 		Holder: next.Holder, Boot: next.Boot, DurationMs: next.DurationMs, Renewals: next.Renewals,
 		Address: l.Address, Key: l.key, Vms: vms,
 	}
 	if l.Poison != nil {
-		record.Blocked = blockedList(l.Poison.Suspects(begun))
+		record.Blocked = blockedList(l.Poison.Suspects(startedAt))
 	}
-	got, err := l.Objects.Put(ctx, leaseKind, leaseName, version, record)
+	newVersion, err := l.Objects.Put(ctx, leaseKind, leaseName, version, record)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.keeper.Lost()
 		return fmt.Errorf("write lease: %w", err)
 	}
-	l.keeper.Won(begun, got, next)
+	l.keeper.Won(startedAt, newVersion, next)
 	l.record = record
 	if action == lease.Take {
-		l.took(begun, got, before, seen)
+		l.recordAcquisition(startedAt, newVersion, previous, previousChangedAt)
 	}
 	return nil
 }
 
-// took notes that the lease was taken. The VM before gave its last order when
-// its lease ended at the latest, which was a lease's length after this VM saw
-// its last renewal; the first order of this one comes a handover later.
-func (l *Lease) took(begun time.Time, version int, before wire.ControllerLease, seen time.Time) {
-	l.fence, l.ended = version, begun
-	if before.Address != "" && before.Address != l.Address {
-		length := time.Duration(before.DurationMs) * time.Millisecond
-		l.ended = seen.Add(length + orderSlack)
-		l.orders = l.ended.Add(l.Handover)
+// recordAcquisition records that this VM acquired the lease. The previous holder sent its last
+// command before its lease expired, which is one lease duration after this VM observed its last
+// renewal. This VM sends its first command one handover time later. l.mu must be held.
+func (l *Lease) recordAcquisition(startedAt time.Time, version int, previous wire.ControllerLease, previousChangedAt time.Time) {
+	l.fencingToken, l.previousTermEnd = version, startedAt
+	if previous.Address != "" && previous.Address != l.Address {
+		duration := time.Duration(previous.DurationMs) * time.Millisecond
+		l.previousTermEnd = previousChangedAt.Add(duration + commandTimeout)
+		l.commandsFrom = l.previousTermEnd.Add(l.Handover)
 	}
-	l.Log.Info().Int("fence", version).Str("before", before.Holder).Time("begun", begun).Msg("lease taken")
+	l.Log.Info().Int("fence", version).Str("before", previous.Holder).Time("begun", startedAt).Msg("controller lease acquired")
 }
 
-// Extend renews the lease a last time, for long enough that the process can
-// start again and go on with it. A change of controller costs the time of the
-// lease and the pause between orders of two VMs, during which no model moves;
-// a restart takes a second. It reports whether the lease was held.
+// Extend renews the lease one last time, long enough for the process to restart and continue with it.
+// A restart takes one second. A change of controller takes the lease duration plus the handover time,
+// during which no model is loaded or unloaded. Extend reports whether this VM held the lease.
 func (l *Lease) Extend(ctx context.Context, duration time.Duration) bool {
 	l.mu.Lock()
 	held := l.keeper.Held(l.Now())
@@ -330,7 +328,7 @@
 		return false
 	}
 	if err := l.write(ctx, lease.Renew); err != nil {
-		l.Log.Info().Err(err).Msg("lease not extended")
+		l.Log.Info().Err(err).Msg("extending the controller lease failed")
 	}
 	return true
 }
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -16,7 +16,7 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// testClock is moved by the test.
+// testClock is a manually advanced clock.
 type testClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -41,56 +41,55 @@
 	}
 }
 
-func mayOrder(l *peers.Lease, now time.Time) bool {
+func mayCommand(l *peers.Lease, now time.Time) bool {
 	_, ok := l.Fence(now)
 	return ok
 }
 
-// The controller dies. Servers that do not check fencing numbers must not get
-// orders of two VMs within three seconds: the next VM takes the lease when it
-// has run out, and gives its first order a handover later.
+// The controller crashes. Servers that do not check fencing tokens must not receive commands from two
+// VMs within 3 s. The next VM acquires the lease after it expires, and sends its first command one
+// handover time later.
 func TestHandover(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	ctx := t.Context()
 	a.Step(ctx)
-	require.True(t, mayOrder(a, clock.Now()), "the first VM need not wait")
+	require.True(t, mayCommand(a, clock.Now()), "the first holder need not wait for the handover time")
 	b.Step(ctx)
-	var ended, began time.Time
+	var endedAt, beganAt time.Time
 	for range 100 {
 		clock.advance(100 * time.Millisecond)
 		b.Step(ctx)
-		if ended.IsZero() && !mayOrder(a, clock.Now()) {
-			ended = clock.Now()
+		if endedAt.IsZero() && !mayCommand(a, clock.Now()) {
+			endedAt = clock.Now()
 		}
-		if began.IsZero() && mayOrder(b, clock.Now()) {
-			began = clock.Now()
+		if beganAt.IsZero() && mayCommand(b, clock.Now()) {
+			beganAt = clock.Now()
 		}
 	}
-	require.False(t, began.IsZero())
-	require.GreaterOrEqual(t, began.Sub(ended), 3*time.Second)
-	require.LessOrEqual(t, began.Sub(ended), 5*time.Second)
+	require.False(t, beganAt.IsZero())
+	require.GreaterOrEqual(t, beganAt.Sub(endedAt), 3*time.Second)
+	require.LessOrEqual(t, beganAt.Sub(endedAt), 5*time.Second)
 	fenceB, _ := b.Fence(clock.Now())
 	fenceA, _ := a.Fence(clock.Now())
 	require.Greater(t, fenceB, fenceA)
 }
 
-// The holder stands still for longer than its lease and believes, when it wakes,
-// that no time has passed but for the clock that counts the pause. It must not
-// give orders.
+// The holder's process is suspended for longer than its lease. When it resumes, it must not send
+// commands. Only its clock, which counts the pause, shows that time has passed.
 func TestPausedHolderStops(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 	a := newLease(clock, o, "1")
 	a.Step(t.Context())
-	require.True(t, mayOrder(a, clock.Now()))
+	require.True(t, mayCommand(a, clock.Now()))
 	clock.advance(5 * time.Second)
-	require.False(t, mayOrder(a, clock.Now()))
+	require.False(t, mayCommand(a, clock.Now()))
 	require.Empty(t, a.Key(clock.Now()))
 }
 
-// The answer to a renewal is lost although it took effect. The holder reads the
-// record back and goes on; nobody else takes the lease.
-func TestLostRenewal(t *testing.T) {
+// The response to a renewal is lost although the renewal took effect. The holder reads the record and
+// continues, and no other VM acquires the lease.
+func TestLostRenewalResponse(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	a.Step(t.Context())
@@ -103,46 +102,44 @@
 		b.Step(t.Context())
 		require.False(t, b.Held(clock.Now()))
 	}
-	require.True(t, mayOrder(a, clock.Now()))
+	require.True(t, mayCommand(a, clock.Now()))
 }
 
-// A process that ends and starts again at the same address goes on at once: the
-// one before it has ended, so no handover is needed.
-func TestRestartAtTheSameAddress(t *testing.T) {
+// A process that restarts at the same address may send commands at once. The previous process has
+// ended, so no handover time is needed.
+func TestRestartAtSameAddress(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 	newLease(clock, o, "1").Step(t.Context())
 	clock.advance(100 * time.Millisecond)
-	again := newLease(clock, o, "1")
-	again.Step(t.Context())
-	require.True(t, mayOrder(again, clock.Now()))
+	restarted := newLease(clock, o, "1")
+	restarted.Step(t.Context())
+	require.True(t, mayCommand(restarted, clock.Now()))
 }
 
-// The holder tells its renewals over the links. A VM that loses the link counts
-// the lease from the last one told, and takes over sooner than one that begins
-// to look at the record only then.
-func TestToldRenewalsShortenTheWait(t *testing.T) {
+// The holder announces its renewals over the links. A VM that loses its link counts the lease duration
+// from the last announced renewal, and takes over sooner than a VM that first reads the record then.
+func TestAnnouncedRenewalShortensTakeover(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
-	a, told, untold := newLease(clock, o, "1"), newLease(clock, o, "2"), newLease(clock, o, "3")
-	a.Step(t.Context())
-	told.Step(t.Context())
-	told.Told(a.Renewed())
+	holder, linked, unlinked := newLease(clock, o, "1"), newLease(clock, o, "2"), newLease(clock, o, "3")
+	holder.Step(t.Context())
+	linked.Step(t.Context())
+	linked.Told(holder.Renewed())
 	clock.advance(900 * time.Millisecond)
-	untold.Step(t.Context())
+	unlinked.Step(t.Context())
 	clock.advance(300 * time.Millisecond)
-	untold.Step(t.Context())
-	require.False(t, untold.Held(clock.Now()))
-	told.Step(t.Context())
-	require.True(t, told.Held(clock.Now()))
+	unlinked.Step(t.Context())
+	require.False(t, unlinked.Held(clock.Now()))
+	linked.Step(t.Context())
+	require.True(t, linked.Held(clock.Now()))
 }
 
-// Dozens of weak VMs start together and want to know where the controller is. They
-// read the record without the promise that it is current, and only when that does
-// not tell for a second the true one; strong VMs, which are to take the lease, read
-// that at once.
-func TestWeakVMsRecallTheRecord(t *testing.T) {
+// Dozens of weak VMs start at the same time and need the controller's address. They make stale reads,
+// and make consistent reads only if these find no record for one second. Strong VMs, which acquire
+// the lease first, make consistent reads at once.
+func TestStaleLeaseReads(t *testing.T) {
 	tests := map[string]struct {
-		weakness       time.Duration
-		recalls, reads int
+		weakness          time.Duration
+		staleReads, reads int
 	}{
 		"weak":   {600 * time.Millisecond, 3, 2},
 		"strong": {36 * time.Millisecond, 0, 5},
@@ -152,21 +149,21 @@
 			clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 			holder, l := newLease(clock, o, "1"), newLease(clock, o, "2")
 			l.Weakness = tc.weakness
-			recalls, reads := 0, 0
+			staleReads, reads := 0, 0
 			get := l.Objects.Get
 			l.Objects.Get = func(ctx context.Context, kind, name string) (store.Object, error) {
 				reads++
 				return get(ctx, kind, name)
 			}
 			l.Objects.Recall = func(context.Context, string, string) (store.Object, error) {
-				recalls++
-				return store.Object{}, trace.NotFound("not yet")
+				staleReads++
+				return store.Object{}, trace.NotFound("no record yet")
 			}
 			holder.Step(t.Context())
 			for range 5 {
 				l.Step(t.Context())
 			}
-			require.Equal(t, tc.recalls, recalls)
+			require.Equal(t, tc.staleReads, staleReads)
 			require.Equal(t, tc.reads, reads)
 			address, _ := l.Holder()
 			require.Equal(t, holder.Address, address)
@@ -174,7 +171,7 @@
 	}
 }
 
-// Guards against losing blocked requests when the controller dies or all processes end at once:
+// Guards against losing blocked requests when the controller crashes or all processes exit at once:
 // the lease record must restore them.
 func TestBlockedRequestsSurviveControllerChange(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
@@ -189,7 +186,7 @@
 		clock.advance(100 * time.Millisecond)
 		b.Step(t.Context())
 	}
-	require.True(t, mayOrder(b, clock.Now()))
+	require.True(t, mayCommand(b, clock.Now()))
 	require.InDelta(t, time.Hour, b.Poison.BlockedFor(clock.Now(), request), float64(10*time.Second))
 	require.Zero(t, b.Poison.BlockedFor(clock.Now(), "bb"))
 	c.Step(t.Context())
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -23,39 +23,40 @@
 )
 
 const (
-	// shareEvery and shareMost bound the pause between two frames that tell
-	// load, which grows with the links by sharePerLink: a VM handles some hundred
-	// frames a second at most. Reports of servers are 200 ms old and
-	// more, so more often would tell little.
-	shareEvery   = 100 * time.Millisecond
-	shareMost    = 300 * time.Millisecond
-	sharePerLink = 5 * time.Millisecond
-	// linkSilence is how long a link may be silent before it counts as dead:
-	// some of the longest pauses between frames.
-	linkSilence = 1200 * time.Millisecond
-	// freshFor is how old the controller's word may be, its own age at the
-	// store included, before a VM asks the store itself. It leaves time for
-	// that within the second or two in which a change must be in force.
-	freshFor = 1300 * time.Millisecond
-	// leaseEvery is how often the lease is looked at. A third of its duration
-	// lies between renewals.
-	leaseEvery = 100 * time.Millisecond
-	// searchEvery is the pause between reads of the lease while there is no
-	// link to a controller.
-	searchEvery = 300 * time.Millisecond
-	// linkDial bounds the opening of a link. The paths take milliseconds, and
-	// while a dial waits the lease is not looked at.
-	linkDial = 400 * time.Millisecond
-	// vmsUnknown is how many VMs are assumed before a controller has told.
-	vmsUnknown = 8
+	// minLoadInterval and maxLoadInterval bound the interval between two frames with load. The
+	// interval grows by loadIntervalPerLink with each link, because a VM handles at most some
+	// hundred frames per second. Server reports are at least 200 ms old, so shorter intervals
+	// would add little.
+	minLoadInterval     = 100 * time.Millisecond
+	maxLoadInterval     = 300 * time.Millisecond
+	loadIntervalPerLink = 5 * time.Millisecond
+	// linkIdleTimeout is the time without frames after which a link counts as broken. It is a
+	// few times the longest interval between frames.
+	linkIdleTimeout = 1200 * time.Millisecond
+	// maxHubDataAge is the age of the hub's data, including its age when the hub sent it, from
+	// which a VM reads the store itself. It leaves time for that read within the 1 to 2 s in
+	// which a change must be in force.
+	maxHubDataAge = 1300 * time.Millisecond
+	// leaseCheckInterval is the interval between checks whether the lease is due for renewal or
+	// acquisition. The holder renews it after a third of its duration.
+	leaseCheckInterval = 100 * time.Millisecond
+	// leaseReadInterval is the pause between reads of the lease record while this VM has no
+	// current data from a controller.
+	leaseReadInterval = 300 * time.Millisecond
+	// linkDialTimeout bounds opening a link. Round trips take milliseconds, and the lease is not
+	// checked during a dial.
+	linkDialTimeout = 400 * time.Millisecond
+	// defaultVMs is the number of VMs assumed until a controller reports it.
+	defaultVMs = 8
 )
 
-// Peers connects a VM with the controller, or is the controller's side of the
-// links while this VM holds the lease. All fields must be set.
+// Peers links a VM to the controller, directly or through a relay. While this VM holds the lease,
+// Peers serves the controller's side of the links. All fields must be set unless noted.
 type Peers struct {
 	Name, Domain string
-	Boot         string
-	// Address is where this VM takes links, Cores its share of a processor.
+	// Boot identifies the run of the process.
+	Boot string
+	// Address is where this VM accepts links. Cores is its CPU share.
 	Address    string
 	Cores      float64
 	Lease      *Lease
@@ -66,97 +67,98 @@
 	Poison *poison.Tracker
 	// Limits holds the request rate limits that servers have announced.
 	Limits *limit.Limits
-	// Config returns the configuration in force as the store holds it, and its
-	// revision; ConfigChanged is closed when it changes, and Configure puts one
-	// in force that the controller told.
+	// Config returns the configuration in force, as stored, and its revision. The channel of
+	// ConfigChanged is closed when it changes. Configure applies a configuration received from
+	// the hub.
 	Config        func() (revision int, value []byte)
 	ConfigChanged func() <-chan struct{}
 	Configure     func(revision int, value []byte)
-	// Current returns when the store told last that what this VM knows is
-	// current.
+	// Current returns when the store last confirmed that this VM's data is current.
 	Current func() time.Time
-	// StoreAway reports whether the store did not answer this VM when it was asked last,
-	// and is being asked again; nil for never.
+	// StoreAway reports whether the store did not answer this VM's last request and a retry is
+	// in progress. If nil, the store counts as reachable.
 	StoreAway func() bool
 	Now       func() time.Time
 	Log       zerolog.Logger
 	Meter     *meter.Set
 
-	mu     sync.Mutex
-	wants  map[wantKey]*steer.Want
-	doubts map[string]bool
-	// asking are the questions to the hub that are open.
-	asking questions
-	vms    int
-	links  map[*downlink]bool
-	// shown is what all links have been told.
-	shown shown
-	up    *uplink
-	// fresh is as of when the word of the controller or relay is current, lent
-	// how much older than usual it may get.
-	fresh time.Time
-	lent  time.Duration
-	// pause lies between two frames that tell load to the hub.
-	pause time.Duration
-	// branches is what the VMs linked to this one have told, by VM, and outside
-	// what those beyond the hub have at the servers.
-	branches map[string]branch
-	outside  map[string]pick.Load
-	// relays are those told last, chosen those that this VM as the controller
-	// named; shunned is when a relay was lost.
-	relays  []wire.Relay
-	chosen  map[string]string
-	shunned map[string]time.Time
-	// yielded is when this relay turned a stronger VM's link away.
-	yielded map[string]time.Time
-	// began is when this VM's term did, inherited how many VMs there were then.
-	began     time.Time
-	inherited int
-	// relaying is set while VMs of the domain link to this one; renewed is then
-	// signalled when the controller told that it renewed its lease.
+	mu sync.Mutex
+	// demand and unverified are not yet reported to the controller.
+	demand     map[demandKey]*steer.Want
+	unverified map[string]bool
+	// finds are the pending find calls.
+	finds findGroup
+	vms   int
+	links map[*downlink]bool
+	// sent holds the revisions that have been sent on all links.
+	sent   sentRevisions
+	uplink *uplink
+	// hubConfirmedAt is when the store last confirmed the hub's data. extraAge is how much older
+	// than maxHubDataAge that data may become.
+	hubConfirmedAt time.Time
+	extraAge       time.Duration
+	// reportInterval is the interval between load reports to the hub.
+	reportInterval time.Duration
+	// subtrees holds the last report of each VM linked to this one, by VM name. externalLoads is
+	// the load of all VMs outside this VM's subtree, by server.
+	subtrees      map[string]subtree
+	externalLoads map[string]pick.Load
+	// relays is the list last received from the hub. chosenRelays is the relay VM of each
+	// failure domain that this VM chose as the controller. relayLostAt is when the link to a
+	// relay was lost, by address.
+	relays       []wire.Relay
+	chosenRelays map[string]string
+	relayLostAt  map[string]time.Time
+	// rejectedAt is when this relay rejected the link of a stronger VM, by VM name.
+	rejectedAt map[string]time.Time
+	// termStart is when this VM became the controller. inheritedVMs is the number of VMs then.
+	termStart    time.Time
+	inheritedVMs int
+	// relaying is set while this VM is the relay of its failure domain. leaseRenewed then
+	// signals each renewal that the controller announces.
 	relaying     bool
 	stopRelaying context.CancelFunc
-	renewed      chan struct{}
+	leaseRenewed chan struct{}
 }
 
-type wantKey struct{ service, model, adapter string }
+type demandKey struct{ service, model, adapter string }
 
-// Want notes demand, for the controller.
+// Want records the demand of one request, to be reported to the controller.
 func (p *Peers) Want(service string, w pick.Work, cost time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addWant(steer.Want{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, Time: cost})
+	p.addDemand(steer.Want{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, Time: cost})
 }
 
-// Doubt notes a server that could not be reached or did not hold what it was
-// thought to, for the controller.
+// Doubt asks the controller to verify the state of a server that could not be reached or did not
+// hold the expected model or adapter.
 func (p *Peers) Doubt(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addDoubt(server)
+	p.addUnverified(server)
 }
 
-func (p *Peers) takeDoubts() []string {
+func (p *Peers) takeUnverified() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := slices.Collect(maps.Keys(p.doubts))
-	p.doubts = nil
+	list := slices.Collect(maps.Keys(p.unverified))
+	p.unverified = nil
 	return list
 }
 
-func (p *Peers) takeWants() []steer.Want {
+func (p *Peers) takeDemand() []steer.Want {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []steer.Want
-	for _, w := range p.wants {
+	for _, w := range p.demand {
 		list = append(list, *w)
 	}
-	p.wants = nil
+	p.demand = nil
 	return list
 }
 
-// VMs returns how many VMs there are, as far as known: by the hub's word, or else
-// by the lease's record.
+// VMs returns the number of VMs as last reported by the hub, else from the lease record, else
+// defaultVMs.
 func (p *Peers) VMs() int {
 	p.mu.Lock()
 	vms := p.vms
@@ -165,14 +167,14 @@
 		vms = p.Lease.VMs()
 	}
 	if vms == 0 {
-		return vmsUnknown
+		return defaultVMs
 	}
 	return vms
 }
 
-var errNoController = errors.New("no controller can be asked")
+var errNoController = errors.New("no link to a controller")
 
-// Find asks the controller for a server that holds a model and adapter.
+// Find returns the ID of a server that holds a model and adapter, as found by the controller.
 func (p *Peers) Find(ctx context.Context, service, model, adapter string) (string, error) {
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
@@ -181,9 +183,9 @@
 		}
 		return id, err
 	}
-	return p.asking.ask(ctx, wanted{service, model, adapter}, func(ctx context.Context) (string, error) {
+	return p.finds.find(ctx, findKey{service, model, adapter}, func(ctx context.Context) (string, error) {
 		p.mu.Lock()
-		up := p.up
+		up := p.uplink
 		p.mu.Unlock()
 		if up == nil {
 			return "", errNoController
@@ -197,87 +199,89 @@
 }
 
 const (
-	// easyVMs is how many VMs may call the store at the full pace when none of
-	// them has a controller, easyWeakness the weakness from which a VM calls less
-	// often, and slowest by how much at most: a change must still be in force
-	// within two seconds of the store's return.
-	easyVMs      = 16
-	easyWeakness = 500 * time.Millisecond
-	slowest      = 3.0
+	// fullRateVMs is the number of VMs that may poll the store at the full rate while none of
+	// them has a controller. In a larger fleet, VMs with an acquire delay above
+	// fullRateAcquireDelay poll less often. maxPollIntervalFactor bounds the interval: a change
+	// must still be in force within 2 s after the store becomes reachable again.
+	fullRateVMs           = 16
+	fullRateAcquireDelay  = 500 * time.Millisecond
+	maxPollIntervalFactor = 3.0
 )
 
-// Slow returns by how much this VM stretches its pauses between calls to the
-// store while it has no controller. With many VMs the weak ones leave the search
-// to the strong ones: all of them together would use the store's rate up.
+// Slow returns the factor by which this VM extends its intervals between store calls while it has
+// no controller. In a large fleet VMs with a small CPU share poll less often, because all VMs
+// together would exhaust the store's rate limit.
 func (p *Peers) Slow() float64 {
-	vms, weakness := float64(p.VMs())/easyVMs, float64(p.Lease.Weakness)/float64(easyWeakness)
-	return min(max(vms*weakness, 1), slowest)
+	vms, weakness := float64(p.VMs())/fullRateVMs, float64(p.Lease.Weakness)/float64(fullRateAcquireDelay)
+	return min(max(vms*weakness, 1), maxPollIntervalFactor)
 }
 
-func (p *Peers) searchPause() time.Duration { return time.Duration(p.Slow() * float64(searchEvery)) }
+func (p *Peers) leaseReadPause() time.Duration {
+	return time.Duration(p.Slow() * float64(leaseReadInterval))
+}
 
-// Run keeps the lease and the link until ctx ends.
+// Run maintains the lease and the link to the hub until ctx ends.
 func (p *Peers) Run(ctx context.Context) {
-	look := true
+	leaseDue := true
 	for ctx.Err() == nil {
-		if look {
+		if leaseDue {
 			p.Lease.Step(ctx)
 		}
-		// The hub has told the record while the link lasted: unless it has run
-		// out by that, the store need not be asked again.
-		look = true
+		// While a link lasts, the hub sends the lease record. After the link is lost, the store
+		// is read at once only if that record has expired.
+		leaseDue = true
 		if p.Lease.Held(p.Now()) {
-			p.lead(ctx)
+			p.runController(ctx)
 			continue
 		}
 		if p.Lease.Free(p.Now()) {
-			// Its holder need not be looked for; this VM takes it soon, unless a
-			// stronger one does.
-			pause.For(ctx, time.Duration(p.Slow()*float64(leaseEvery)))
+			// There is no holder to link to. This VM acquires the lease soon unless a stronger
+			// VM does.
+			pause.For(ctx, time.Duration(p.Slow()*float64(leaseCheckInterval)))
 			continue
 		}
-		if address, controller, key := p.hub(p.Now()); address != "" {
-			look = !p.follow(ctx, address, controller, key) || p.Lease.Free(p.Now())
-			// Its lease may have run out by now.
-			pause.For(ctx, time.Duration(p.Slow()*float64(leaseEvery)))
+		if address, controller, key := p.selectHub(p.Now()); address != "" {
+			leaseDue = !p.followHub(ctx, address, controller, key) || p.Lease.Free(p.Now())
+			// The hub's lease may have expired by now.
+			pause.For(ctx, time.Duration(p.Slow()*float64(leaseCheckInterval)))
 			continue
 		}
-		pause.For(ctx, p.searchPause())
+		pause.For(ctx, p.leaseReadPause())
 	}
 }
 
-// lead is the controller's side until another VM holds the lease. While the
-// store is away the lease runs out and no orders are given, but nobody else can
-// take it either: the links stay, and load and servers are told as before.
-func (p *Peers) lead(ctx context.Context) {
-	p.Log.Info().Msg("steering begins")
+// runController serves the controller's side until another VM holds the lease. While the store is
+// unreachable, the lease expires and no commands are sent, but no other VM can acquire the lease
+// either. The links stay open and continue to carry load and server states.
+func (p *Peers) runController(ctx context.Context) {
+	p.Log.Info().Msg("controller term started")
 	p.endRelaying()
-	p.beginTerm(p.Now())
+	p.startTerm(p.Now())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	renewed := make(chan struct{}, 1)
-	go p.shareOwn(ctx)
+	go p.reportOwn(ctx)
 	go p.broadcast(ctx, renewed)
-	for ctx.Err() == nil && !p.succeeded() {
-		pause.For(ctx, leaseEvery)
-		p.renew(ctx, renewed)
+	for ctx.Err() == nil && !p.superseded() {
+		pause.For(ctx, leaseCheckInterval)
+		p.stepLease(ctx, renewed)
 	}
 	p.closeLinks()
-	p.Log.Info().Msg("steering ends")
+	p.Log.Info().Msg("controller term ended")
 }
 
-func (p *Peers) beginTerm(now time.Time) {
+// startTerm records when the term started and the number of VMs at that time.
+func (p *Peers) startTerm(now time.Time) {
 	vms := p.VMs()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.began, p.inherited = now, vms
+	p.termStart, p.inheritedVMs = now, vms
 }
 
-// renew does what is due for the lease, and signals when it was renewed. The
-// other VMs are told at once: one that finds a renewal in the store that it was
-// not told of must count the whole lease from when it reads it, and takes over
-// a second later.
-func (p *Peers) renew(ctx context.Context, renewed chan<- struct{}) {
+// stepLease renews the lease if due, and signals a renewal so that it is announced at once. A VM
+// that reads an unannounced renewal in the store must count the full lease duration from its read,
+// and so takes over a second later.
+func (p *Peers) stepLease(ctx context.Context, renewed chan<- struct{}) {
 	before, _ := p.Lease.Renewed()
 	p.Lease.Step(ctx)
 	if after, _ := p.Lease.Renewed(); after == before {
@@ -289,8 +293,8 @@
 	}
 }
 
-// succeeded reports whether another VM is known to hold the lease.
-func (p *Peers) succeeded() bool {
+// superseded reports whether another VM is known to hold the lease.
+func (p *Peers) superseded() bool {
 	if p.Lease.Held(p.Now()) {
 		return false
 	}
@@ -298,15 +302,16 @@
 	return address != ""
 }
 
-// shareOwn joins this VM's load and demand with those that the links bring.
-func (p *Peers) shareOwn(ctx context.Context) {
+// reportOwn merges the load and demand of this VM, which is the controller, with the reports of
+// the linked VMs.
+func (p *Peers) reportOwn(ctx context.Context) {
 	since := time.Time{}
 	for ctx.Err() == nil {
 		changed := p.Controller.Changed()
 		now := p.Now()
 		own := p.Book.Own()
-		p.Controller.Report(now, p.Name, own, p.takeWants())
-		p.Controller.Doubt(p.takeDoubts())
+		p.Controller.Report(now, p.Name, own, p.takeDemand())
+		p.Controller.Doubt(p.takeUnverified())
 		// The controller's tracker already merges the reports of all VMs, so its own report is
 		// discarded.
 		p.Poison.TakeReport()
@@ -316,11 +321,11 @@
 			p.Servers.Hold(now, s.Server, s.Models)
 		}
 		since = now
-		p.countVMs(now)
+		p.updateVMCount(now)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(shareEvery):
+		case <-time.After(minLoadInterval):
 		}
 	}
 }
@@ -335,22 +340,21 @@
 	}
 }
 
-// Leading reports whether this VM holds the lease: it then watches the store
-// for all others.
+// Leading reports whether this VM holds the lease. The holder watches the store for all other VMs.
 func (p *Peers) Leading() bool { return p.Lease.Held(p.Now()) }
 
-// Covered reports whether another VM that watches the store has told this one
-// lately what changes, so that it need not watch by itself.
+// Covered reports whether the hub's data is recent enough that this VM need not watch the store
+// itself.
 func (p *Peers) Covered(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.fresh.IsZero() && now.Sub(p.fresh) < freshFor+p.lent
+	return !p.hubConfirmedAt.IsZero() && now.Sub(p.hubConfirmedAt) < maxHubDataAge+p.extraAge
 }
 
-// Handler takes links from other VMs while this one holds the lease or relays, and
-// knows the servers. A link begins with all servers there are: told by a process
-// that has just started and has none yet, the others took all of them for gone, and
-// gave those that rose again no work for seconds.
+// Handler accepts links from other VMs while this VM holds the lease or is a relay, and has the
+// full list of servers. A link starts with that list. If a process that had just started sent an
+// empty one, the other VMs would treat all servers as gone and, when these were listed again, send
+// them no requests for seconds.
 func (p *Peers) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.Path, func(w http.ResponseWriter, r *http.Request) {
@@ -359,14 +363,13 @@
 			http.Error(w, "this VM neither holds the controllers' lease nor relays, or has just begun to", http.StatusServiceUnavailable)
 			return
 		}
-		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, Count: p.count, Serve: p.serveLink}
+		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, Count: p.countBytes, Serve: p.serveLink}
 		a.ServeHTTP(w, r)
 	})
 	return mux
 }
 
-// linkKey returns what VMs that link to this one must present, "" when it takes
-// no links.
+// linkKey returns the key that VMs must present to link to this VM, or "" if it accepts no links.
 func (p *Peers) linkKey(now time.Time) string {
 	if key := p.Lease.Key(now); key != "" || !p.isRelaying() {
 		return key
@@ -388,13 +391,12 @@
 	}
 }
 
-func (p *Peers) count(sent, received int) {
+func (p *Peers) countBytes(sent, received int) {
 	p.Meter.Count("peers.bytes_sent", int64(sent))
 	p.Meter.Count("peers.bytes_received", int64(received))
 }
 
-// interval returns the pause between frames that tell load, by the number of
-// links.
-func interval(links int) time.Duration {
-	return min(max(shareEvery, time.Duration(links)*sharePerLink), shareMost)
+// loadInterval returns the interval between frames with load for a number of links.
+func loadInterval(links int) time.Duration {
+	return min(max(minLoadInterval, time.Duration(links)*loadIntervalPerLink), maxLoadInterval)
 }
--- a/peers/permits.go
+++ b/peers/permits.go
@@ -25,7 +25,7 @@
 		return wait
 	}
 	if ctx.Err() != nil {
-		return permitTimeout // The caller has left.
+		return permitTimeout // The caller has canceled the request.
 	}
 	p.Log.Info().Str("server", server).Err(err).Msg("permit call failed, using the local share")
 	return p.Limits.GrantShare(p.Now(), server, p.VMs())
@@ -36,7 +36,7 @@
 	p.mu.Lock()
 	// A controller that has lost the lease continues to serve the VMs linked to it while no other VM
 	// can acquire the lease.
-	up, acting := p.up, p.up == nil && !p.relaying && len(p.links) > 0
+	up, acting := p.uplink, p.uplink == nil && !p.relaying && len(p.links) > 0
 	p.mu.Unlock()
 	if now := p.Now(); acting || p.Lease.Held(now) {
 		wait, known := p.Limits.Grant(now, server)
@@ -63,10 +63,10 @@
 	}
 	frame, err := link.Encode(&wire.Message{PermitReply: reply})
 	if err != nil {
-		p.Log.Error().Err(err).Msg("permit reply not sent")
+		p.Log.Error().Err(err).Msg("encoding a permit reply failed")
 		return
 	}
-	d.reply(frame)
+	d.enqueueReply(frame)
 }
 
 // limitList converts limits to their wire form.
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -11,92 +11,92 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// In a large fleet the links form a tree: one VM of each failure domain, its
-// relay, is linked to the controller, and the others of the domain to the relay.
-// With every VM at the controller its frames grow with the VMs times the servers,
-// and when it goes every VM asks the store at once. A relay that loses the
-// controller watches the store for its domain; the others notice nothing.
+// In a large fleet the links form a tree. One VM of each failure domain, its relay, is linked to the
+// controller, and the other VMs of the domain are linked to the relay. If every VM were linked to the
+// controller, its traffic would grow with the number of VMs times the number of servers, and all VMs
+// would read the store at once when it fails. A relay that loses the controller watches the store for
+// its domain, and the other VMs of the domain are not affected.
 
 const (
-	// treeFrom is how many VMs there must be for the links to form a tree. Below,
-	// a link less on the way is worth more than frames saved.
-	treeFrom = 20
-	// shunFor is how long a VM keeps away from a relay that it lost: the
-	// controller names another one within some frames, or the same one again when
-	// it has come back.
-	shunFor = 5 * time.Second
-	// relaySlack is how much older the word of a relay may get than that of the
-	// controller before a VM asks the store itself: a relay that loses the
-	// controller needs some of it to list what it passes on.
-	relaySlack = 400 * time.Millisecond
-	// farStronger is by how much a VM's processor share must exceed that of the
-	// present relay to take its place.
-	farStronger = 2
-	// yieldAgain is how long a relay takes links of a far stronger VM that it has just
-	// turned away: one that comes back does not reach the controller by itself.
-	yieldAgain = 30 * time.Second
-	// recountFor is how long a term counts the VMs of the one before: the window
-	// of the retry budget.
-	recountFor = 10 * time.Second
+	// minTreeVMs is the number of VMs from which the links form a tree. In a smaller fleet, one
+	// hop less is worth more than the saved traffic.
+	minTreeVMs = 20
+	// lostRelayCooldown is how long a VM does not link to a relay after losing its link. Within a
+	// few frames the controller announces another relay, or the same one if it has recovered.
+	lostRelayCooldown = 5 * time.Second
+	// relayExtraAge is how much older the data of a relay may be than that of the controller
+	// before a VM reads the store itself. A relay that loses the controller needs part of this
+	// time to list the servers from the store.
+	relayExtraAge = 400 * time.Millisecond
+	// strongerFactor is the ratio of CPU shares from which a VM replaces the current relay.
+	strongerFactor = 2
+	// rejectCooldown is how long a relay accepts all links of a stronger VM after it rejected one
+	// of them. A VM that links to the relay again cannot reach the controller itself.
+	rejectCooldown = 30 * time.Second
+	// recountPeriod is how long a new term keeps the VM count of the previous term. It equals the
+	// window of the retry budget.
+	recountPeriod = 10 * time.Second
 )
 
-// branch is what a VM that is linked to this one has told.
-type branch struct {
+// subtree is the last report of a VM linked to this one, for itself and the VMs linked to it.
+type subtree struct {
 	loads map[string]pick.Load
-	// vms is how many VMs the branch speaks for, relaying says that it takes links.
+	// vms is the number of VMs in the subtree. relaying is set if its root is a relay.
 	vms      int
 	relaying bool
 }
 
-// relayOf returns the address of the relay that this VM should be linked to, ""
-// for the controller itself. p.mu is held.
-func (p *Peers) relayOf(now time.Time) string {
+// selectRelay returns the address of the relay that this VM should link to, or "" if it should link
+// to the controller. p.mu must be held.
+func (p *Peers) selectRelay(now time.Time) string {
 	for _, r := range p.relays {
-		if r.FailureDomain == p.Domain && r.Ready && r.Address != p.Address && now.Sub(p.shunned[r.Address]) >= shunFor {
+		if r.FailureDomain == p.Domain && r.Ready && r.Address != p.Address && now.Sub(p.relayLostAt[r.Address]) >= lostRelayCooldown {
 			return r.Address
 		}
 	}
 	return ""
 }
 
-// hub returns where this VM is to be linked to, and the key to present; an empty
-// address when no controller is known.
-func (p *Peers) hub(now time.Time) (address, controller, key string) {
+// selectHub returns the address of the hub to link to, the controller's address and the key to
+// present. They are empty if no controller is known.
+func (p *Peers) selectHub(now time.Time) (address, controller, key string) {
 	controller, key = p.Lease.Holder()
 	if controller == "" {
 		return "", "", ""
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r := p.relayOf(now); r != "" && !p.relaying {
+	if r := p.selectRelay(now); r != "" && !p.relaying {
 		return r, controller, key
 	}
 	return controller, controller, key
 }
 
-func (p *Peers) shun(now time.Time, address string) {
+// recordLostRelay records that the link to a relay was lost or could not be opened.
+func (p *Peers) recordLostRelay(now time.Time, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shunned == nil {
-		p.shunned = make(map[string]time.Time)
+	if p.relayLostAt == nil {
+		p.relayLostAt = make(map[string]time.Time)
 	}
-	p.shunned[address] = now
+	p.relayLostAt[address] = now
 }
 
-// takePlace does what the relays that were told mean for this VM: it begins or
-// ends to be one, or moves from the controller to the one of its domain.
-func (p *Peers) takePlace(ctx context.Context, now time.Time, up *uplink, relays []wire.Relay) {
-	own, other := false, false
+// applyRelays applies the list of relays received from the hub. This VM starts or stops being a
+// relay, or moves its link from the controller to the relay of its failure domain.
+func (p *Peers) applyRelays(ctx context.Context, now time.Time, up *uplink, relays []wire.Relay) {
+	isRelay, otherRelay := false, false
 	for _, r := range relays {
 		if r.FailureDomain == p.Domain {
-			own, other = r.Address == p.Address, r.Address != p.Address
+			isRelay, otherRelay = r.Address == p.Address, r.Address != p.Address
 		}
 	}
 	p.mu.Lock()
 	p.relays = relays
-	// A controller that has just begun may name none yet; a relay goes on.
-	begin, end := up.direct && own && !p.relaying, up.direct && other && p.relaying
-	move := up.direct && other && p.relayOf(now) != ""
+	// A relay continues if the list has no relay of its domain, because a controller whose term
+	// has just started may not have chosen one yet.
+	begin, end := up.direct && isRelay && !p.relaying, up.direct && otherRelay && p.relaying
+	move := up.direct && otherRelay && p.selectRelay(now) != ""
 	p.mu.Unlock()
 	switch {
 	case begin:
@@ -106,24 +106,25 @@
 		p.closeLinks()
 	}
 	if move {
-		p.Log.Info().Msg("moving to the relay of the failure domain")
+		p.Log.Info().Msg("closing the link to the controller; linking to the relay of the failure domain")
 		up.conn.Close()
 	}
 }
 
-// beginRelaying takes links and passes on what this VM is told, also after the
-// link to the controller was lost.
+// beginRelaying starts accepting links and relaying the hub's data. Relaying continues after the link
+// to the controller is lost.
 func (p *Peers) beginRelaying(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	renewed := make(chan struct{}, 1)
 	p.mu.Lock()
-	p.relaying, p.stopRelaying, p.renewed = true, cancel, renewed
+	p.relaying, p.stopRelaying, p.leaseRenewed = true, cancel, renewed
 	p.mu.Unlock()
-	p.Log.Info().Msg("relaying begins")
+	p.Log.Info().Msg("started as the relay of the failure domain")
 	go p.broadcast(ctx, renewed)
 }
 
-// endRelaying stops passing on; the links stay for a VM that takes the lease.
+// endRelaying stops relaying. The links stay open, because a VM that acquires the lease continues to
+// use them.
 func (p *Peers) endRelaying() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,14 +132,14 @@
 		return
 	}
 	p.stopRelaying()
-	p.relaying, p.stopRelaying, p.renewed = false, nil, nil
-	p.Log.Info().Msg("relaying ends")
+	p.relaying, p.stopRelaying, p.leaseRenewed = false, nil, nil
+	p.Log.Info().Msg("stopped as the relay of the failure domain")
 }
 
-// chooseRelays names a relay for each failure domain that has VMs linked: the
-// present one while its link lasts, else the strongest. p.mu is held.
+// chooseRelays chooses a relay for each failure domain with linked VMs: the current relay while it is
+// linked, else the VM with the largest CPU share. p.mu must be held.
 func (p *Peers) chooseRelays() []wire.Relay {
-	if p.vms < treeFrom {
+	if p.vms < minTreeVMs {
 		return []wire.Relay{}
 	}
 	best := make(map[string]*downlink)
@@ -151,26 +152,25 @@
 			best[h.FailureDomain] = d
 		}
 	}
-	p.chosen = make(map[string]string, len(best))
+	p.chosenRelays = make(map[string]string, len(best))
 	relays := make([]wire.Relay, 0, len(best))
 	for _, domain := range slices.Sorted(maps.Keys(best)) {
-		p.chosen[domain] = best[domain].vm
+		p.chosenRelays[domain] = best[domain].vm
 		d := best[domain]
-		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.Peer().Address, Ready: p.branches[d.vm].relaying})
+		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.Peer().Address, Ready: p.subtrees[d.vm].relaying})
 	}
 	return relays
 }
 
-// betterRelay reports whether a suits better than b. A far stronger one goes
-// first: a relay writes to all VMs of its domain. Of those that can well do it, one
-// that others are linked to already stays, so that a change of controller moves no
-// links.
+// betterRelay reports whether a is preferred to b as a relay. A VM with a much larger CPU share takes
+// precedence, because a relay writes to all VMs of its domain. Among VMs with similar shares, one that
+// already relays is preferred, so that a change of controller moves no links.
 func (p *Peers) betterRelay(a, b *downlink) bool {
 	ha, hb := a.conn.Peer(), b.conn.Peer()
-	if ha.Millicores >= farStronger*hb.Millicores || hb.Millicores >= farStronger*ha.Millicores {
+	if ha.Millicores >= strongerFactor*hb.Millicores || hb.Millicores >= strongerFactor*ha.Millicores {
 		return ha.Millicores > hb.Millicores
 	}
-	if ca, cb := p.chosen[ha.FailureDomain] == a.vm, p.chosen[hb.FailureDomain] == b.vm; ca != cb {
+	if ca, cb := p.chosenRelays[ha.FailureDomain] == a.vm, p.chosenRelays[hb.FailureDomain] == b.vm; ca != cb {
 		return ca
 	}
 	if ha.Relaying != hb.Relaying {
@@ -182,59 +182,59 @@
 	return a.vm < b.vm
 }
 
-// yields reports whether this relay turns a link away, so that the VM links to the
-// controller itself and is named in place of this one. The controller chooses among the VMs
-// that are linked to it; those that came when a relay was named already are linked to that,
-// and a weak VM that was the first of its domain would relay for good: it takes seconds for
-// a view of all servers, at every change of controller. p.mu is held.
-func (p *Peers) yields(now time.Time, h wire.Hello) bool {
-	if h.FailureDomain != p.Domain || float64(h.Millicores) < farStronger*1000*p.Cores {
+// rejectsStronger reports whether this relay rejects a link because the VM is much stronger. That VM
+// then links to the controller and replaces this relay. The controller chooses only among the VMs
+// linked to it, and VMs that start after a relay was chosen link to the relay. Without the rejection,
+// a weak VM that was the first of its domain would stay the relay, although it needs seconds to send
+// the full state at each change of controller. p.mu must be held.
+func (p *Peers) rejectsStronger(now time.Time, h wire.Hello) bool {
+	if h.FailureDomain != p.Domain || float64(h.Millicores) < strongerFactor*1000*p.Cores {
 		return false
 	}
-	if at, before := p.yielded[h.Node]; before && now.Sub(at) < yieldAgain {
+	if last, rejected := p.rejectedAt[h.Node]; rejected && now.Sub(last) < rejectCooldown {
 		return false
 	}
-	if p.yielded == nil {
-		p.yielded = make(map[string]time.Time)
+	if p.rejectedAt == nil {
+		p.rejectedAt = make(map[string]time.Time)
 	}
-	p.yielded[h.Node] = now
+	p.rejectedAt[h.Node] = now
 	return true
 }
 
-// countVMs notes how many VMs there are. For a while after a term began, those that
-// are not linked again yet count too: each VM takes its part of the retry budget by
-// this number, and one that is too small allows too many retries.
-func (p *Peers) countVMs(now time.Time) {
+// updateVMCount updates the number of VMs. At the start of a term, VMs that have not linked to this
+// controller yet are included. Each VM divides the retry budget by this number, so that a number that
+// is too small would allow too many retries.
+func (p *Peers) updateVMCount(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms = p.vmCount()
-	if now.Sub(p.began) < recountFor {
-		p.vms = max(p.vms, p.inherited)
+	p.vms = p.subtreeVMs()
+	if now.Sub(p.termStart) < recountPeriod {
+		p.vms = max(p.vms, p.inheritedVMs)
 	}
 }
 
-// vmCount returns how many VMs this one and those linked to it are. p.mu is held.
-func (p *Peers) vmCount() int {
+// subtreeVMs returns the number of VMs in this VM's subtree, including itself. p.mu must be held.
+func (p *Peers) subtreeVMs() int {
 	n := 1
 	for d := range p.links {
-		n += max(p.branches[d.vm].vms, 1)
+		n += max(p.subtrees[d.vm].vms, 1)
 	}
 	return n
 }
 
-// inside returns what this VM and those linked to it have at the servers.
-func (p *Peers) inside() map[string]pick.Load {
+// subtreeLoads returns the load of this VM's subtree, including its own, by server.
+func (p *Peers) subtreeLoads() map[string]pick.Load {
 	sum := p.Book.Own()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.branches {
-		addLoads(sum, b.loads)
+	for _, b := range p.subtrees {
+		sumLoads(sum, b.loads)
 	}
 	return sum
 }
 
-// addLoads adds loads to sums. Adapters are joined: each counts as in use.
-func addLoads(sums, loads map[string]pick.Load) {
+// sumLoads adds loads to sums. The adapters of both are in use.
+func sumLoads(sums, loads map[string]pick.Load) {
 	for id, l := range loads {
 		s := sums[id]
 		joined := s.Plus(l)
@@ -245,16 +245,16 @@
 	}
 }
 
-// totals returns what all VMs together have at the servers, as this VM knows it.
-func (p *Peers) totals() map[string]pick.Load {
+// totalLoads returns the load of all VMs by server, according to the last reports.
+func (p *Peers) totalLoads() map[string]pick.Load {
 	if p.Lease.Held(p.Now()) {
 		return p.Controller.Loads()
 	}
-	inside := p.inside()
+	subtree := p.subtreeLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sum := make(map[string]pick.Load, len(p.outside))
-	for _, part := range []map[string]pick.Load{inside, p.outside} {
+	sum := make(map[string]pick.Load, len(p.externalLoads))
+	for _, part := range []map[string]pick.Load{subtree, p.externalLoads} {
 		for id, l := range part {
 			sum[id] = sum[id].Plus(l)
 		}
@@ -262,52 +262,52 @@
 	return sum
 }
 
-// shareInside gives the choice of servers the load of all other VMs.
-func (p *Peers) shareInside() {
-	p.Book.Others(p.Now(), pick.Minus(p.totals(), p.Book.Own()))
+// updateOtherLoads updates the load of all other VMs that p.Book uses to choose servers.
+func (p *Peers) updateOtherLoads() {
+	p.Book.Others(p.Now(), pick.Minus(p.totalLoads(), p.Book.Own()))
 }
 
-// branchReport takes in what a VM that is linked to this relay told. It goes on
-// to the controller with this VM's own report.
-func (p *Peers) branchReport(vm string, r *wire.VMReport) {
+// mergeReport merges the report of a VM linked to this relay. It is forwarded to the controller with
+// this VM's own report.
+func (p *Peers) mergeReport(vm string, r *wire.VMReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteBranch(vm, branch{loads: loadsOf(r.Loads), vms: r.Vms, relaying: r.Relaying})
-	for _, w := range wantsOf(r.Wants) {
-		p.addWant(w)
+	p.setSubtree(vm, subtree{loads: loadsOf(r.Loads), vms: r.Vms, relaying: r.Relaying})
+	for _, w := range demandOf(r.Wants) {
+		p.addDemand(w)
 	}
 	for _, id := range r.Doubts {
-		p.addDoubt(id)
+		p.addUnverified(id)
 	}
 }
 
-// noteBranch replaces what is known of a branch. p.mu is held.
-func (p *Peers) noteBranch(vm string, b branch) {
-	if p.branches == nil {
-		p.branches = make(map[string]branch)
+// setSubtree replaces the last report of a linked VM. p.mu must be held.
+func (p *Peers) setSubtree(vm string, b subtree) {
+	if p.subtrees == nil {
+		p.subtrees = make(map[string]subtree)
 	}
-	p.branches[vm] = b
+	p.subtrees[vm] = b
 }
 
-// addWant adds demand to what the controller will be told. p.mu is held.
-func (p *Peers) addWant(w steer.Want) {
-	if p.wants == nil {
-		p.wants = make(map[wantKey]*steer.Want)
+// addDemand adds to the demand of the next report to the controller. p.mu must be held.
+func (p *Peers) addDemand(w steer.Want) {
+	if p.demand == nil {
+		p.demand = make(map[demandKey]*steer.Want)
 	}
-	key := wantKey{w.Service, w.Model, w.Adapter}
-	if sum := p.wants[key]; sum != nil {
+	key := demandKey{w.Service, w.Model, w.Adapter}
+	if sum := p.demand[key]; sum != nil {
 		sum.Requests += w.Requests
 		sum.Time += w.Time
 		return
 	}
-	p.wants[key] = &w
+	p.demand[key] = &w
 }
 
-// addDoubt adds a server to the doubts that the controller will be told. p.mu is
-// held.
-func (p *Peers) addDoubt(server string) {
-	if p.doubts == nil {
-		p.doubts = make(map[string]bool)
+// addUnverified adds a server to those that the next report asks the controller to verify. p.mu must
+// be held.
+func (p *Peers) addUnverified(server string) {
+	if p.unverified == nil {
+		p.unverified = make(map[string]bool)
 	}
-	p.doubts[server] = true
+	p.unverified[server] = true
 }
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -20,145 +20,145 @@
 type uplink struct {
 	conn    *link.Conn
 	address string
-	// direct says that the hub is the controller. A relay may become it.
+	// direct is set if the hub is the controller. A relay may become the controller.
 	direct bool
 
 	mu sync.Mutex
-	// version is that of the controller's lease as the hub told it last.
-	version int
-	// told is the load that this VM reported last: it is part of the
-	// controller's sums.
-	told    map[string]pick.Load
-	next    int
-	waiting map[int]chan *wire.Message
-	closed  bool
+	// lastLeaseVersion is the version of the controller's lease last received from the hub.
+	lastLeaseVersion int
+	// reported is the load last reported to the hub, which is included in the hub's sums.
+	reported     map[string]pick.Load
+	lastCall     int
+	pendingCalls map[int]chan *wire.Message
+	closed       bool
 }
 
-// follow keeps a link to a hub until it breaks. It reports whether there was one.
-func (p *Peers) follow(ctx context.Context, address, controller, key string) bool {
-	dialer := &link.Dialer{Hello: p.hello, Key: key, Count: p.count, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+// followHub links to a hub and receives its data until the link is lost. It reports whether the link
+// could be opened.
+func (p *Peers) followHub(ctx context.Context, address, controller, key string) bool {
+	dialer := &link.Dialer{Hello: p.hello, Key: key, Count: p.countBytes, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return conns.Dial(ctx, address)
 	}}
-	dial, cancel := context.WithTimeout(ctx, linkDial)
-	conn, err := dialer.Dial(dial, address)
+	dialCtx, cancel := context.WithTimeout(ctx, linkDialTimeout)
+	conn, err := dialer.Dial(dialCtx, address)
 	cancel()
 	if err != nil {
-		p.Log.Info().Str("address", address).Err(err).Msg("controller not reached")
+		p.Log.Info().Str("address", address).Err(err).Msg("opening a link to the hub failed")
 		if address != controller {
-			p.shun(p.Now(), address)
+			p.recordLostRelay(p.Now(), address)
 		}
 		return false
 	}
-	up := &uplink{conn: conn, address: address, direct: address == controller, waiting: make(map[int]chan *wire.Message)}
+	up := &uplink{conn: conn, address: address, direct: address == controller, pendingCalls: make(map[int]chan *wire.Message)}
 	p.setUplink(up)
-	p.Log.Info().Str("address", address).Str("peer", conn.Peer().Node).Bool("direct", up.direct).Msg("linked to the controller")
+	p.Log.Info().Str("address", address).Str("peer", conn.Peer().Node).Bool("direct", up.direct).Msg("linked to the hub")
 	root := ctx
 	ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	go p.report(ctx, up)
-	go p.lookForOther(ctx, up)
-	err = p.listen(ctx, root, up)
+	go p.reportToHub(ctx, up)
+	go p.monitorLease(ctx, up)
+	err = p.receiveFrames(ctx, root, up)
 	p.setUplink(nil)
 	up.close()
-	p.forgetOutside()
+	p.clearExternalLoads()
 	if address != controller {
-		p.shun(p.Now(), address)
+		p.recordLostRelay(p.Now(), address)
 	}
 	p.Log.Info().Str("address", address).Err(err).Msg("link to the controller lost")
 	return true
 }
 
-func (p *Peers) direct(up *uplink) bool {
+func (p *Peers) isDirect(up *uplink) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return up.direct
 }
 
-// forgetOutside drops the load of VMs that no hub tells of any more.
-func (p *Peers) forgetOutside() {
+// clearExternalLoads discards the load of VMs outside the subtree, because no hub updates it any more.
+func (p *Peers) clearExternalLoads() {
 	p.mu.Lock()
-	p.outside = nil
+	p.externalLoads = nil
 	p.mu.Unlock()
-	p.shareInside()
+	p.updateOtherLoads()
 }
 
-// relayGrace is how long a VM stays with a relay that has not told of a renewal of the
-// lease which the VM has read in the store: a relay finds another controller by itself
-// within a search or two, 0.3 to 0.9 s each.
-const relayGrace = time.Second
-
-// readAnyway is how long a VM leaves it to its other questions to find the store again. Where
-// the store answers for the lease only, it would stay with a controller that has been
-// succeeded.
-const readAnyway = 5 * time.Second
-
-// lookForOther looks at the lease while the hub's word is old, and ends the link when
-// there is a better one. A controller that is cut off from the store may still speak to
-// this VM while another one has the lease. So may a relay that is cut off together with its
-// controller: it can not find the other one, and all VMs of its domain would hang on it, ask
-// the store themselves, and neither tell their load nor be told of that of others. They
-// have to find out by themselves, as they reach the store.
-func (p *Peers) lookForOther(ctx context.Context, up *uplink) {
-	var behind, read time.Time
+// relayRenewalGrace is how long a VM stays linked to a relay that has not announced a lease renewal
+// that the VM has read in the store. A relay finds a new controller itself within one or two reads of
+// the lease, at intervals of 0.3 to 0.9 s.
+const relayRenewalGrace = time.Second
+
+// unreachableReadInterval is the interval between reads of the lease while the store does not answer
+// other calls. Without these reads, a VM would stay linked to a superseded controller if the store
+// answers only for the lease.
+const unreachableReadInterval = 5 * time.Second
+
+// monitorLease reads the lease while the hub's data is too old, and closes the link if the hub is
+// superseded. A controller that cannot reach the store may still send frames to this VM while another
+// VM holds the lease. So may a relay that is partitioned from the store together with its controller,
+// and that cannot find the new one. The VMs of its domain would stay linked to it, poll the store
+// themselves, and exchange no load with the rest of the fleet. They can reach the store, so they detect
+// the new holder themselves.
+func (p *Peers) monitorLease(ctx context.Context, up *uplink) {
+	var laggingSince, lastRead time.Time
 	for ctx.Err() == nil {
-		pause.For(ctx, p.searchPause())
+		pause.For(ctx, p.leaseReadPause())
 		now := p.Now()
-		if p.Covered(now) || p.storeAway() && now.Sub(read) < readAnyway {
-			behind = time.Time{}
+		if p.Covered(now) || p.storeUnreachable() && now.Sub(lastRead) < unreachableReadInterval {
+			laggingSince = time.Time{}
 			continue
 		}
-		read = now
+		lastRead = now
 		p.Lease.Step(ctx)
 		now = p.Now()
-		if version, _ := p.Lease.Renewed(); version <= up.renewal() {
-			behind = time.Time{}
-		} else if behind.IsZero() {
-			behind = now
+		if version, _ := p.Lease.Renewed(); version <= up.leaseVersion() {
+			laggingSince = time.Time{}
+		} else if laggingSince.IsZero() {
+			laggingSince = now
 		}
-		if p.Lease.Held(now) || p.supersededHub(now, up, behind) {
-			p.Log.Info().Str("address", up.address).Msg("leaving a hub that is behind")
+		if p.Lease.Held(now) || p.hubSuperseded(now, up, laggingSince) {
+			p.Log.Info().Str("address", up.address).Msg("closing the link to a hub that lags behind the controller lease")
 			up.conn.Close()
 			return
 		}
 	}
 }
 
-// storeAway reports whether this VM knows that the store does not answer it.
-func (p *Peers) storeAway() bool { return p.StoreAway != nil && p.StoreAway() }
+// storeUnreachable reports whether the store does not answer this VM.
+func (p *Peers) storeUnreachable() bool { return p.StoreAway != nil && p.StoreAway() }
 
-// supersededHub reports whether another VM is to be linked to in place of the hub. behind is
-// since when the store tells of a renewal that the hub does not, zero when it does.
-func (p *Peers) supersededHub(now time.Time, up *uplink, behind time.Time) bool {
+// hubSuperseded reports whether this VM must link to another hub. laggingSince is when this VM first
+// read a renewal in the store that the hub has not announced, or zero if there is none.
+func (p *Peers) hubSuperseded(now time.Time, up *uplink, laggingSince time.Time) bool {
 	holder, _ := p.Lease.Holder()
 	if holder == "" {
 		return false
 	}
-	if p.direct(up) {
+	if p.isDirect(up) {
 		return holder != up.address
 	}
-	return !behind.IsZero() && now.Sub(behind) >= relayGrace
+	return !laggingSince.IsZero() && now.Sub(laggingSince) >= relayRenewalGrace
 }
 
 func (p *Peers) setUplink(up *uplink) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.up = up
+	p.uplink = up
 }
 
-// report tells the hub the load and demand of this VM and of those linked to it.
-func (p *Peers) report(ctx context.Context, up *uplink) {
-	quiet, told := true, branch{vms: 1}
+// reportToHub sends the load and demand of this VM's subtree to the hub at intervals.
+func (p *Peers) reportToHub(ctx context.Context, up *uplink) {
+	idle, lastStatus := true, subtree{vms: 1}
 	p.Poison.MarkUnreported()
 	p.Limits.MarkUnreported(p.Now())
 	for ctx.Err() == nil {
-		own := p.inside()
-		self, every := p.reporting()
-		loads, wants, doubts := loadList(own), wantList(p.takeWants()), append([]string{}, p.takeDoubts()...)
+		own := p.subtreeLoads()
+		status, interval := p.reportStatus()
+		loads, demand, unverified := loadList(own), demandList(p.takeDemand()), append([]string{}, p.takeUnverified()...)
 		crashes, limits := p.Poison.TakeReport(), limitList(p.Limits.TakeReport())
-		up.tell(own)
-		if !crashes.Empty() || len(limits) > 0 || len(loads) > 0 || len(wants) > 0 || len(doubts) > 0 || !quiet || self.vms != told.vms || self.relaying != told.relaying {
-			quiet, told = len(loads) == 0 && len(wants) == 0, self
-			report := &wire.VMReport{Vms: self.vms, Relaying: self.relaying, Loads: loads, Wants: wants, Doubts: doubts, Limits: limits}
+		up.setReported(own)
+		if !crashes.Empty() || len(limits) > 0 || len(loads) > 0 || len(demand) > 0 || len(unverified) > 0 || !idle || status.vms != lastStatus.vms || status.relaying != lastStatus.relaying {
+			idle, lastStatus = len(loads) == 0 && len(demand) == 0, status
+			report := &wire.VMReport{Vms: status.vms, Relaying: status.relaying, Loads: loads, Wants: demand, Doubts: unverified, Limits: limits}
 			addCrashes(report, crashes)
 			if err := up.conn.Send(ctx, &wire.Message{VMReport: report}); err != nil {
 				up.conn.Close()
@@ -167,77 +167,78 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// reporting returns what this VM is to its hub, and how often it reports.
-func (p *Peers) reporting() (self branch, every time.Duration) {
+// reportStatus returns the number of VMs in this VM's subtree, whether it relays, and the report
+// interval.
+func (p *Peers) reportStatus() (status subtree, interval time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return branch{vms: p.vmCount(), relaying: p.relaying}, max(p.pause, shareEvery)
+	return subtree{vms: p.subtreeVMs(), relaying: p.relaying}, max(p.reportInterval, minLoadInterval)
 }
 
-// listen takes in the hub's frames. root outlives the link.
-func (p *Peers) listen(ctx, root context.Context, up *uplink) error {
+// receiveFrames receives and applies the hub's frames until the link fails. root outlives the link.
+func (p *Peers) receiveFrames(ctx, root context.Context, up *uplink) error {
 	for {
-		receive, cancel := context.WithTimeout(ctx, linkSilence)
-		m, err := up.conn.Receive(receive)
+		receiveCtx, cancel := context.WithTimeout(ctx, linkIdleTimeout)
+		m, err := up.conn.Receive(receiveCtx)
 		cancel()
 		if err != nil {
 			return err
 		}
 		switch {
 		case m.FleetState != nil:
-			p.adopt(root, up, m.FleetState)
+			p.applyFleetState(root, up, m.FleetState)
 		case m.ConfigState != nil:
-			p.adoptConfig(m.ConfigState)
+			p.applyConfigState(m.ConfigState)
 		case m.FindReply != nil:
-			up.reply(m.FindReply.Call, m)
+			up.deliverReply(m.FindReply.Call, m)
 		case m.PermitReply != nil:
-			up.reply(m.PermitReply.Call, m)
+			up.deliverReply(m.PermitReply.Call, m)
 		}
 	}
 }
 
-// renewal returns the version of the controller's lease as the hub told it last.
-func (u *uplink) renewal() int {
+// leaseVersion returns the version of the controller's lease last received from the hub.
+func (u *uplink) leaseVersion() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.version
+	return u.lastLeaseVersion
 }
 
-func (u *uplink) renewed(version int) {
+func (u *uplink) setLeaseVersion(version int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.version = version
+	u.lastLeaseVersion = version
 }
 
-func (u *uplink) tell(own map[string]pick.Load) {
+func (u *uplink) setReported(own map[string]pick.Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.told = own
+	u.reported = own
 }
 
-func (u *uplink) lastTold() map[string]pick.Load {
+func (u *uplink) lastReported() map[string]pick.Load {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.told
+	return u.reported
 }
 
-// adopt takes in the hub's view.
-func (p *Peers) adopt(root context.Context, up *uplink, s *wire.FleetState) {
+// applyFleetState applies a fleet state received from the hub.
+func (p *Peers) applyFleetState(root context.Context, up *uplink, s *wire.FleetState) {
 	now := p.Now()
 	p.mu.Lock()
 	p.vms = s.Vms
-	p.fresh, p.lent = now.Add(-time.Duration(s.AgeMs)*time.Millisecond), 0
+	p.hubConfirmedAt, p.extraAge = now.Add(-time.Duration(s.AgeMs)*time.Millisecond), 0
 	if up.direct = !s.Relayed; s.Relayed {
-		p.lent = relaySlack
+		p.extraAge = relayExtraAge
 	}
 	p.mu.Unlock()
-	up.renewed(s.LeaseVersion)
-	p.told(s.LeaseVersion, s.Lease)
+	up.setLeaseVersion(s.LeaseVersion)
+	p.applyLease(s.LeaseVersion, s.Lease)
 	states := make([]backs.State, 0, len(s.Servers))
 	for _, state := range s.Servers {
 		states = append(states, stateOf(state))
@@ -251,42 +252,42 @@
 	p.Poison.MergeSuspects(now, suspectsOf(s.Suspects))
 	p.Limits.Merge(now, limitsOf(s.Limits))
 	p.mu.Lock()
-	p.outside = pick.Minus(loadsOf(s.Loads), up.lastTold())
-	p.pause = time.Duration(s.PauseMs) * time.Millisecond
+	p.externalLoads = pick.Minus(loadsOf(s.Loads), up.lastReported())
+	p.reportInterval = time.Duration(s.PauseMs) * time.Millisecond
 	p.mu.Unlock()
-	p.shareInside()
-	p.takePlace(root, now, up, s.Relays)
+	p.updateOtherLoads()
+	p.applyRelays(root, now, up, s.Relays)
 }
 
-// told takes in a renewal of the controller's lease; a relay passes it on at
-// once.
-func (p *Peers) told(version int, record wire.ControllerLease) {
+// applyLease applies the lease record received from the hub. A relay forwards a renewal at once.
+func (p *Peers) applyLease(version int, record wire.ControllerLease) {
 	before, _ := p.Lease.Renewed()
 	p.Lease.Told(version, record)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if version == before || p.renewed == nil {
+	if version == before || p.leaseRenewed == nil {
 		return
 	}
 	select {
-	case p.renewed <- struct{}{}:
+	case p.leaseRenewed <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Peers) adoptConfig(s *wire.ConfigState) {
-	value, err := unpackConfig(s)
+func (p *Peers) applyConfigState(s *wire.ConfigState) {
+	value, err := decompressConfig(s)
 	if err != nil {
-		p.Log.Error().Err(err).Int("revision", s.Revision).Msg("configuration from the controller not readable")
+		p.Log.Error().Err(err).Int("revision", s.Revision).Msg("decompressing the configuration received from the hub failed")
 		return
 	}
 	p.Configure(s.Revision, value)
 }
 
-var errUnknownLimit = errors.New("the controller does not know the server's rate limit")
+var errUnknownLimit = errors.New("the controller has no rate limit for the server")
 
-var errLinkLost = errors.New("the link to the controller was lost")
+var errLinkLost = errors.New("link to the hub lost")
 
+// find returns the ID of a server that holds a model and adapter, as found by the hub.
 func (u *uplink) find(ctx context.Context, service, model, adapter string) (string, error) {
 	m, err := u.call(ctx, func(call int) *wire.Message {
 		return &wire.Message{FindCall: &wire.FindCall{Call: call, Service: service, Model: model, Adapter: adapter}}
@@ -318,8 +319,8 @@
 // call sends the message that newMessage returns for a call number to the hub, and waits for the
 // reply with the same number.
 func (u *uplink) call(ctx context.Context, newMessage func(call int) *wire.Message) (*wire.Message, error) {
-	call, answer := u.register()
-	defer u.forget(call)
+	call, replies := u.registerCall()
+	defer u.removeCall(call)
 	m := newMessage(call)
 	m.Traceparent = spans.Inject(ctx)
 	if err := u.conn.Send(ctx, m); err != nil {
@@ -328,7 +329,7 @@
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case reply, ok := <-answer:
+	case reply, ok := <-replies:
 		if !ok {
 			return nil, errLinkLost
 		}
@@ -336,31 +337,31 @@
 	}
 }
 
-func (u *uplink) register() (int, chan *wire.Message) {
+func (u *uplink) registerCall() (int, chan *wire.Message) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next++
-	answer := make(chan *wire.Message, 1)
+	u.lastCall++
+	replies := make(chan *wire.Message, 1)
 	if u.closed {
-		close(answer)
-		return u.next, answer
+		close(replies)
+		return u.lastCall, replies
 	}
-	u.waiting[u.next] = answer
-	return u.next, answer
+	u.pendingCalls[u.lastCall] = replies
+	return u.lastCall, replies
 }
 
-func (u *uplink) forget(call int) {
+func (u *uplink) removeCall(call int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.waiting, call)
+	delete(u.pendingCalls, call)
 }
 
-func (u *uplink) reply(call int, m *wire.Message) {
+func (u *uplink) deliverReply(call int, m *wire.Message) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if answer, ok := u.waiting[call]; ok {
-		answer <- m
-		delete(u.waiting, call)
+	if replies, ok := u.pendingCalls[call]; ok {
+		replies <- m
+		delete(u.pendingCalls, call)
 	}
 }
 
@@ -369,8 +370,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closed = true
-	for call, answer := range u.waiting {
-		close(answer)
-		delete(u.waiting, call)
+	for call, replies := range u.pendingCalls {
+		close(replies)
+		delete(u.pendingCalls, call)
 	}
 }
--- a/peers/uplink_test.go
+++ b/peers/uplink_test.go
@@ -16,17 +16,17 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// A VM is linked to a controller whose word has grown old, as the store is away for both.
-// It read the lease in the store every second to learn of another controller. While
-// another of its questions to the store is without an answer, this one is asked every five
-// seconds only: the store may answer for it alone.
-func TestTheLeaseIsSeldomReadWhileTheStoreIsAway(t *testing.T) {
+// Guards against a VM reading the lease too often while the store is unreachable. The store is
+// unreachable for the VM and its controller, so the controller's data grows too old and the VM reads
+// the lease, as it did every second, to detect another holder. While other store calls get no answer,
+// it must read only every 5 s. It must not stop, because the store may answer only for the lease.
+func TestLeaseReadsWhileStoreUnreachable(t *testing.T) {
 	for name, tc := range map[string]struct {
-		away        bool
-		least, most int64
+		unreachable        bool
+		minReads, maxReads int64
 	}{
-		"away":     {true, 2, 3},
-		"not away": {false, 20, 40},
+		"store unreachable": {true, 2, 3},
+		"store reachable":   {false, 20, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -39,13 +39,13 @@
 							return store.Object{}, &store.AwayError{Err: errors.New("no answer")}
 						},
 					}},
-					StoreAway: func() bool { return tc.away }, Now: time.Now, Log: zerolog.Nop(),
+					StoreAway: func() bool { return tc.unreachable }, Now: time.Now, Log: zerolog.Nop(),
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
-				p.lookForOther(ctx, &uplink{})
-				require.GreaterOrEqual(t, reads.Load(), tc.least)
-				require.LessOrEqual(t, reads.Load(), tc.most)
+				p.monitorLease(ctx, &uplink{})
+				require.GreaterOrEqual(t, reads.Load(), tc.minReads)
+				require.LessOrEqual(t, reads.Load(), tc.maxReads)
 			})
 		})
 	}
