--- a/node/follow.go
+++ b/node/follow.go
@@ -105,7 +105,7 @@
 			n.log.Warn().Str("kind", w.kind).Int("version", from).Err(err).Msg("store lost")
 		}
 		n.servers.Away()
-		pause.For(ctx, time.Duration(n.peers.Slow()*float64(storeAgain/2+rand.N(storeAgain))))
+		pause.For(ctx, time.Duration(n.peers.PollIntervalFactor()*float64(storeAgain/2+rand.N(storeAgain))))
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // covered reports whether the controller, another VM, tells this one what
 // changes.
-func (n *Node) covered(now time.Time) bool { return !n.peers.Leading() && n.peers.Covered(now) }
+func (n *Node) covered(now time.Time) bool { return !n.peers.Leading() && n.peers.HubDataFresh(now) }
 
 // heard notes that the store told what is current of a kind.
 func (n *Node) heard(now time.Time, kind string) {
--- a/node/lock_test.go
+++ b/node/lock_test.go
@@ -91,7 +91,7 @@
 	for i := range 200 {
 		n.lease.Step(ctx)
 		d := &link.Dialer{
-			Key:   n.lease.Key(n.now()),
+			Key:   n.lease.LinkKey(n.now()),
 			Hello: func() wire.Hello { return wire.Hello{Protocol: link.Protocol, Node: fmt.Sprint("vm", i)} },
 		}
 		c, err := d.Dial(ctx, address)
--- a/node/node.go
+++ b/node/node.go
@@ -137,26 +137,26 @@
 	n.book.Idle = n.pool.Idle
 	n.lease = &peers.Lease{
 		Name: s.Text("vm", "name"), Address: s.Text("vm", "peer_listen"), Objects: n.config.Objects,
-		Weakness: weakness(s.Float("limits", "cpu")), Poison: n.poison,
+		AcquireDelay: weakness(s.Float("limits", "cpu")), Poison: n.poison,
 		Duration: s.Duration("steering", "lease"), Handover: s.Duration("steering", "handover"), Now: c.Now, Log: n.log,
 	}
 	n.control = &steer.Controller{
-		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.servers, Table: n.table.Load, Fence: n.lease.Fence,
-		Term: n.lease.Term, Ended: n.lease.Ended, Contended: n.limits.Contended,
+		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.servers, Table: n.table.Load, Fence: n.lease.FencingToken,
+		Term: n.lease.Term, Ended: n.lease.PreviousTermEnd, Contended: n.limits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	n.peers = &peers.Peers{
 		Name: s.Text("vm", "name"), Domain: s.Text("vm", "failure_domain"), Boot: uuid.NewString(), Lease: n.lease,
 		Address: s.Text("vm", "peer_listen"), Cores: s.Float("limits", "cpu"),
-		Config: n.configValue, ConfigChanged: n.configChanged, Configure: n.configure, Current: n.current, StoreAway: n.storeAway,
+		Config: n.configValue, ConfigChanged: n.configChanged, ApplyConfig: n.configure, ConfirmedAt: n.current, StoreUnreachable: n.storeAway,
 		Controller: n.control, Servers: n.servers, Book: n.book, Poison: n.poison, Limits: n.limits, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
-	n.lease.Count = n.peers.VMs
+	n.lease.CountVMs = n.peers.VMs
 	n.closing, n.endWaits = context.WithCancel(context.Background())
 	n.gateway = &pass.Gateway{
 		Closing: n.closing,
 		Names:   c.Names, Table: n.table.Load, Servers: n.servers, Book: n.book, Pool: n.pool, Poison: n.poison, Limits: n.limits, Budget: n.budget,
-		Wanted: n.peers.Want, Find: n.peers.Find, Doubt: n.peers.Doubt, Permit: n.peers.Permit, VMs: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
+		Wanted: n.peers.RecordDemand, Find: n.peers.Find, Doubt: n.peers.RequestVerification, Permit: n.peers.Permit, VMs: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	return n
 }
@@ -269,7 +269,7 @@
 // serving what it can for the callers it has; new ones are better off with the
 // VMs of another domain, to which the balancer sends them.
 func (n *Node) cutOff(now time.Time) bool {
-	if n.peers.Covered(now) || n.peers.Leading() {
+	if n.peers.HubDataFresh(now) || n.peers.Leading() {
 		return false
 	}
 	own := n.settings().Text("vm", "failure_domain")
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -26,7 +26,7 @@
 	view := &backs.View{}
 	p := &Peers{
 		Lease: &Lease{Objects: store.Objects{}, Now: clock, Log: zerolog.Nop()}, Servers: view, Poison: &poison.Tracker{}, Limits: &limit.Limits{},
-		Config: func() (int, []byte) { return 0, nil }, Current: clock, Now: clock, Log: zerolog.Nop(),
+		Config: func() (int, []byte) { return 0, nil }, ConfirmedAt: clock, Now: clock, Log: zerolog.Nop(),
 	}
 	p.setServers(*now, servers...)
 	return p
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -126,7 +126,7 @@
 }
 
 func (p *Peers) newFleetState(states []backs.State) *wire.FleetState {
-	version, record := p.Lease.Renewed()
+	version, record := p.Lease.LatestRecord()
 	return &wire.FleetState{
 		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.Known(p.Now()).Milliseconds()),
 		Servers: stateList(states), Loads: []wire.ServerLoad{}, Relays: []wire.Relay{},
@@ -149,7 +149,7 @@
 // whose data it relays, that the data is current. p.mu must be held.
 func (p *Peers) dataAgeMs(now time.Time) int {
 	confirmedAt := p.hubConfirmedAt
-	if own := p.Current(); own.After(confirmedAt) {
+	if own := p.ConfirmedAt(); own.After(confirmedAt) {
 		confirmedAt = own
 	}
 	return int(now.Sub(confirmedAt).Milliseconds())
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -57,11 +57,11 @@
 	// Handover is the minimum time between the last command of one holder and the first command
 	// of the next.
 	Handover time.Duration
-	// Weakness is how long this VM waits before it acquires an expired lease, so that VMs with a
-	// larger CPU share acquire it first.
-	Weakness time.Duration
-	// Count returns the number of VMs for the record. If nil, the number is unknown.
-	Count func() int
+	// AcquireDelay is how long this VM waits before it acquires an expired lease, so that stronger VMs,
+	// which have a larger CPU share, acquire it first.
+	AcquireDelay time.Duration
+	// CountVMs returns the number of VMs for the record. If nil, the number is unknown.
+	CountVMs func() int
 	// Poison tracks blocked requests. The record stores them, so that the next holder and VMs
 	// that start also block them. If nil, the record stores none.
 	Poison *poison.Tracker
@@ -82,8 +82,8 @@
 	previousTermEnd, commandsFrom time.Time
 }
 
-// Fence returns the fencing token, and whether this VM may send commands.
-func (l *Lease) Fence(now time.Time) (int, bool) {
+// FencingToken returns the fencing token, and whether this VM may send commands.
+func (l *Lease) FencingToken(now time.Time) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fencingToken, l.keeper.Held(now) && !now.Before(l.commandsFrom)
@@ -97,8 +97,8 @@
 	return l.fencingToken, l.keeper.Held(now)
 }
 
-// Ended returns the latest time at which the previous holder may have sent a command.
-func (l *Lease) Ended() time.Time {
+// PreviousTermEnd returns the latest time at which the previous holder may have sent a command.
+func (l *Lease) PreviousTermEnd() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.previousTermEnd
@@ -111,8 +111,8 @@
 	return l.keeper.Held(now)
 }
 
-// Key returns the key that VMs must present to link to this VM, or "" if it does not hold the lease.
-func (l *Lease) Key(now time.Time) string {
+// LinkKey returns the key that VMs must present to link to this VM, or "" if it does not hold the lease.
+func (l *Lease) LinkKey(now time.Time) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.keeper.Held(now) {
@@ -121,16 +121,16 @@
 	return l.key
 }
 
-// Free reports whether the lease has expired or was released, according to the record last observed.
-func (l *Lease) Free(now time.Time) bool {
+// Expired reports whether the lease has expired or was released, according to the record last observed.
+func (l *Lease) Expired(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.keeper.Known() && l.keeper.Next(now) == lease.Take
 }
 
-// Holder returns the address and key of the holder in the record last observed, or "" if that is this
-// VM or no VM.
-func (l *Lease) Holder() (address, key string) {
+// OtherHolder returns the address and key of the holder in the record last observed, or "" if the holder
+// is this VM or there is none.
+func (l *Lease) OtherHolder() (address, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.record.Holder == "" || l.record.Address == l.Address {
@@ -177,7 +177,7 @@
 	if l.expiredSince.IsZero() {
 		l.expiredSince = now
 	}
-	return now.Sub(l.expiredSince) < l.Weakness
+	return now.Sub(l.expiredSince) < l.AcquireDelay
 }
 
 func (l *Lease) initialize() {
@@ -228,7 +228,7 @@
 func (l *Lease) recordReader() (get func(ctx context.Context, kind, name string) (store.Object, error), stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.Weakness < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Known() {
+	if l.Objects.Recall == nil || l.AcquireDelay < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Known() {
 		return l.Objects.Get, false
 	}
 	l.staleReads++
@@ -249,9 +249,10 @@
 	})
 }
 
-// Told applies the record last announced by the holder. A VM that loses its link then counts the
-// lease duration from the last announced renewal, and not from its own next read of the record.
-func (l *Lease) Told(version int, record wire.ControllerLease) {
+// ObserveAnnounced applies the record last announced by the holder. A VM that loses its link then
+// counts the lease duration from the last announced renewal, and not from its own next read of the
+// record.
+func (l *Lease) ObserveAnnounced(version int, record wire.ControllerLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known, _ := l.keeper.Version()
@@ -261,8 +262,8 @@
 	l.observe(version, record)
 }
 
-// Renewed returns the record last observed or written, and its version.
-func (l *Lease) Renewed() (version int, record wire.ControllerLease) {
+// LatestRecord returns the record last observed or written, and its version.
+func (l *Lease) LatestRecord() (version int, record wire.ControllerLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	version, _ = l.keeper.Version()
@@ -273,8 +274,8 @@
 	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	vms := 0
-	if l.Count != nil {
-		vms = l.Count()
+	if l.CountVMs != nil {
+		vms = l.CountVMs()
 	}
 	l.mu.Lock()
 	startedAt := l.Now()
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -42,7 +42,7 @@
 }
 
 func mayCommand(l *peers.Lease, now time.Time) bool {
-	_, ok := l.Fence(now)
+	_, ok := l.FencingToken(now)
 	return ok
 }
 
@@ -70,8 +70,8 @@
 	require.False(t, beganAt.IsZero())
 	require.GreaterOrEqual(t, beganAt.Sub(endedAt), 3*time.Second)
 	require.LessOrEqual(t, beganAt.Sub(endedAt), 5*time.Second)
-	fenceB, _ := b.Fence(clock.Now())
-	fenceA, _ := a.Fence(clock.Now())
+	fenceB, _ := b.FencingToken(clock.Now())
+	fenceA, _ := a.FencingToken(clock.Now())
 	require.Greater(t, fenceB, fenceA)
 }
 
@@ -84,7 +84,7 @@
 	require.True(t, mayCommand(a, clock.Now()))
 	clock.advance(5 * time.Second)
 	require.False(t, mayCommand(a, clock.Now()))
-	require.Empty(t, a.Key(clock.Now()))
+	require.Empty(t, a.LinkKey(clock.Now()))
 }
 
 // The response to a renewal is lost although the renewal took effect. The holder reads the record and
@@ -123,7 +123,7 @@
 	holder, linked, unlinked := newLease(clock, o, "1"), newLease(clock, o, "2"), newLease(clock, o, "3")
 	holder.Step(t.Context())
 	linked.Step(t.Context())
-	linked.Told(holder.Renewed())
+	linked.ObserveAnnounced(holder.LatestRecord())
 	clock.advance(900 * time.Millisecond)
 	unlinked.Step(t.Context())
 	clock.advance(300 * time.Millisecond)
@@ -138,7 +138,7 @@
 // the lease first, make consistent reads at once.
 func TestStaleLeaseReads(t *testing.T) {
 	tests := map[string]struct {
-		weakness          time.Duration
+		acquireDelay      time.Duration
 		staleReads, reads int
 	}{
 		"weak":   {600 * time.Millisecond, 3, 2},
@@ -148,7 +148,7 @@
 		t.Run(name, func(t *testing.T) {
 			clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
 			holder, l := newLease(clock, o, "1"), newLease(clock, o, "2")
-			l.Weakness = tc.weakness
+			l.AcquireDelay = tc.acquireDelay
 			staleReads, reads := 0, 0
 			get := l.Objects.Get
 			l.Objects.Get = func(ctx context.Context, kind, name string) (store.Object, error) {
@@ -165,7 +165,7 @@
 			}
 			require.Equal(t, tc.staleReads, staleReads)
 			require.Equal(t, tc.reads, reads)
-			address, _ := l.Holder()
+			address, _ := l.OtherHolder()
 			require.Equal(t, holder.Address, address)
 		})
 	}
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -67,20 +67,20 @@
 	Poison *poison.Tracker
 	// Limits holds the request rate limits that servers have announced.
 	Limits *limit.Limits
-	// Config returns the configuration in force, as stored, and its revision. The channel of
-	// ConfigChanged is closed when it changes. Configure applies a configuration received from
-	// the hub.
+	// Config returns the configuration in force, as stored, and its revision. ConfigChanged
+	// returns a channel that is closed when the configuration changes. ApplyConfig applies a
+	// configuration received from the hub.
 	Config        func() (revision int, value []byte)
 	ConfigChanged func() <-chan struct{}
-	Configure     func(revision int, value []byte)
-	// Current returns when the store last confirmed that this VM's data is current.
-	Current func() time.Time
-	// StoreAway reports whether the store did not answer this VM's last request and a retry is
+	ApplyConfig   func(revision int, value []byte)
+	// ConfirmedAt returns when the store last confirmed that this VM's data is current.
+	ConfirmedAt func() time.Time
+	// StoreUnreachable reports whether the store did not answer this VM's last request and a retry is
 	// in progress. If nil, the store counts as reachable.
-	StoreAway func() bool
-	Now       func() time.Time
-	Log       zerolog.Logger
-	Meter     *meter.Set
+	StoreUnreachable func() bool
+	Now              func() time.Time
+	Log              zerolog.Logger
+	Meter            *meter.Set
 
 	mu sync.Mutex
 	// demand and unverified are not yet reported to the controller.
@@ -123,16 +123,16 @@
 
 type demandKey struct{ service, model, adapter string }
 
-// Want records the demand of one request, to be reported to the controller.
-func (p *Peers) Want(service string, w pick.Work, cost time.Duration) {
+// RecordDemand records the demand of one request, to be reported to the controller.
+func (p *Peers) RecordDemand(service string, w pick.Work, cost time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addDemand(steer.Want{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, Time: cost})
 }
 
-// Doubt asks the controller to verify the state of a server that could not be reached or did not
-// hold the expected model or adapter.
-func (p *Peers) Doubt(server string) {
+// RequestVerification asks the controller to verify the state of a server that could not be reached or
+// did not hold the expected model or adapter.
+func (p *Peers) RequestVerification(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addUnverified(server)
@@ -208,16 +208,16 @@
 	maxPollIntervalFactor = 3.0
 )
 
-// Slow returns the factor by which this VM extends its intervals between store calls while it has
-// no controller. In a large fleet VMs with a small CPU share poll less often, because all VMs
-// together would exhaust the store's rate limit.
-func (p *Peers) Slow() float64 {
-	vms, weakness := float64(p.VMs())/fullRateVMs, float64(p.Lease.Weakness)/float64(fullRateAcquireDelay)
-	return min(max(vms*weakness, 1), maxPollIntervalFactor)
+// PollIntervalFactor returns the factor by which this VM extends its intervals between store calls
+// while it has no controller. In a large fleet VMs with a small CPU share poll less often, because all
+// VMs together would exhaust the store's rate limit.
+func (p *Peers) PollIntervalFactor() float64 {
+	fleetFactor, delayFactor := float64(p.VMs())/fullRateVMs, float64(p.Lease.AcquireDelay)/float64(fullRateAcquireDelay)
+	return min(max(fleetFactor*delayFactor, 1), maxPollIntervalFactor)
 }
 
 func (p *Peers) leaseReadPause() time.Duration {
-	return time.Duration(p.Slow() * float64(leaseReadInterval))
+	return time.Duration(p.PollIntervalFactor() * float64(leaseReadInterval))
 }
 
 // Run maintains the lease and the link to the hub until ctx ends.
@@ -234,16 +234,16 @@
 			p.runController(ctx)
 			continue
 		}
-		if p.Lease.Free(p.Now()) {
+		if p.Lease.Expired(p.Now()) {
 			// There is no holder to link to. This VM acquires the lease soon unless a stronger
 			// VM does.
-			pause.For(ctx, time.Duration(p.Slow()*float64(leaseCheckInterval)))
+			pause.For(ctx, time.Duration(p.PollIntervalFactor()*float64(leaseCheckInterval)))
 			continue
 		}
 		if address, controller, key := p.selectHub(p.Now()); address != "" {
-			leaseDue = !p.followHub(ctx, address, controller, key) || p.Lease.Free(p.Now())
+			leaseDue = !p.followHub(ctx, address, controller, key) || p.Lease.Expired(p.Now())
 			// The hub's lease may have expired by now.
-			pause.For(ctx, time.Duration(p.Slow()*float64(leaseCheckInterval)))
+			pause.For(ctx, time.Duration(p.PollIntervalFactor()*float64(leaseCheckInterval)))
 			continue
 		}
 		pause.For(ctx, p.leaseReadPause())
@@ -282,9 +282,9 @@
 // that reads an unannounced renewal in the store must count the full lease duration from its read,
 // and so takes over a second later.
 func (p *Peers) stepLease(ctx context.Context, renewed chan<- struct{}) {
-	before, _ := p.Lease.Renewed()
+	before, _ := p.Lease.LatestRecord()
 	p.Lease.Step(ctx)
-	if after, _ := p.Lease.Renewed(); after == before {
+	if after, _ := p.Lease.LatestRecord(); after == before {
 		return
 	}
 	select {
@@ -298,7 +298,7 @@
 	if p.Lease.Held(p.Now()) {
 		return false
 	}
-	address, _ := p.Lease.Holder()
+	address, _ := p.Lease.OtherHolder()
 	return address != ""
 }
 
@@ -343,9 +343,9 @@
 // Leading reports whether this VM holds the lease. The holder watches the store for all other VMs.
 func (p *Peers) Leading() bool { return p.Lease.Held(p.Now()) }
 
-// Covered reports whether the hub's data is recent enough that this VM need not watch the store
+// HubDataFresh reports whether the hub's data is recent enough that this VM need not watch the store
 // itself.
-func (p *Peers) Covered(now time.Time) bool {
+func (p *Peers) HubDataFresh(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.hubConfirmedAt.IsZero() && now.Sub(p.hubConfirmedAt) < maxHubDataAge+p.extraAge
@@ -353,8 +353,8 @@
 
 // Handler accepts links from other VMs while this VM holds the lease or is a relay, and has the
 // full list of servers. A link starts with that list. If a process that had just started sent an
-// empty one, the other VMs would treat all servers as gone and, when these were listed again, send
-// them no requests for seconds.
+// empty one, the other VMs would treat all servers as removed and, when these were listed again,
+// send them no requests for seconds.
 func (p *Peers) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.Path, func(w http.ResponseWriter, r *http.Request) {
@@ -371,10 +371,10 @@
 
 // linkKey returns the key that VMs must present to link to this VM, or "" if it accepts no links.
 func (p *Peers) linkKey(now time.Time) string {
-	if key := p.Lease.Key(now); key != "" || !p.isRelaying() {
+	if key := p.Lease.LinkKey(now); key != "" || !p.isRelaying() {
 		return key
 	}
-	_, key := p.Lease.Holder()
+	_, key := p.Lease.OtherHolder()
 	return key
 }
 
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -60,7 +60,7 @@
 // selectHub returns the address of the hub to link to, the controller's address and the key to
 // present. They are empty if no controller is known.
 func (p *Peers) selectHub(now time.Time) (address, controller, key string) {
-	controller, key = p.Lease.Holder()
+	controller, key = p.Lease.OtherHolder()
 	if controller == "" {
 		return "", "", ""
 	}
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -83,11 +83,11 @@
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{},
 		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Book: &pick.Book{Domain: domain},
 		Controller: &steer.Controller{
-			Name: name, Servers: view, Table: func() *routes.Table { return nil }, Fence: lease.Fence,
+			Name: name, Servers: view, Table: func() *routes.Table { return nil }, Fence: lease.FencingToken,
 			Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 		},
 		Config: func() (int, []byte) { return 0, nil }, ConfigChanged: func() <-chan struct{} { return nil },
-		Configure: func(int, []byte) {}, Current: v.confirmedAt, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
+		ApplyConfig: func(int, []byte) {}, ConfirmedAt: v.confirmedAt, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 	}
 	v.server = httptest.NewServer(v.Handler())
 	v.Address = strings.TrimPrefix(v.server.URL, "http://")
@@ -257,7 +257,7 @@
 	require.Eventually(t, func() bool {
 		i := slices.IndexFunc(rest, func(v *testVM) bool { return v.Leading() })
 		if i >= 0 {
-			version, _ = rest[i].Lease.Renewed()
+			version, _ = rest[i].Lease.LatestRecord()
 		}
 		return i >= 0
 	}, testTimeout, 10*time.Millisecond)
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -103,14 +103,14 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, p.leaseReadPause())
 		now := p.Now()
-		if p.Covered(now) || p.storeUnreachable() && now.Sub(lastRead) < unreachableReadInterval {
+		if p.HubDataFresh(now) || p.storeUnreachable() && now.Sub(lastRead) < unreachableReadInterval {
 			laggingSince = time.Time{}
 			continue
 		}
 		lastRead = now
 		p.Lease.Step(ctx)
 		now = p.Now()
-		if version, _ := p.Lease.Renewed(); version <= up.leaseVersion() {
+		if version, _ := p.Lease.LatestRecord(); version <= up.leaseVersion() {
 			laggingSince = time.Time{}
 		} else if laggingSince.IsZero() {
 			laggingSince = now
@@ -124,12 +124,12 @@
 }
 
 // storeUnreachable reports whether the store does not answer this VM.
-func (p *Peers) storeUnreachable() bool { return p.StoreAway != nil && p.StoreAway() }
+func (p *Peers) storeUnreachable() bool { return p.StoreUnreachable != nil && p.StoreUnreachable() }
 
 // hubSuperseded reports whether this VM must link to another hub. laggingSince is when this VM first
 // read a renewal in the store that the hub has not announced, or zero if there is none.
 func (p *Peers) hubSuperseded(now time.Time, up *uplink, laggingSince time.Time) bool {
-	holder, _ := p.Lease.Holder()
+	holder, _ := p.Lease.OtherHolder()
 	if holder == "" {
 		return false
 	}
@@ -261,8 +261,8 @@
 
 // applyLease applies the lease record received from the hub. A relay forwards a renewal at once.
 func (p *Peers) applyLease(version int, record wire.ControllerLease) {
-	before, _ := p.Lease.Renewed()
-	p.Lease.Told(version, record)
+	before, _ := p.Lease.LatestRecord()
+	p.Lease.ObserveAnnounced(version, record)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if version == before || p.leaseRenewed == nil {
@@ -280,7 +280,7 @@
 		p.Log.Error().Err(err).Int("revision", s.Revision).Msg("decompressing the configuration received from the hub failed")
 		return
 	}
-	p.Configure(s.Revision, value)
+	p.ApplyConfig(s.Revision, value)
 }
 
 var errUnknownLimit = errors.New("the controller has no rate limit for the server")
--- a/peers/uplink_test.go
+++ b/peers/uplink_test.go
@@ -39,7 +39,7 @@
 							return store.Object{}, &store.AwayError{Err: errors.New("no answer")}
 						},
 					}},
-					StoreAway: func() bool { return tc.unreachable }, Now: time.Now, Log: zerolog.Nop(),
+					StoreUnreachable: func() bool { return tc.unreachable }, Now: time.Now, Log: zerolog.Nop(),
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
