--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -17,26 +17,25 @@
 )
 
 const (
-	// evictAfter is how long an adapter must not have been asked for before it
-	// makes way for another.
-	evictAfter = time.Second
-	// findPause is the longest wait between two looks for a server.
-	findPause = 20 * time.Millisecond
-	// findGather is how long a change of a server waits for others before a search looks
-	// again: while servers crash there are a hundred changes a second, and hundreds of
-	// searches. An adapter takes as long to be loaded.
-	findGather = 10 * time.Millisecond
-	// busyShare is the part of a service's work above which a model counts as
-	// busy: all of its adapters are loaded ahead of requests, as places allow.
-	// With more than busyModels models the part shrinks in proportion.
+	// evictIdleTime is how long an adapter must have had no requests before it can be evicted.
+	evictIdleTime = time.Second
+	// findPollInterval is the longest wait between two checks for a ready server.
+	findPollInterval = 20 * time.Millisecond
+	// findDebounce is how long a search waits after a server change to cover further changes in
+	// one check: while servers crash there are a hundred changes a second and hundreds of
+	// searches. Loading an adapter takes as long.
+	findDebounce = 10 * time.Millisecond
+	// busyShare is the share of a service's work above which a model counts as busy: all of its
+	// adapters are loaded ahead of requests, as far as adapter slots allow. With more than
+	// busyModels models the share shrinks in proportion.
 	busyShare  = 0.1
 	busyModels = 10
 )
 
 var errUnknownModel = errors.New("the service has no such model")
 
-// Find returns a server that holds a model and adapter, after ordering them if
-// there is none. It waits until the server is ready or ctx ends.
+// Find returns a server that serves a model and adapter. It orders a missing adapter to be loaded,
+// and waits until a server is ready or ctx ends.
 func (c *Controller) Find(ctx context.Context, service, model, adapter string) (string, error) {
 	table := c.Table()
 	if table == nil {
@@ -49,56 +48,56 @@
 	if _, known := s.Engine.Models[model]; !known {
 		return "", errUnknownModel
 	}
-	return c.share(ctx, s, model, adapter)
+	return c.sharedFind(ctx, s, model, adapter)
 }
 
-// finding is a search that several callers wait for.
-type finding struct {
+// pendingFind is a search whose result several callers wait for.
+type pendingFind struct {
 	done chan struct{}
 	id   string
 	err  error
 }
 
-// findLimit bounds one search; callers that still wait begin another.
-const findLimit = 5 * time.Second
+// findTimeout bounds one search. Callers that still wait start another.
+const findTimeout = 5 * time.Second
 
-// share joins the searches for the same model and adapter: after a shift of
-// demand hundreds of requests wait for one model, and each would look at all
-// servers whenever one of them changes.
-func (c *Controller) share(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
-	key := adapterName(s.Name, model, adapter)
+// sharedFind runs one search for all callers that ask for the same model and adapter: after a
+// shift of demand hundreds of requests wait for one model, and each would scan all servers
+// whenever one of them changes.
+func (c *Controller) sharedFind(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
+	key := adapterKey(s.Name, model, adapter)
 	c.mu.Lock()
-	if c.finding == nil {
-		c.finding = make(map[string]*finding)
+	if c.pendingFinds == nil {
+		c.pendingFinds = make(map[string]*pendingFind)
 	}
-	f := c.finding[key]
+	f := c.pendingFinds[key]
 	if f == nil {
-		f = &finding{done: make(chan struct{})}
-		c.finding[key] = f
-		go c.search(s, model, adapter, key, f)
+		f = &pendingFind{done: make(chan struct{})}
+		c.pendingFinds[key] = f
+		go c.runFind(s, model, adapter, key, f)
 	}
 	c.mu.Unlock()
 	select {
 	case <-ctx.Done():
-		return "", fmt.Errorf("no server holds it yet: %w", ctx.Err())
+		return "", fmt.Errorf("no ready server: %w", ctx.Err())
 	case <-f.done:
 		return f.id, f.err
 	}
 }
 
-func (c *Controller) search(s routes.Service, model, adapter, key string, f *finding) {
-	ctx, cancel := context.WithTimeout(context.Background(), findLimit)
+func (c *Controller) runFind(s routes.Service, model, adapter, key string, f *pendingFind) {
+	ctx, cancel := context.WithTimeout(context.Background(), findTimeout)
 	defer cancel()
-	f.id, f.err = c.seek(ctx, s, model, adapter)
+	f.id, f.err = c.findOrLoad(ctx, s, model, adapter)
 	c.mu.Lock()
-	delete(c.finding, key)
+	delete(c.pendingFinds, key)
 	c.mu.Unlock()
 	close(f.done)
 }
 
-// seek orders an adapter where that is all that is missing, and waits until a
-// server is ready.
-func (c *Controller) seek(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
+// findOrLoad waits until a server is ready. It orders the adapter to be loaded if a server holds
+// the model but none holds the adapter.
+func (c *Controller) findOrLoad(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
 	for {
 		changed := c.Changed()
 		id, err := c.Look(ctx, c.Now(), s, model, adapter)
@@ -107,18 +106,18 @@
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("no server holds it yet: %w", ctx.Err())
+			return "", fmt.Errorf("no ready server: %w", ctx.Err())
 		case <-changed:
-			pause.For(ctx, findGather)
-		case <-time.After(findPause):
+			pause.For(ctx, findDebounce)
+		case <-time.After(findPollInterval):
 		}
 	}
 }
 
-// Look returns a server that holds a model and adapter. Where there is none it returns ""
-// and orders the adapter, if that is all that is missing.
+// Look returns a server that serves a model and adapter. If there is none, it returns "" and
+// orders the adapter to be loaded at a server that holds the model, if there is one.
 func (c *Controller) Look(ctx context.Context, now time.Time, s routes.Service, model, adapter string) (string, error) {
-	if id := c.holder(now, s.Name, model, adapter); id != "" {
+	if id := c.readyServer(now, s.Name, model, adapter); id != "" {
 		return id, nil
 	}
 	if _, leading := c.Fence(now); !leading {
@@ -130,34 +129,34 @@
 	return "", nil
 }
 
-// holder returns a server that is ready for a model and adapter.
-func (c *Controller) holder(now time.Time, service, model, adapter string) string {
+// readyServer returns a server that is ready for requests to a model and adapter, "" for none.
+func (c *Controller) readyServer(now time.Time, service, model, adapter string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.of(service) {
-		if s.Has(now, model, adapter) && !s.doubted && !s.Down() && c.Servers.Usable(now, s.entry.ID) {
+	for _, s := range c.serversOf(service) {
+		if s.Has(now, model, adapter) && !s.reportRequired && !s.Down() && c.Servers.Usable(now, s.entry.ID) {
 			return s.entry.ID
 		}
 	}
 	return ""
 }
 
-// loadAdapter orders an adapter at the server that suits it best, unless it is
-// on its way somewhere.
+// loadAdapter orders an adapter at the server with the lowest cost, unless a server already holds
+// or loads it.
 func (c *Controller) loadAdapter(ctx context.Context, now time.Time, service routes.Service, model, adapter string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var best *Server
 	var bestCost uint64
-	for _, s := range c.of(service.Name) {
+	for _, s := range c.serversOf(service.Name) {
 		r := s.models[model]
-		if r == nil || r.phase != held || !c.takesRequests(now, s) {
+		if r == nil || r.phase != loaded || !c.reachable(now, s) {
 			continue
 		}
-		if at, coming := r.adapters[adapter]; coming && !at.leaving {
+		if slot, exists := r.adapters[adapter]; exists && !slot.unloading {
 			return
 		}
-		if !s.Free(now) || c.busy[s.entry.ID] {
+		if !s.Free(now) || c.orderInFlight[s.entry.ID] {
 			continue
 		}
 		if cost := c.adapterCost(s, service, model, adapter); best == nil || cost < bestCost {
@@ -167,43 +166,43 @@
 	if best == nil {
 		return
 	}
-	c.orderAdapter(ctx, now, best, service, model, adapter)
+	c.loadAdapterAt(ctx, now, best, service, model, adapter)
 }
 
-// takesRequests reports whether requests can be sent to a server. The adapters of one that has crashed
-// are nowhere, although its entry stands for some seconds more: counted as present they were
-// loaded nowhere else until then.
-func (c *Controller) takesRequests(now time.Time, s *Server) bool {
+// reachable reports whether requests can be sent to a server. The entry of a crashed server stays
+// listed for some seconds. Its adapters must not count as present in that time, or they are not
+// loaded at any other server.
+func (c *Controller) reachable(now time.Time, s *Server) bool {
 	return !s.Down() && c.Servers.Usable(now, s.entry.ID)
 }
 
-// orderAdapter orders an adapter, or first the unloading of another that has
-// not been asked for lately.
-func (c *Controller) orderAdapter(ctx context.Context, now time.Time, s *Server, service routes.Service, model, adapter string) {
-	if s.Places() < service.Engine.AdapterSlots && s.weight(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
-		c.start(context.WithoutCancel(ctx), s, Order{Model: model, Adapter: adapter}, adapterReady)
+// loadAdapterAt orders an adapter at a server. Without a free slot or memory it orders the
+// unloading of an adapter that had no recent requests instead.
+func (c *Controller) loadAdapterAt(ctx context.Context, now time.Time, s *Server, service routes.Service, model, adapter string) {
+	if s.Places() < service.Engine.AdapterSlots && s.usedMB(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
+		c.sendAsync(context.WithoutCancel(ctx), s, Order{Model: model, Adapter: adapter}, adapterLoadTime)
 		return
 	}
-	if m, a := c.idlest(now, s, service.Name, evictAfter); a != "" {
-		c.start(context.WithoutCancel(ctx), s, Order{Unload: true, Model: m, Adapter: a}, 0)
+	if m, a := c.leastRecentlyUsed(now, s, service.Name, evictIdleTime); a != "" {
+		c.sendAsync(context.WithoutCancel(ctx), s, Order{Unload: true, Model: m, Adapter: a}, 0)
 	}
 }
 
-// adapterCost ranks the servers for an adapter: a free place first, then the
-// fewest requests, then a rank that spreads a model's adapters over its copies.
+// adapterCost ranks the servers for an adapter: servers with a free slot first, then those with
+// the fewest requests, then by a hash that spreads a model's adapters over its copies.
 func (c *Controller) adapterCost(s *Server, service routes.Service, model, adapter string) uint64 {
 	cost := xxhash.Sum64String(s.entry.ID+"/"+model+"/"+adapter) >> 32
 	if s.Places() >= service.Engine.AdapterSlots {
 		cost += 1 << 50
 	}
-	return cost + uint64(c.running(s.entry.ID)/8)<<33
+	return cost + uint64(c.runningRequests(s.entry.ID)/8)<<33
 }
 
-// used returns the adapters at a server that requests use now. To unload one
-// would keep the server busy until they end.
-func (c *Controller) used(server string) map[string]bool {
+// adaptersInUse returns the adapters that running requests use at a server. The server would stay
+// busy with unloading one of these until the requests end.
+func (c *Controller) adaptersInUse(server string) map[string]bool {
 	used := make(map[string]bool)
-	for _, loads := range c.loads {
+	for _, loads := range c.vmLoads {
 		for _, name := range loads[server].Adapters {
 			used[name] = true
 		}
@@ -211,25 +210,25 @@
 	return used
 }
 
-// idlest returns the adapter at a server that was asked for longest ago, if not
-// within the last while.
-func (c *Controller) idlest(now time.Time, s *Server, service string, while time.Duration) (model, adapter string) {
+// leastRecentlyUsed returns the adapter at a server whose last request is the oldest, if it is at
+// least minIdle ago.
+func (c *Controller) leastRecentlyUsed(now time.Time, s *Server, service string, minIdle time.Duration) (model, adapter string) {
 	var oldest time.Time
-	used := c.used(s.entry.ID)
+	used := c.adaptersInUse(s.entry.ID)
 	for m, r := range s.models {
-		if r.phase != held {
+		if r.phase != loaded {
 			continue
 		}
-		for a, at := range r.adapters {
-			last := c.adapters.Last(adapterName(service, m, a))
-			if at.ready.After(last) {
-				last = at.ready
+		for a, slot := range r.adapters {
+			last := c.adapterDemand.Last(adapterKey(service, m, a))
+			if slot.readyAt.After(last) {
+				last = slot.readyAt
 			}
-			if at.leaving || used[m+"/"+a] || now.Sub(last) < while {
+			if slot.unloading || used[m+"/"+a] || now.Sub(last) < minIdle {
 				continue
 			}
-			before := cmp.Or(last.Compare(oldest), cmp.Compare(m, model), cmp.Compare(a, adapter)) < 0
-			if adapter == "" || before {
+			older := cmp.Or(last.Compare(oldest), cmp.Compare(m, model), cmp.Compare(a, adapter)) < 0
+			if adapter == "" || older {
 				model, adapter, oldest = m, a, last
 			}
 		}
@@ -237,132 +236,134 @@
 	return model, adapter
 }
 
-// Load pattern: servers come back empty, and each takes up a model from its disk within a
-// second, then the next from the weight store, for six seconds. It takes no other order
-// meanwhile, adapters of the first model included: of 380 requests a second that found no
-// server, nine in ten were for adapters of models that a dozen servers held.
+// Load pattern: servers restart empty. Each loads a model from its disk within a second and then
+// the next one from the weight store, which takes six seconds. It accepts no other order in that
+// time, not even for adapters of the first model: of 380 requests a second that found no server,
+// nine in ten were for adapters of models that a dozen servers held.
 //
-// So before a server is ordered its next model, it gets the adapters that callers are asking
-// for and that are nowhere, as its places allow. One after the other they take some ten
-// milliseconds each. Under that load on 112 servers two runs refused 523 and 800 urgent
-// requests for good, a run without it 1,266. With one order every 100 ms the next models wait
-// up to a second for them.
+// The controller therefore first loads the requested adapters that no server holds, as far as
+// adapter slots allow, and then orders the server's next model. Sent one after the other, these
+// orders take some ten milliseconds each. Under that load on 112 servers two runs refused 523 and
+// 800 urgent requests for good, a run without this rule 1,266. With one order every 100 ms the
+// next models wait up to a second for the adapters.
 
-// wantedFor is how long an adapter counts as asked for.
-const wantedFor = time.Second
+// recentRequestTime is how long after a request an adapter counts as requested.
+const recentRequestTime = time.Second
 
-// placeWanted loads the adapters of busy models that were asked for lately and are nowhere.
-func (c *Controller) placeWanted(ctx context.Context, now time.Time, service routes.Service) {
+// placeRequestedAdapters loads the recently requested adapters of busy models that no server
+// holds.
+func (c *Controller) placeRequestedAdapters(ctx context.Context, now time.Time, service routes.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	present, room := c.adapterStock(now, service)
-	if len(room) == 0 {
+	present, candidates := c.adapterPlacement(now, service)
+	if len(candidates) == 0 {
 		return
 	}
-	orders, places := make(map[*Server][]Order), make(map[*Server]int)
+	orders, ordered := make(map[*Server][]Order), make(map[*Server]int)
 	for _, model := range c.busyModels(now, service) {
 		for i := range model.Adapters {
-			adapter := adapterOf(i)
-			if present[model.Name+"/"+adapter] || now.Sub(c.adapters.Last(adapterName(service.Name, model.Name, adapter))) > wantedFor {
+			adapter := adapterID(i)
+			if present[model.Name+"/"+adapter] || now.Sub(c.adapterDemand.Last(adapterKey(service.Name, model.Name, adapter))) > recentRequestTime {
 				continue
 			}
-			room[model.Name] = slices.DeleteFunc(room[model.Name], func(s *Server) bool {
-				return s.Places()+places[s] >= service.Engine.AdapterSlots
+			candidates[model.Name] = slices.DeleteFunc(candidates[model.Name], func(s *Server) bool {
+				return s.Places()+ordered[s] >= service.Engine.AdapterSlots
 			})
-			if s := c.roomFor(room[model.Name], service, model, adapter); s != nil {
+			if s := c.bestAdapterServer(candidates[model.Name], service, model, adapter); s != nil {
 				orders[s] = append(orders[s], Order{Model: model.Name, Adapter: adapter})
-				places[s]++
+				ordered[s]++
 			}
 		}
 	}
-	for _, s := range c.of(service.Name) {
+	for _, s := range c.serversOf(service.Name) {
 		if len(orders[s]) > 0 {
-			c.startInTurn(ctx, s, service, orders[s])
+			c.sendSerially(ctx, s, service, orders[s])
 		}
 	}
 }
 
-// startInTurn orders adapters at a server one after the other, for as long as it takes
-// them and has room. c.mu is held.
-func (c *Controller) startInTurn(ctx context.Context, s *Server, service routes.Service, orders []Order) {
-	c.busy[s.entry.ID] = true
+// sendSerially sends adapter orders to a server one after the other. It stops at the first order
+// that the server does not accept or has no capacity for. c.mu is held.
+func (c *Controller) sendSerially(ctx context.Context, s *Server, service routes.Service, orders []Order) {
+	c.orderInFlight[s.entry.ID] = true
 	c.spawn(func() {
 		for _, o := range orders {
-			o, ok := c.decide(s, service, o)
-			if !ok || c.order(ctx, s, o, adapterReady) != Accepted {
+			o, ok := c.recheckAdapterOrder(s, service, o)
+			if !ok || c.send(ctx, s, o, adapterLoadTime) != Accepted {
 				break
 			}
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.busy, s.entry.ID)
+		delete(c.orderInFlight, s.entry.ID)
 	})
 }
 
-// decide returns the order for an adapter with the sequence that it expects, and whether the
-// server still has room for it. Reports come in between the orders of a turn, so each is
-// decided on anew: one may show a late order that has taken the room.
-func (c *Controller) decide(s *Server, service routes.Service, o Order) (Order, bool) {
+// recheckAdapterOrder returns an adapter order with the server's current sequence, and whether the
+// server still has capacity for it. Reports arrive between the orders of a series, and one may
+// show a delayed order that has used the capacity, so each order is checked again before it is
+// sent.
+func (c *Controller) recheckAdapterOrder(s *Server, service routes.Service, o Order) (Order, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o.Expect = s.sequence
 	r := s.models[o.Model]
-	room := s.Places() < service.Engine.AdapterSlots &&
-		s.weight(service.Engine)+service.Engine.Models[o.Model].AdapterMB <= service.Engine.MemoryMB
-	return o, r != nil && r.phase == held && room && s.Free(c.Now())
+	fits := s.Places() < service.Engine.AdapterSlots &&
+		s.usedMB(service.Engine)+service.Engine.Models[o.Model].AdapterMB <= service.Engine.MemoryMB
+	return o, r != nil && r.phase == loaded && fits && s.Free(c.Now())
 }
 
-// adapterOf returns the name of a model's i-th adapter, counted from 0.
-func adapterOf(i int) string { return "a" + strconv.Itoa(i+1) }
+// adapterID returns the name of a model's adapter by its index, which starts at 0.
+func adapterID(i int) string { return "a" + strconv.Itoa(i+1) }
 
-// placeAdapters loads adapters of busy models ahead of requests, one order for
-// each server at a time. Without it the first request for each adapter after a
-// shift of demand waits for an order, and all of those wait in line.
+// placeAdapters loads adapters of busy models ahead of requests, one order at a time for each
+// server. Otherwise the first request for each adapter after a shift of demand waits for an order,
+// and these orders queue up.
 func (c *Controller) placeAdapters(ctx context.Context, now time.Time, service routes.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	present, room := c.adapterStock(now, service)
-	if len(room) == 0 {
+	present, candidates := c.adapterPlacement(now, service)
+	if len(candidates) == 0 {
 		return
 	}
 	for _, model := range c.busyModels(now, service) {
 		for i := range model.Adapters {
-			adapter := adapterOf(i)
+			adapter := adapterID(i)
 			if present[model.Name+"/"+adapter] {
 				continue
 			}
-			s := c.roomFor(room[model.Name], service, model, adapter)
+			s := c.bestAdapterServer(candidates[model.Name], service, model, adapter)
 			if s == nil {
 				continue
 			}
-			c.start(ctx, s, Order{Model: model.Name, Adapter: adapter}, adapterReady)
+			c.sendAsync(ctx, s, Order{Model: model.Name, Adapter: adapter}, adapterLoadTime)
 		}
 	}
 }
 
-// adapterStock returns which adapters have a place somewhere, and by model the
-// servers that could take one more.
-func (c *Controller) adapterStock(now time.Time, service routes.Service) (map[string]bool, map[string][]*Server) {
-	present, room := make(map[string]bool), make(map[string][]*Server)
-	for _, s := range c.of(service.Name) {
-		if !c.takesRequests(now, s) {
+// adapterPlacement returns the adapters that take a slot at some server, and for each model the
+// servers that accept one more adapter.
+func (c *Controller) adapterPlacement(now time.Time, service routes.Service) (map[string]bool, map[string][]*Server) {
+	present, candidates := make(map[string]bool), make(map[string][]*Server)
+	for _, s := range c.serversOf(service.Name) {
+		if !c.reachable(now, s) {
 			continue
 		}
-		takes := s.Free(now) && s.Places() < service.Engine.AdapterSlots
+		accepts := s.Free(now) && s.Places() < service.Engine.AdapterSlots
 		for name, r := range s.models {
 			for a := range r.adapters {
 				present[name+"/"+a] = true
 			}
-			if takes && r.phase == held {
-				room[name] = append(room[name], s)
+			if accepts && r.phase == loaded {
+				candidates[name] = append(candidates[name], s)
 			}
 		}
 	}
-	return present, room
+	return present, candidates
 }
 
-// busyModels returns the models with adapters that have a good part of the
-// demand, the busiest first.
+// busyModels returns the models with adapters whose share of the demand makes them busy, the
+// busiest first.
 func (c *Controller) busyModels(now time.Time, service routes.Service) []routes.Model {
 	demand := c.demand(service.Name)
 	total := demand.Total(now)
@@ -378,13 +379,13 @@
 	return list
 }
 
-// roomFor returns the best of the servers that are not busy and have the
-// memory.
-func (c *Controller) roomFor(servers []*Server, service routes.Service, m routes.Model, adapter string) *Server {
+// bestAdapterServer returns the server with the lowest cost among those with enough memory and no
+// order in flight.
+func (c *Controller) bestAdapterServer(servers []*Server, service routes.Service, m routes.Model, adapter string) *Server {
 	var best *Server
 	var bestCost uint64
 	for _, s := range servers {
-		if c.busy[s.entry.ID] || s.weight(service.Engine)+m.AdapterMB > service.Engine.MemoryMB {
+		if c.orderInFlight[s.entry.ID] || s.usedMB(service.Engine)+m.AdapterMB > service.Engine.MemoryMB {
 			continue
 		}
 		if cost := c.adapterCost(s, service, m.Name, adapter); best == nil || cost < bestCost {
@@ -394,7 +395,7 @@
 	return best
 }
 
-// HeldBy returns the models of a server as requests may use them.
+// HeldBy returns the models and adapters of a server that requests may be sent for.
 func (c *Controller) HeldBy(now time.Time, id string) []backs.Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/steer/balance.go
+++ b/steer/balance.go
@@ -9,43 +9,41 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Load pattern: a few models have nearly all of the demand, and each server can hold
-// several of them. A copy beside one that is busy already adds nothing, however much
-// work its model has: what counts is how the work of all models can be divided among
-// the servers that hold them. Requests go where the queue is shortest, so a balance is
-// what the division comes to: each model fills its servers to a level, those of other
-// models included.
+// Load pattern: a few models have nearly all of the demand, and each server can hold several of
+// them. A further copy on a server that is already busy adds no capacity, however much work its
+// model has. What matters is how the work of all models can be divided among the servers that hold
+// them. Requests go to the shortest queue, so the balance assumes the resulting division: each
+// model fills its servers to an equal level, which includes the work of other models.
 
-// balanceRounds is how often each model's work is divided anew, given that of the
-// others; each round takes the levels closer to each other.
+// balanceRounds is how often the work of each model is divided again, given the work of the
+// others. The levels converge from round to round.
 const balanceRounds = 6
 
-// copyOf is a copy of a model at a server, by the server's place in the list, and the
-// part of the model's work that falls to it.
-type copyOf struct {
+// modelCopy is a copy of a model, with the index of its server and its share of the model's work.
+type modelCopy struct {
 	server int
-	part   float64
+	share  float64
 }
 
-// balance is the work of models divided among the servers. Work is in servers: 1 takes
-// the whole time of one.
+// balance is the work of the models divided among the servers. The unit of work is the whole time
+// of one server.
 type balance struct {
-	// util is the work at each server.
+	// util is the work of each server.
 	util []float64
-	// copies has those of each model, work what is asked for of it.
-	copies map[string][]copyOf
+	// copies has the copies of each model, work the demand for it.
+	copies map[string][]modelCopy
 	work   map[string]float64
 }
 
-// newBalance divides work among the copies.
-func newBalance(servers int, copies map[string][]copyOf, work map[string]float64) *balance {
+// newBalance divides the work of the models among their copies.
+func newBalance(servers int, copies map[string][]modelCopy, work map[string]float64) *balance {
 	b := &balance{util: make([]float64, servers), copies: copies, work: work}
 	names := slices.Sorted(maps.Keys(copies))
 	for _, name := range names {
 		list := copies[name]
 		for i := range list {
-			list[i].part = work[name] / float64(len(list))
-			b.util[list[i].server] += list[i].part
+			list[i].share = work[name] / float64(len(list))
+			b.util[list[i].server] += list[i].share
 		}
 	}
 	for range balanceRounds {
@@ -58,13 +56,13 @@
 	return b
 }
 
-// divide fills the servers of a model level, given what the others have there.
+// divide fills the servers of a model to an equal level, given the work of other models there.
 func (b *balance) divide(name string) {
 	list, work := b.copies[name], b.work[name]
 	for i := range list {
-		b.util[list[i].server] -= list[i].part
+		b.util[list[i].server] -= list[i].share
 	}
-	slices.SortFunc(list, func(x, y copyOf) int {
+	slices.SortFunc(list, func(x, y modelCopy) int {
 		return cmp.Or(cmp.Compare(b.util[x.server], b.util[y.server]), cmp.Compare(x.server, y.server))
 	})
 	sum, level := work, 0.0
@@ -76,16 +74,15 @@
 		}
 	}
 	for i := range list {
-		list[i].part = max(level-b.util[list[i].server], 0)
-		b.util[list[i].server] += list[i].part
+		list[i].share = max(level-b.util[list[i].server], 0)
+		b.util[list[i].server] += list[i].share
 	}
 }
 
-// level returns how far the servers that carry a model are filled, and how many they
-// are.
+// level returns the utilization of the servers that get work of a model, and their number.
 func (b *balance) level(name string) (level float64, n int) {
 	for _, c := range b.copies[name] {
-		if c.part > 0 || n == 0 {
+		if c.share > 0 || n == 0 {
 			level = max(level, b.util[c.server])
 			n++
 		}
@@ -93,9 +90,9 @@
 	return level, n
 }
 
-// gain is what a copy more spares at a server that is filled to util without it: the
-// sum over the servers of the squares of their filling, as requests wait for those
-// that are at the same server.
+// gain returns the benefit of one more copy at a server whose utilization is util without it: the
+// decrease of the sum over the servers of their squared utilization, as a request waits for the
+// others at its server.
 func (b *balance) gain(name string, util float64) float64 {
 	level, n := b.level(name)
 	if n == 0 || util >= level {
@@ -106,69 +103,69 @@
 	return 2*moved*(level-util) - moved*moved/share
 }
 
-// loss is what a copy less costs, by the same measure, its server being relieved, and
-// what that server is filled to then.
+// loss returns the cost of removing a copy by the same measure, with its server relieved of the
+// work, and the server's utilization afterwards.
 func (b *balance) loss(name string, server int) (loss, util float64) {
-	others, level, part := 0, 0.0, 0.0
+	otherCopies, level, share := 0, 0.0, 0.0
 	for _, c := range b.copies[name] {
 		if c.server == server {
-			part = c.part
+			share = c.share
 			continue
 		}
-		others++
+		otherCopies++
 		level = max(level, b.util[c.server])
 	}
-	util = b.util[server] - part
-	if part == 0 || others == 0 {
+	util = b.util[server] - share
+	if share == 0 || otherCopies == 0 {
 		return 0, util
 	}
 	relieved := b.util[server]*b.util[server] - util*util
-	return max(2*part*level+part*part/float64(others)-relieved, 0), util
+	return max(2*share*level+share*share/float64(otherCopies)-relieved, 0), util
 }
 
-// add takes in a copy more, remove a copy less.
+// add adds a copy and remove removes one. Both divide the model's work again.
 func (b *balance) add(name string, server int) {
-	b.copies[name] = append(b.copies[name], copyOf{server: server})
+	b.copies[name] = append(b.copies[name], modelCopy{server: server})
 	b.divide(name)
 }
 
 func (b *balance) remove(name string, server int) {
 	list := b.copies[name]
-	i := slices.IndexFunc(list, func(c copyOf) bool { return c.server == server })
+	i := slices.IndexFunc(list, func(c modelCopy) bool { return c.server == server })
 	if i < 0 {
 		return
 	}
-	b.util[server] -= list[i].part
+	b.util[server] -= list[i].share
 	b.copies[name] = slices.Delete(list, i, i+1)
 	if len(b.copies[name]) > 0 {
 		b.divide(name)
 	}
 }
 
-// copiesOf lists the copies that stay: those held, on their way, and about to be
-// ordered.
-func copiesOf(e *routes.Engine, servers []stayer, now time.Time) map[string][]copyOf {
-	copies := make(map[string][]copyOf, len(e.Models))
+// plannedCopies returns the copies that are loaded, loading, or reserved for a load. It leaves out
+// those that are unloading.
+func plannedCopies(e *routes.Engine, servers []candidate, now time.Time) map[string][]modelCopy {
+	copies := make(map[string][]modelCopy, len(e.Models))
 	for i, s := range servers {
 		if m := s.Intent(now); m != "" {
-			copies[m] = append(copies[m], copyOf{server: i})
+			copies[m] = append(copies[m], modelCopy{server: i})
 		}
 		for name, r := range s.models {
-			if r.phase != leaving {
-				copies[name] = append(copies[name], copyOf{server: i})
+			if r.phase != unloading {
+				copies[name] = append(copies[name], modelCopy{server: i})
 			}
 		}
 	}
 	return copies
 }
 
-// heldOf lists the copies that are there.
-func heldOf(e *routes.Engine, servers []stayer) map[string][]copyOf {
-	copies := make(map[string][]copyOf, len(e.Models))
+// loadedCopies returns the copies that are loaded.
+func loadedCopies(e *routes.Engine, servers []candidate) map[string][]modelCopy {
+	copies := make(map[string][]modelCopy, len(e.Models))
 	for i, s := range servers {
 		for name, r := range s.models {
-			if r.phase == held {
-				copies[name] = append(copies[name], copyOf{server: i})
+			if r.phase == loaded {
+				copies[name] = append(copies[name], modelCopy{server: i})
 			}
 		}
 	}
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -12,16 +12,16 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// at servers returns the copies of a model there.
-func copiesAt(servers ...int) []copyOf {
-	var list []copyOf
+// copiesAt returns copies of a model at servers, given by index.
+func copiesAt(servers ...int) []modelCopy {
+	var list []modelCopy
 	for _, s := range servers {
-		list = append(list, copyOf{server: s})
+		list = append(list, modelCopy{server: s})
 	}
 	return list
 }
 
-func squares(b *balance) float64 {
+func squaredUtil(b *balance) float64 {
 	sum := 0.0
 	for _, u := range b.util {
 		sum += u * u
@@ -31,14 +31,14 @@
 
 func TestBalanceDividesWork(t *testing.T) {
 	tests := map[string]struct {
-		copies map[string][]copyOf
+		copies map[string][]modelCopy
 		work   map[string]float64
 		want   []float64
 	}{
-		"evenly":                    {map[string][]copyOf{"m": copiesAt(0, 1)}, map[string]float64{"m": 1}, []float64{0.5, 0.5, 0}},
-		"around another model":      {map[string][]copyOf{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 1, "n": 0.4}, []float64{0.7, 0.7, 0}},
-		"none where it is full":     {map[string][]copyOf{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 0.5, "n": 2}, []float64{2, 0.5, 0}},
-		"two models share a server": {map[string][]copyOf{"m": copiesAt(0, 1), "n": copiesAt(1, 2)}, map[string]float64{"m": 1.2, "n": 0.6}, []float64{0.6, 0.6, 0.6}},
+		"even split":                {map[string][]modelCopy{"m": copiesAt(0, 1)}, map[string]float64{"m": 1}, []float64{0.5, 0.5, 0}},
+		"other model on one server": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 1, "n": 0.4}, []float64{0.7, 0.7, 0}},
+		"full server gets no share": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 0.5, "n": 2}, []float64{2, 0.5, 0}},
+		"two models share a server": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(1, 2)}, map[string]float64{"m": 1.2, "n": 0.6}, []float64{0.6, 0.6, 0.6}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,36 +48,36 @@
 	}
 }
 
-// What a copy is worth decides on moves that cost seconds, so it must be what it
-// brings: the fall of the sum of squares when the work is divided anew.
-func TestWorthOfACopyIsWhatItBrings(t *testing.T) {
+// The planner compares gain and loss to decide on moves that take seconds. Both must equal the
+// change of the sum of squared utilizations after the work is divided again.
+func TestGainAndLossMatchBalance(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		work := map[string]float64{"m": rng.Float64() * 3, "n": rng.Float64()}
-		make3 := func() *balance {
-			return newBalance(4, map[string][]copyOf{"m": copiesAt(0, 1), "n": copiesAt(2)}, work)
+		newTestBalance := func() *balance {
+			return newBalance(4, map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(2)}, work)
 		}
-		b := make3()
+		b := newTestBalance()
 		gain := b.gain("m", b.util[2])
-		before := squares(b)
+		before := squaredUtil(b)
 		b.add("m", 2)
-		require.InDelta(t, before-squares(b), gain, 1e-6)
-		b = make3()
+		require.InDelta(t, before-squaredUtil(b), gain, 1e-6)
+		b = newTestBalance()
 		loss, util := b.loss("m", 1)
-		before = squares(b)
+		before = squaredUtil(b)
 		b.remove("m", 1)
-		require.InDelta(t, squares(b)-before, loss, 1e-6)
+		require.InDelta(t, squaredUtil(b)-before, loss, 1e-6)
 		require.InDelta(t, b.util[1], util, 1e-9)
 	}
 }
 
-// shift replays a shift of demand as its servers see it: twelve servers with room for
-// three of 21 models, four and eight copies of two models that have all of the demand,
-// six servers' worth. Within six seconds the first falls silent, the second takes its
-// place and a third the second's. Copies come from the weight store in 5.8 s; one that
-// is in use takes two seconds to make way. It returns the work asked of servers beyond
-// what they can do, in server seconds, and the loads.
-func shift(t *testing.T, trend bool) (overload float64, loads int) {
+// simulateShift simulates a shift of demand at twelve servers with memory for three of 21 models.
+// Two models, with eight and four copies, have all of the demand, the work of six servers. Within
+// six seconds the demand for the first ends, the second gets the first one's share and a third
+// model the second one's. Loads from the weight store take 5.8 s; unloading a copy in use takes
+// two seconds. It returns the work beyond the capacity of the servers, in server seconds, and the
+// number of loads.
+func simulateShift(t *testing.T, trend bool) (overload float64, loads int) {
 	t.Helper()
 	const (
 		tick    = 100 * time.Millisecond
@@ -117,11 +117,11 @@
 		unload bool
 		done   time.Time
 	}
-	var under []order
+	var inProgress []order
 	for now := start; now.Before(start.Add(25 * time.Second)); now = now.Add(tick) {
-		moved := min(max(now.Sub(start).Seconds()-6, 0)/ramp, 1)
-		asked := map[string]float64{"m00": 0.65 * (1 - moved), "m01": 0.35 + 0.3*moved, "m02": 0.35 * moved}
-		for m, share := range asked {
+		progress := min(max(now.Sub(start).Seconds()-6, 0)/ramp, 1)
+		requested := map[string]float64{"m00": 0.65 * (1 - progress), "m01": 0.35 + 0.3*progress, "m02": 0.35 * progress}
+		for m, share := range requested {
 			mean := share * total * tick.Seconds() / request
 			n := int(mean)
 			if rng.Float64() < mean-float64(n) {
@@ -129,33 +129,33 @@
 			}
 			demand.Add(now, m, request*float64(n), n)
 		}
-		kept := under[:0]
-		for _, o := range under {
+		remaining := inProgress[:0]
+		for _, o := range inProgress {
 			if now.Before(o.done) {
-				kept = append(kept, o)
+				remaining = append(remaining, o)
 				continue
 			}
 			if o.unload {
-				o.server.drop(now, o.model)
+				o.server.removeModel(now, o.model)
 			} else {
-				o.server.add(now, backs.Held{Model: o.model})
+				o.server.addModel(now, backs.Held{Model: o.model})
 			}
 		}
-		under = kept
+		inProgress = remaining
 		p := &Planner{
 			Engine: engine, Servers: servers, Now: now, Store: func() *Begun {
-				if len(under) < 9 {
+				if len(inProgress) < 9 {
 					return &Begun{}
 				}
 				return nil
 			},
-			Work:   func(m string) float64 { return demand.Work(now, m) / memory(demandHalfLife) },
-			Spread: func(m string) float64 { return demand.Spread(now, m) / memory(demandHalfLife) },
+			Work:   func(m string) float64 { return demand.Work(now, m) / meanAge(demandHalfLife) },
+			Spread: func(m string) float64 { return demand.Spread(now, m) / meanAge(demandHalfLife) },
 		}
 		if trend {
-			p.Ahead = func(m string, while time.Duration) (float64, float64) {
-				then, mean := demand.Ahead(now, m, while)
-				return then / memory(demandHalfLife), mean / memory(demandHalfLife)
+			p.Ahead = func(m string, horizon time.Duration) (float64, float64) {
+				future, mean := demand.Ahead(now, m, horizon)
+				return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 			}
 		}
 		for _, step := range p.Steps() {
@@ -167,45 +167,44 @@
 				loads++
 			}
 			step.Server.Answered(now, now, engine, Order{Unload: step.Unload, Model: o.model}, Accepted, o.done.Sub(now))
-			under = append(under, o)
+			inProgress = append(inProgress, o)
 		}
-		copies := make(map[string][]copyOf)
+		copies := make(map[string][]modelCopy)
 		for i, s := range servers {
 			for m, r := range s.models {
-				if r.phase == held {
-					copies[m] = append(copies[m], copyOf{server: i})
+				if r.phase == loaded {
+					copies[m] = append(copies[m], modelCopy{server: i})
 				}
 			}
 		}
 		for m := range engine.Models {
-			require.NotEmpty(t, copies[m], "%s is not reachable", m)
+			require.NotEmpty(t, copies[m], "%s has no loaded copy", m)
 		}
-		for m := range asked {
-			asked[m] *= total
+		for m := range requested {
+			requested[m] *= total
 		}
-		for _, u := range newBalance(len(servers), copies, asked).util {
+		for _, u := range newBalance(len(servers), copies, requested).util {
 			overload += max(u-1, 0) * tick.Seconds()
 		}
 	}
 	return overload, loads
 }
 
-// Demand moves to other models within six seconds. The copies follow it by its trend:
-// moved by what was asked for lately they come when it is over, and the one copy of the
-// model that rises has several times what it can do for as long.
-func TestCopiesFollowTheTrendOfAShift(t *testing.T) {
-	before, _ := shift(t, false)
-	after, loads := shift(t, true)
+// Demand shifts to other models within six seconds. Placed by recent demand, the copies are ready
+// only when the shift is over, and until then the only copy of the model with rising demand is
+// overloaded several times. Placed by trend, they are ready earlier.
+func TestCopiesFollowDemandTrend(t *testing.T) {
+	before, _ := simulateShift(t, false)
+	after, loads := simulateShift(t, true)
 	require.Less(t, after, 0.9*before)
-	require.Less(t, after, 4.0, "server seconds beyond what the servers can do")
+	require.Less(t, after, 4.0, "work beyond the capacity of the servers, in server seconds")
 	require.Less(t, loads, 25)
 }
 
-// Three servers crash, and the only copies of some rare models with them; they are back,
-// with their weights on disk, within seconds. A busy model's copies are not given up for
-// those at once, as all callers would feel it. A model that stays away for longer gets
-// its place.
-func TestRareModelsOfCrashedServersWait(t *testing.T) {
+// Three servers crash and with them the only copies of some rare models. They are back within
+// seconds, with their weights on disk. A busy model's copy must not be replaced at once for a rare
+// model, which would affect all callers, but only when the rare model stays missing for longer.
+func TestRareModelsWaitAfterCrash(t *testing.T) {
 	engine := &routes.Engine{MemoryMB: 20, Models: make(map[string]routes.Model)}
 	for _, m := range []string{"busy", "rare", "other"} {
 		engine.Models[m] = routes.Model{Name: m, MB: 10, Load: time.Second}
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -17,83 +17,84 @@
 )
 
 const (
-	// tick is how often the placement is looked at: demand shifts over seconds.
-	tick = 100 * time.Millisecond
-	// stepShare keeps the looks to a twentieth of the VM's time, however many
-	// servers and models there are.
-	stepShare = 20
+	// stepInterval is the time between two placement steps: demand shifts over seconds.
+	stepInterval = 100 * time.Millisecond
+	// stepDutyDivisor limits placement steps to a twentieth of the VM's time, however many servers
+	// and models there are.
+	stepDutyDivisor = 20
 	// callTimeout bounds a call to a server, which answers in milliseconds.
 	callTimeout = 300 * time.Millisecond
-	// reportEvery is how often a settled server is asked for a report. Entries
-	// in the platform tell of models sooner; reports are a check on adapters.
-	reportEvery = 3 * time.Second
-	// reportAgain is the pause between reports while a server's state is not
-	// clear.
-	reportAgain = 200 * time.Millisecond
-	// listFills is how long after the first server of a service was listed the others
-	// are waited for: servers that start together write their entries within two
-	// heartbeats, some 2.5 s. Models of those not listed yet look as if they had no
-	// copy; loaded at once they took the places of half the copies of the busiest
-	// model, moments before its requests began.
-	listFills = 4 * time.Second
-	// defaultWindow is the window of the weight store's bound on loads.
+	// reportInterval is the time between two reports of a server in a known state. Entries in the
+	// platform announce models sooner; reports mainly verify adapters.
+	reportInterval = 3 * time.Second
+	// reportRetryInterval is the time between two reports while a server's state is uncertain or
+	// an order is due to end.
+	reportRetryInterval = 200 * time.Millisecond
+	// startupListingTime is how long the controller waits for the other servers of a service after
+	// the first one was listed: servers that start together write their entries within two
+	// heartbeats, some 2.5 s. Until then the models of unlisted servers seem to have no copy.
+	// Loading them at once replaced half the copies of the busiest model, moments before its
+	// requests began.
+	startupListingTime = 4 * time.Second
+	// defaultWindow is the default window of the weight store's load limit.
 	defaultWindow = 5 * time.Second
 )
 
-// Controller drives the servers while it holds the lease. All fields but
-// Term, Ended and Window must be set.
+// Controller places models and adapters on the servers while it holds the lease. All fields but
+// Term, Ended, Contended, Window and Spawn must be set.
 type Controller struct {
-	// Name is the VM's.
+	// Name is the name of this VM.
 	Name     string
 	Commands Commands
 	Servers  *backs.View
 	Table    func() *routes.Table
-	// Fence returns the lease's fencing number while orders may be given.
+	// Fence returns the lease's fencing number while orders may be sent.
 	Fence func(now time.Time) (int, bool)
-	// Term returns the lease's fencing number while it is held, orders or not;
-	// nil for Fence. A term that has begun learns what the servers hold before
-	// orders may be given.
+	// Term returns the lease's fencing number while the lease is held, even if orders may not be
+	// sent yet; nil uses Fence. In that time the controller requests reports to find out what the
+	// servers hold.
 	Term func(now time.Time) (int, bool)
-	// Ended returns when the VM that steered before gave its last order at the
-	// latest; nil for when this one began.
+	// Ended returns the latest time at which the previous controller may have sent an order; nil
+	// for the start of this VM's term.
 	Ended func() time.Time
 	// Contended reports whether the requests for a server far exceed its rate limit; nil for
 	// never.
 	Contended func(server string) bool
-	// Window is that of the weight store's bound; 0 takes five seconds.
+	// Window is the window of the weight store's load limit; 0 uses five seconds.
 	Window time.Duration
-	// Spawn runs a call to a server beside the look that decided on it; nil for a
-	// goroutine of its own. Replays take the calls in turn.
+	// Spawn runs a call to a server concurrently with the step that decided on it; nil starts a
+	// goroutine for each call. Replays run the calls one after the other.
 	Spawn func(call func())
 	Now   func() time.Time
 	Log   zerolog.Logger
 	Meter *meter.Set
 
 	mu sync.Mutex
-	// fence is that of the present term, ended when the VM before gave its last
-	// order at the latest.
-	fence   int
-	ended   time.Time
-	servers map[string]*Server
-	sorted  map[string][]*Server
-	busy    map[string]bool
-	asked   map[string]time.Time
-	// first is when the first server of a service was listed.
-	first map[string]time.Time
-	// held is when a model of a service was last seen at a server that stays.
-	held     map[string]time.Time
-	work     map[string]*Demand
-	adapters Demand
-	ceilings map[string]*Ceiling
-	loads    map[string]map[string]pick.Load
-	sums     map[string]pick.Load
-	changed  chan struct{}
-	finding  map[string]*finding
-	// notified is the newest change that was told.
-	notified time.Time
+	// fence is the fencing number of the current term. predecessorEnd is the latest time at which
+	// the previous controller may have sent an order.
+	fence             int
+	predecessorEnd    time.Time
+	servers           map[string]*Server
+	sortedServers     map[string][]*Server
+	orderInFlight     map[string]bool
+	lastReportRequest map[string]time.Time
+	// firstListed is when the first server of each service was listed.
+	firstListed map[string]time.Time
+	// lastCopySeen is when each model last had a copy at a server that is up, not draining and not
+	// contended.
+	lastCopySeen  map[string]time.Time
+	modelDemand   map[string]*Demand
+	adapterDemand Demand
+	loadLimiters  map[string]*Ceiling
+	vmLoads       map[string]map[string]pick.Load
+	totalLoads    map[string]pick.Load
+	changed       chan struct{}
+	pendingFinds  map[string]*pendingFind
+	// lastNotified is the time of the latest change that waiters were notified of.
+	lastNotified time.Time
 }
 
-// Changed returns a channel that is closed when what servers hold changes.
+// Changed returns a channel that is closed when the models or adapters of a server change.
 func (c *Controller) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,58 +104,58 @@
 	return c.changed
 }
 
-// notify wakes those who wait for a change, if there was one.
-func (c *Controller) notify() {
-	last := c.notified
+// notifyChanged closes the channel of Changed if a server has changed since the last call.
+func (c *Controller) notifyChanged() {
+	last := c.lastNotified
 	for _, s := range c.servers {
-		if s.changed.After(last) {
-			last = s.changed
+		if s.changedAt.After(last) {
+			last = s.changedAt
 		}
 	}
-	if !last.After(c.notified) {
+	if !last.After(c.lastNotified) {
 		return
 	}
-	c.notified = last
+	c.lastNotified = last
 	if c.changed != nil {
 		close(c.changed)
 		c.changed = nil
 	}
 }
 
-// Run steers until ctx ends.
+// Run executes placement steps until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		begun := c.Now()
-		c.Step(ctx, begun)
-		took := c.Now().Sub(begun)
-		c.Meter.Time("steer.step", took)
-		pause.For(ctx, max(tick, stepShare*took))
+		startedAt := c.Now()
+		c.Step(ctx, startedAt)
+		elapsed := c.Now().Sub(startedAt)
+		c.Meter.Time("steer.step", elapsed)
+		pause.For(ctx, max(stepInterval, stepDutyDivisor*elapsed))
 	}
 }
 
-// Step looks at every service that runs models once.
+// Step runs one placement step for every service that runs models.
 func (c *Controller) Step(ctx context.Context, now time.Time) {
 	table := c.Table()
 	if table == nil {
 		return
 	}
 	_, leading := c.Fence(now)
-	fence, held := c.term(now)
+	fence, held := c.currentTerm(now)
 	if held && fence != c.fence {
-		c.succeed(now, fence, table)
+		c.beginTerm(now, fence, table)
 	}
 	for _, service := range table.Services() {
 		if service.Engine == nil {
 			continue
 		}
-		c.sync(now, service.Name)
-		if held && now.Sub(c.ended) >= reportLag {
-			c.askReports(ctx, now, service.Name)
+		c.syncServers(now, service.Name)
+		if held && now.Sub(c.predecessorEnd) >= maxReportAge {
+			c.requestReports(ctx, now, service.Name)
 		}
 		if !leading {
 			continue
 		}
-		c.placeWanted(ctx, now, service)
+		c.placeRequestedAdapters(ctx, now, service)
 		c.placeModels(ctx, now, service)
 		c.placeAdapters(ctx, now, service)
 	}
@@ -168,51 +169,51 @@
 	go call()
 }
 
-func (c *Controller) term(now time.Time) (int, bool) {
+func (c *Controller) currentTerm(now time.Time) (int, bool) {
 	if c.Term == nil {
 		return c.Fence(now)
 	}
 	return c.Term(now)
 }
 
-// succeed begins a term. What the VM before ordered last is not known: each
-// server tells in its first report.
-func (c *Controller) succeed(now time.Time, fence int, table *routes.Table) {
+// beginTerm starts a term. The last orders of the previous controller are unknown until each
+// server has sent its first report.
+func (c *Controller) beginTerm(now time.Time, fence int, table *routes.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence, c.ended = fence, now
+	c.fence, c.predecessorEnd = fence, now
 	if c.Ended != nil {
-		c.ended = c.Ended()
+		c.predecessorEnd = c.Ended()
 	}
 	for _, s := range table.Services() {
 		if s.Engine != nil {
-			c.ceiling(s).Succeed(c.ended)
+			c.loadLimiter(s).Succeed(c.predecessorEnd)
 		}
 	}
 	for _, s := range c.servers {
-		s.Forget(c.ended)
+		s.Forget(c.predecessorEnd)
 	}
-	c.Log.Info().Dur("since_last_order", now.Sub(c.ended)).Int("fence", fence).Msg("term begins")
+	c.Log.Info().Dur("since_last_order", now.Sub(c.predecessorEnd)).Int("fence", fence).Msg("lease term started")
 }
 
-// sync takes in the entries of a service's servers and drops those that are
-// gone.
-func (c *Controller) sync(now time.Time, service string) {
+// syncServers applies the entries of a service's servers and removes the servers that are no
+// longer listed.
+func (c *Controller) syncServers(now time.Time, service string) {
 	entries := c.Servers.Listed(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.servers == nil {
-		c.sorted = make(map[string][]*Server)
-		c.servers, c.busy, c.asked = make(map[string]*Server), make(map[string]bool), make(map[string]time.Time)
-		c.first, c.held = make(map[string]time.Time), make(map[string]time.Time)
+		c.sortedServers = make(map[string][]*Server)
+		c.servers, c.orderInFlight, c.lastReportRequest = make(map[string]*Server), make(map[string]bool), make(map[string]time.Time)
+		c.firstListed, c.lastCopySeen = make(map[string]time.Time), make(map[string]time.Time)
 	}
-	listed, before := make(map[string]bool), len(c.sorted[service])
+	listedIDs, previous := make(map[string]bool), len(c.sortedServers[service])
 	added := 0
 	for _, e := range entries {
 		if e.Service != service {
 			continue
 		}
-		listed[e.ID] = true
+		listedIDs[e.ID] = true
 		s := c.servers[e.ID]
 		if s == nil {
 			s = NewServer(e.At, e.Entry)
@@ -225,38 +226,37 @@
 		}
 	}
 	for id, s := range c.servers {
-		if s.entry.Service == service && !listed[id] {
-			c.restarted(now, s)
+		if s.entry.Service == service && !listedIDs[id] {
+			c.blockRestarted(now, s)
 			delete(c.servers, id)
-			delete(c.asked, id)
+			delete(c.lastReportRequest, id)
 		}
 	}
-	if added > 0 || len(listed) != before {
-		c.sort(service)
+	if added > 0 || len(listedIDs) != previous {
+		c.sortServers(service)
 	}
-	if c.first[service].IsZero() && len(listed) > 0 {
-		c.first[service] = now
+	if c.firstListed[service].IsZero() && len(listedIDs) > 0 {
+		c.firstListed[service] = now
 	}
-	c.notify()
+	c.notifyChanged()
 }
 
-// restarted makes the next start of a server that is gone wait while an order to this
-// one may still be carried out. c.mu is held.
-func (c *Controller) restarted(now time.Time, gone *Server) {
+// blockRestarted blocks orders to the next instance of a removed server while an unanswered order
+// to the removed one may still be executed. c.mu is held.
+func (c *Controller) blockRestarted(now time.Time, previous *Server) {
 	for _, s := range c.servers {
-		if s != gone && s.entry.Called() == gone.entry.Called() {
-			s.Succeeds(now, gone)
+		if s != previous && s.entry.Called() == previous.entry.Called() {
+			s.Succeeds(now, previous)
 		}
 	}
 }
 
-// of returns the servers of a service in the order of their IDs. Callers must
-// not change the list.
-func (c *Controller) of(service string) []*Server { return c.sorted[service] }
+// serversOf returns the servers of a service sorted by ID. Callers must not change the list.
+func (c *Controller) serversOf(service string) []*Server { return c.sortedServers[service] }
 
-// sort puts the servers of a service in the order of their IDs, so that the same
-// state gives the same choices.
-func (c *Controller) sort(service string) {
+// sortServers sorts the servers of a service by ID, so that the same state leads to the same
+// decisions.
+func (c *Controller) sortServers(service string) {
 	var list []*Server
 	for _, s := range c.servers {
 		if s.entry.Service == service {
@@ -264,45 +264,45 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *Server) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
-	c.sorted[service] = list
+	c.sortedServers[service] = list
 }
 
-func (c *Controller) ceiling(service routes.Service) *Ceiling {
-	if c.ceilings == nil {
-		c.ceilings = make(map[string]*Ceiling)
+func (c *Controller) loadLimiter(service routes.Service) *Ceiling {
+	if c.loadLimiters == nil {
+		c.loadLimiters = make(map[string]*Ceiling)
 	}
-	ceiling := c.ceilings[service.Name]
-	if ceiling == nil {
+	loadLimiter := c.loadLimiters[service.Name]
+	if loadLimiter == nil {
 		window := c.Window
 		if window == 0 {
 			window = defaultWindow
 		}
-		ceiling = &Ceiling{Window: window}
-		c.ceilings[service.Name] = ceiling
+		loadLimiter = &Ceiling{Window: window}
+		c.loadLimiters[service.Name] = loadLimiter
 	}
-	ceiling.PerSecond = service.Engine.LoadsPerSecond
-	return ceiling
+	loadLimiter.PerSecond = service.Engine.LoadsPerSecond
+	return loadLimiter
 }
 
-// noteHeld notes which models have a copy now. c.mu is held.
-func (c *Controller) noteHeld(now time.Time, service string) {
-	for _, s := range c.of(service) {
+// recordCopies records which models have a copy now. c.mu is held.
+func (c *Controller) recordCopies(now time.Time, service string) {
+	for _, s := range c.serversOf(service) {
 		if s.entry.Draining || s.Down() || c.Contended != nil && c.Contended(s.entry.ID) {
 			continue
 		}
 		for name, r := range s.models {
-			if r.phase != leaving {
-				c.held[service+"/"+name] = now
+			if r.phase != unloading {
+				c.lastCopySeen[service+"/"+name] = now
 			}
 		}
 	}
 }
 
-// missing returns for how long a model has been without a copy. c.mu is held.
-func (c *Controller) missing(now time.Time, service, model string) time.Duration {
-	last, ok := c.held[service+"/"+model]
+// timeWithoutCopy returns how long a model has been without a copy. c.mu is held.
+func (c *Controller) timeWithoutCopy(now time.Time, service, model string) time.Duration {
+	last, ok := c.lastCopySeen[service+"/"+model]
 	if !ok {
-		last = c.first[service]
+		last = c.firstListed[service]
 	}
 	return now.Sub(last)
 }
@@ -310,50 +310,50 @@
 func (c *Controller) placeModels(ctx context.Context, now time.Time, service routes.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	demand, ceiling := c.demand(service.Name), c.ceiling(service)
-	ceiling.Late, ceiling.Inherited = 0, 0
-	c.noteHeld(now, service.Name)
-	for _, s := range c.of(service.Name) {
+	demand, limiter := c.demand(service.Name), c.loadLimiter(service)
+	limiter.Late, limiter.Inherited = 0, 0
+	c.recordCopies(now, service.Name)
+	for _, s := range c.serversOf(service.Name) {
 		if s.Late(now) {
-			ceiling.Late++
+			limiter.Late++
 		}
-		ceiling.Inherited += s.Inherited(ceiling.Ended.Add(-ceiling.Window))
+		limiter.Inherited += s.Inherited(limiter.Ended.Add(-limiter.Window))
 	}
 	planner := &Planner{
-		Engine: service.Engine, Servers: c.of(service.Name), Now: now,
-		Work:   func(model string) float64 { return demand.Work(now, model) / memory(demandHalfLife) },
-		Spread: func(model string) float64 { return demand.Spread(now, model) / memory(demandHalfLife) },
-		Ahead: func(model string, while time.Duration) (then, mean float64) {
-			then, mean = demand.Ahead(now, model, while)
-			return then / memory(demandHalfLife), mean / memory(demandHalfLife)
+		Engine: service.Engine, Servers: c.serversOf(service.Name), Now: now,
+		Work:   func(model string) float64 { return demand.Work(now, model) / meanAge(demandHalfLife) },
+		Spread: func(model string) float64 { return demand.Spread(now, model) / meanAge(demandHalfLife) },
+		Ahead: func(model string, horizon time.Duration) (future, mean float64) {
+			future, mean = demand.Ahead(now, model, horizon)
+			return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 		},
 		Contended: c.Contended,
-		Missing:   func(model string) time.Duration { return c.missing(now, service.Name, model) },
+		Missing:   func(model string) time.Duration { return c.timeWithoutCopy(now, service.Name, model) },
 		Awaited: func(model string) bool {
-			return now.Sub(c.first[service.Name]) < listFills && demand.Last(model).IsZero()
+			return now.Sub(c.firstListed[service.Name]) < startupListingTime && demand.Last(model).IsZero()
 		},
-		// Each load that the plan decides on counts at once: one plan may hold
-		// many, and each must see those before it.
+		// Counts each planned load at once: one plan may contain many, and each must count the
+		// ones before it.
 		Store: func() *Begun {
-			if !ceiling.Allow(now) {
+			if !limiter.Allow(now) {
 				return nil
 			}
-			return ceiling.Begin(now)
+			return limiter.Begin(now)
 		},
 	}
 	for _, step := range planner.Steps() {
-		if c.busy[step.Server.entry.ID] {
-			ceiling.Return(step.Begun)
+		if c.orderInFlight[step.Server.entry.ID] {
+			limiter.Return(step.Begun)
 			continue
 		}
 		if step.For != "" {
 			step.Server.Intend(now, step.For)
 		}
-		c.startModel(ctx, step.Server, Order{Unload: step.Unload, Model: step.Model.Name}, step.Time, func(v Verdict) {
-			ceiling.Answered(c.Now(), step.Begun, v)
+		c.sendAsyncWithCallback(ctx, step.Server, Order{Unload: step.Unload, Model: step.Model.Name}, step.Time, func(result Verdict) {
+			limiter.Answered(c.Now(), step.Begun, result)
 		})
 	}
 }
 
-// running returns how many requests all VMs have at a server.
-func (c *Controller) running(id string) int { return c.sums[id].Running }
+// runningRequests returns how many requests all VMs together have at a server.
+func (c *Controller) runningRequests(id string) int { return c.totalLoads[id].Running }
--- a/steer/demand.go
+++ b/steer/demand.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// demandHalfLife is how fast past demand fades: a shift of demand to other
-	// models takes some seconds, and the placement is to follow within it.
+	// demandHalfLife is the half-life of past demand: a shift of demand to other models takes some
+	// seconds, and the placement has to follow within that time.
 	demandHalfLife = 900 * time.Millisecond
-	// trendHalfLife is how fast it fades in the sum that the trend is seen by.
+	// trendHalfLife is the half-life of the slow sum, which the trend is derived from.
 	trendHalfLife = 3 * demandHalfLife
-	// trendSpread is the standard error of a forecast against that of the present
-	// demand: by the two sums' weights, 2.4 for six seconds ahead.
-	trendSpread = 2.4
-	// riseError is the standard error of the difference between the quick and the slow
-	// sum against that of the quick one: of memories m and 3m it is the root of
+	// forecastErrorRatio is the standard error of a forecast relative to that of the current
+	// demand: by the weights of the two sums, 2.4 for six seconds ahead.
+	forecastErrorRatio = 2.4
+	// riseErrorRatio is the standard error of the difference between the fast and the slow sum
+	// relative to that of the fast one: for mean ages m and 3m it is the square root of
 	// (1/2 + 1/6 - 2/4) / (1/2).
-	riseError = 0.577
+	riseErrorRatio = 0.577
 )
 
-// memory returns the mean age of what a fading sum holds.
-func memory(halfLife time.Duration) float64 { return halfLife.Seconds() / math.Ln2 }
+// meanAge returns the mean age of the contributions to an exponentially decaying sum.
+func meanAge(halfLife time.Duration) float64 { return halfLife.Seconds() / math.Ln2 }
 
-// Demand is a moving sum of work asked for, by name. The zero value works.
+// Demand is an exponentially decaying sum of requested work for each name. The zero value is ready
+// to use.
 type Demand struct {
 	entries map[string]*demandEntry
 	all     demandEntry
 }
 
-// demandEntry holds faded sums: of work, of requests, and of the squares of the
-// work of each request, which fade twice as fast.
+// demandEntry holds decaying sums of work, of requests, and of the squared work of each request,
+// which decays twice as fast.
 type demandEntry struct {
 	work, requests, squares float64
-	// slow is the work in a sum that fades with trendHalfLife.
-	slow float64
+	// slowWork is the sum of work that decays with trendHalfLife.
+	slowWork float64
 
-	at   time.Time
-	last time.Time
+	updatedAt   time.Time
+	lastRequest time.Time
 }
 
-// Add notes work that some requests asked for together.
+// Add adds the work of a batch of requests.
 func (d *Demand) Add(now time.Time, name string, work float64, requests int) {
 	if requests <= 0 {
 		return
@@ -58,109 +59,109 @@
 }
 
 func (e *demandEntry) add(now time.Time, work, requests float64) {
-	f := e.fading(now)
+	f := e.decay(now)
 	e.work = e.work*f + work
 	e.requests = e.requests*f + requests
 	e.squares = e.squares*f*f + work*work/requests
-	e.slow = e.slow*fade(now.Sub(e.at), trendHalfLife) + work
-	e.at, e.last = now, now
+	e.slowWork = e.slowWork*decayFactor(now.Sub(e.updatedAt), trendHalfLife) + work
+	e.updatedAt, e.lastRequest = now, now
 }
 
-// fading returns what is left of each unit of a sum.
-func (e *demandEntry) fading(now time.Time) float64 { return fade(now.Sub(e.at), demandHalfLife) }
+// decay returns the factor by which the sums have decayed since the last update.
+func (e *demandEntry) decay(now time.Time) float64 {
+	return decayFactor(now.Sub(e.updatedAt), demandHalfLife)
+}
 
-func fade(age, halfLife time.Duration) float64 {
+func decayFactor(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
-// Work returns the faded sum of what was asked for.
+// Work returns the decayed sum of requested work.
 func (d *Demand) Work(now time.Time, name string) float64 {
 	if e := d.entries[name]; e != nil {
-		return e.work * e.fading(now)
+		return e.work * e.decay(now)
 	}
 	return 0
 }
 
-// Total returns the faded sum of all that was asked for.
-func (d *Demand) Total(now time.Time) float64 { return d.all.work * d.all.fading(now) }
+// Total returns the decayed sum of requested work over all names.
+func (d *Demand) Total(now time.Time) float64 { return d.all.work * d.all.decay(now) }
 
-// Ahead returns what Work will be after a while if its trend goes on, and its mean until
-// then.
-func (d *Demand) Ahead(now time.Time, name string, while time.Duration) (then, mean float64) {
+// Ahead returns the expected value of Work at the horizon if its trend continues, and its mean
+// until then.
+func (d *Demand) Ahead(now time.Time, name string, horizon time.Duration) (future, mean float64) {
 	e := d.entries[name]
 	if e == nil {
 		return 0, 0
 	}
 	work, trend := d.trend(now, e)
-	then = work + trend*while.Seconds()
-	if then >= 0 {
-		return then, (work + then) / 2
+	future = work + trend*horizon.Seconds()
+	if future >= 0 {
+		return future, (work + future) / 2
 	}
-	// It comes to nothing on the way.
-	return 0, work * work / (-2 * trend * while.Seconds())
+	// The demand reaches zero before the horizon.
+	return 0, work * work / (-2 * trend * horizon.Seconds())
 }
 
-// Load pattern: demand moves on between the models within some seconds, and bursts of all
-// of them begin and end within less than a load takes. The work asked for of a model rises
-// steeply in both, but only in the first its part of all work does. And among hundreds of
-// models some always seem to rise by chance. Copies loaded for either were taken away again
-// as they became ready, from models that still had their callers.
+// Load pattern: demand shifts between the models within some seconds, and bursts of all models
+// begin and end in less time than a load takes. Both raise the requested work of a model steeply,
+// but only a shift raises its share of all work. Among hundreds of models some also seem to rise
+// by chance at any time. Copies loaded because of a burst or of chance replaced copies of models
+// with ongoing demand, and were removed again as soon as they were ready.
 //
-// So the trend is that of a model's part of all work, and counts by as much as it exceeds
-// the largest that chance lets one of so many names show.
+// The trend is therefore that of a model's share of all work. It counts only by as much as it
+// exceeds the largest rise that chance produces among so many names.
 
-// trend returns the work asked for now and its change a second. The part that is seen by
-// the sum that fades slowly lags behind the other by the trend times the difference of
-// their memories.
+// trend returns the currently requested work and its change per second. The share in the slow sum
+// lags behind that in the fast sum by the trend times the difference of their mean ages.
 func (d *Demand) trend(now time.Time, e *demandEntry) (work, trend float64) {
-	lately, all := e.work*e.fading(now), d.Total(now)
-	before, allBefore := e.before(now), d.all.before(now)
-	if all <= 0 || allBefore <= 0 {
-		return lately, 0
+	recent, all := e.work*e.decay(now), d.Total(now)
+	slowWork, slowTotal := e.slowSum(now), d.all.slowSum(now)
+	if all <= 0 || slowTotal <= 0 {
+		return recent, 0
 	}
-	quick, slow := memory(demandHalfLife), memory(trendHalfLife)
-	rise := lately/all - before/allBefore
-	chance := riseError * math.Sqrt(e.squares) * e.fading(now) / all
-	trend = rise / (slow - quick) * d.shown(rise, chance)
-	return max(lately+trend*quick*all, 0), trend * all
+	fastAge, slowAge := meanAge(demandHalfLife), meanAge(trendHalfLife)
+	rise := recent/all - slowWork/slowTotal
+	stdErr := riseErrorRatio * math.Sqrt(e.squares) * e.decay(now) / all
+	trend = rise / (slowAge - fastAge) * d.significance(rise, stdErr)
+	return max(recent+trend*fastAge*all, 0), trend * all
 }
 
-// before returns the sum that fades slowly.
-func (e *demandEntry) before(now time.Time) float64 {
-	return e.slow * fade(now.Sub(e.at), trendHalfLife)
+// slowSum returns the decayed value of the slow sum.
+func (e *demandEntry) slowSum(now time.Time) float64 {
+	return e.slowWork * decayFactor(now.Sub(e.updatedAt), trendHalfLife)
 }
 
-// shown returns how much of a rise or fall counts, from 0 to 1, given its standard error: the
-// largest of n errors is about the square root of 2 ln n (shrinkage by James and Stein).
-func (d *Demand) shown(rise, chance float64) float64 {
+// significance returns the fraction of a rise or fall that counts, from 0 to 1, given its standard
+// error: the largest of n errors is about the square root of 2 ln n (James-Stein shrinkage).
+func (d *Demand) significance(rise, stdErr float64) float64 {
 	if rise == 0 {
 		return 0
 	}
-	bound := chance * math.Sqrt(2*math.Log(float64(max(len(d.entries), 2))))
+	bound := stdErr * math.Sqrt(2*math.Log(float64(max(len(d.entries), 2))))
 	return max(1-square(bound/rise), 0)
 }
 
-// Spread returns the standard error of Work as a measure of what is asked for on
-// the average: requests come at random, and of few of them little can be told. It
-// is at least the work of one request, so that a name which was not asked for yet
-// is not taken to be never asked for.
+// Spread returns the standard error of Work as an estimate of the mean demand: requests arrive at
+// random, and a few of them are a poor estimate. It is at least the work of one request, so that a
+// name without requests so far does not count as certain to have none.
 func (d *Demand) Spread(now time.Time, name string) float64 {
-	one := 0.0
+	meanRequest := 0.0
 	if d.all.requests > 0 {
-		one = d.all.work / d.all.requests
+		meanRequest = d.all.work / d.all.requests
 	}
 	e := d.entries[name]
 	if e == nil {
-		return one
+		return meanRequest
 	}
-	f := e.fading(now)
-	return math.Sqrt(e.squares*f*f + one*one)
+	f := e.decay(now)
+	return math.Sqrt(e.squares*f*f + meanRequest*meanRequest)
 }
 
-// Last returns when it was asked for last; the zero time for never.
+// Last returns the time of the last request, the zero time for none.
 func (d *Demand) Last(name string) time.Time {
 	if e := d.entries[name]; e != nil {
-		return e.last
+		return e.lastRequest
 	}
 	return time.Time{}
 }
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -8,31 +8,31 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// start sends an order in the background. c.mu is held. The sequence is that
-// of the decision: a report that comes in before the order is sent may show an
-// order that was carried out late and took the memory which the decision
-// counted on. With the new sequence the server would take the order and exceed
-// its memory; with the old one it refuses.
-func (c *Controller) start(ctx context.Context, s *Server, o Order, within time.Duration) {
-	c.startModel(ctx, s, o, within, nil)
+// sendAsync sends an order in the background. c.mu is held. The order expects the sequence at the
+// time of the decision: a report that arrives before the order is sent may show that a delayed
+// order was executed and took the memory which the decision relied on. With the new sequence the
+// server would accept the order and exceed its memory; with the old one it refuses.
+func (c *Controller) sendAsync(ctx context.Context, s *Server, o Order, expectedTime time.Duration) {
+	c.sendAsyncWithCallback(ctx, s, o, expectedTime, nil)
 }
 
-// startModel is start with a function that is told the server's verdict, with c.mu held.
-func (c *Controller) startModel(ctx context.Context, s *Server, o Order, within time.Duration, answered func(Verdict)) {
-	c.busy[s.entry.ID] = true
+// sendAsyncWithCallback is sendAsync with a function that is called with the order's result while
+// c.mu is held.
+func (c *Controller) sendAsyncWithCallback(ctx context.Context, s *Server, o Order, expectedTime time.Duration, onResult func(Verdict)) {
+	c.orderInFlight[s.entry.ID] = true
 	o.Expect = s.sequence
 	c.spawn(func() {
-		verdict := c.order(ctx, s, o, within)
+		result := c.send(ctx, s, o, expectedTime)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.busy, s.entry.ID)
-		if answered != nil {
-			answered(verdict)
+		delete(c.orderInFlight, s.entry.ID)
+		if onResult != nil {
+			onResult(result)
 		}
 	})
 }
 
-// engine returns what the servers of a service can hold.
+// engine returns the model catalogue and capacities of a service's servers.
 func (c *Controller) engine(service string) *routes.Engine {
 	if t := c.Table(); t != nil {
 		if s, ok := t.Service(service); ok && s.Engine != nil {
@@ -44,9 +44,8 @@
 
 var errNotLeading = errors.New("this VM does not hold the controllers' lease")
 
-// order sends one order and takes in its outcome. The caller has marked the
-// server as busy.
-func (c *Controller) order(ctx context.Context, s *Server, o Order, within time.Duration) Verdict {
+// send sends one order and applies its result. The caller has marked the order as in flight.
+func (c *Controller) send(ctx context.Context, s *Server, o Order, expectedTime time.Duration) Verdict {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := c.Now()
@@ -58,13 +57,13 @@
 	o.Holder, o.Fence = c.Name, fence
 	e := s.entry
 	c.mu.Unlock()
-	verdict, err := c.Commands.Send(ctx, e, o)
+	result, err := c.Commands.Send(ctx, e, o)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Answered(c.Now(), now, c.engine(e.Service), o, verdict, within)
-	c.notify()
+	s.Answered(c.Now(), now, c.engine(e.Service), o, result, expectedTime)
+	c.notifyChanged()
 	c.Meter.Count("steer.orders", 1)
 	c.Log.Info().Str("server", e.ID).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
-		Int("expect", o.Expect).Int("fence", fence).Dur("within", within).Int("verdict", int(verdict)).Err(err).Msg("order")
-	return verdict
+		Int("expect", o.Expect).Int("fence", fence).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
+	return result
 }
--- a/steer/holds.go
+++ b/steer/models.go
@@ -9,18 +9,18 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Has reports whether the server holds a model, and the adapter when one is
-// named, ready for requests.
+// Has reports whether the server holds a model, and the adapter if one is named, ready for
+// requests.
 func (s *Server) Has(now time.Time, model, adapter string) bool {
 	r := s.models[model]
-	if r == nil || r.phase != held {
+	if r == nil || r.phase != loaded {
 		return false
 	}
 	if adapter == "" {
 		return true
 	}
-	at, ok := r.adapters[adapter]
-	return ok && at.usable(now)
+	slot, ok := r.adapters[adapter]
+	return ok && slot.usable(now)
 }
 
 // Shown returns the models and adapters that requests may be sent for.
@@ -28,7 +28,7 @@
 	var list []backs.Held
 	for _, name := range slices.Sorted(maps.Keys(s.models)) {
 		r := s.models[name]
-		if r.phase != held {
+		if r.phase != loaded {
 			continue
 		}
 		h := backs.Held{Model: name}
@@ -42,17 +42,17 @@
 	return list
 }
 
-// dropping reports whether a model is being dropped.
-func (s *Server) dropping() bool {
+// unloadingModel reports whether a model is being unloaded.
+func (s *Server) unloadingModel() bool {
 	for _, r := range s.models {
-		if r.phase == leaving {
+		if r.phase == unloading {
 			return true
 		}
 	}
 	return false
 }
 
-// Places returns how many adapter places are taken.
+// Places returns how many adapter slots are taken.
 func (s *Server) Places() int {
 	n := 0
 	for _, r := range s.models {
@@ -61,9 +61,9 @@
 	return n
 }
 
-// weight returns the megabytes taken, by models on their way in and out too:
-// memory is free only when the server shows the model gone.
-func (s *Server) weight(e *routes.Engine) float64 {
+// usedMB returns the memory in use, which includes models that are loading or unloading: memory is
+// free only once a report shows that the model is gone.
+func (s *Server) usedMB(e *routes.Engine) float64 {
 	mb := 0.0
 	for name, r := range s.models {
 		m := e.Models[name]
@@ -72,13 +72,13 @@
 	return mb
 }
 
-// loadTime returns how long the server takes to load a model, and whether it
-// comes from the weight store.
+// loadTime returns how long the server takes to load a model, and whether the load comes from the
+// weight store.
 func (s *Server) loadTime(m routes.Model) (time.Duration, bool) {
 	switch {
-	case slices.Contains(s.stock.memory, m.Name) && m.Warm > 0:
+	case slices.Contains(s.cache.memory, m.Name) && m.Warm > 0:
 		return m.Warm, false
-	case s.stock.has(m.Name) && m.Disk > 0:
+	case s.cache.contains(m.Name) && m.Disk > 0:
 		return m.Disk, false
 	}
 	return m.Load, true
--- a/steer/order.go
+++ b/steer/order.go
@@ -1,7 +1,8 @@
-// Package steer decides which models and adapters the backend servers hold and
-// orders it. One VM at a time does so, under a lease; the others ask it.
+// Package steer decides which models and adapters the backend servers hold and sends them load and
+// unload orders. One VM at a time does so under a lease; the others query it.
 //
-// Server, Demand, Ceiling and Plan decide and do no I/O. Controller drives them.
+// Server, Demand, Ceiling and Planner make decisions without I/O. Controller runs them and calls
+// the servers.
 package steer
 
 import (
@@ -11,18 +12,18 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// Order tells a server to load or drop a model, or an adapter of a model that
-// it holds.
+// Order is a command to a server to load or unload a model, or an adapter of a model that the
+// server holds.
 type Order struct {
 	Unload bool
 	Model  string
-	// Adapter is empty for the model itself.
+	// Adapter is empty for an order that concerns the model itself.
 	Adapter string
-	// Expect is the number of orders that the server must have accepted before.
-	// It is checked when the order is carried out, so an order that comes late
-	// is dead once a later one was accepted.
+	// Expect is the number of orders that the server must have accepted before this one. The
+	// server checks it on execution, so a delayed order is invalid once the server has accepted a
+	// later one.
 	Expect int
-	// Holder and Fence name the VM that gives the order and its lease.
+	// Holder is the name of the VM that sends the order, Fence its lease's fencing number.
 	Holder string
 	Fence  int
 }
@@ -30,47 +31,46 @@
 // Verdict is a server's answer to an order.
 type Verdict int
 
-// The verdicts.
+// Results of an order.
 const (
-	// Unknown means that no answer came: the order may be carried out, now or
-	// later.
+	// Unknown means that no answer arrived. The order may be executed now or later.
 	Unknown Verdict = iota
-	// Accepted means that the order is being carried out.
+	// Accepted means that the server is executing the order.
 	Accepted
-	// Done means that it holds.
+	// Done means that the order is complete or was already fulfilled.
 	Done
-	// Conflict means that another order is under way or that Expect was wrong.
+	// Conflict means that another order is in progress or that Expect does not match.
 	Conflict
-	// Refused means that the order will never be carried out.
+	// Refused means that the order will never be executed.
 	Refused
 )
 
-// Report is what a server says of itself. It is some hundred milliseconds old.
+// Report is the state that a server reports. It is some hundred milliseconds old.
 type Report struct {
-	// Born is when the server started, the zero time when it does not tell.
+	// Born is when the server started, the zero time if the report does not contain it.
 	Born   time.Time
 	Models []backs.Held
-	// Pending are adapters on their way, as model and adapter.
+	// Pending are the adapters that are loading, by model.
 	Pending []backs.Held
-	// Busy says that a model is being loaded or dropped.
+	// Busy means that a model is being loaded or unloaded.
 	Busy bool
 	// Sequence is the number of orders accepted since the server's start.
 	Sequence int
-	// InMemory and OnDisk are the models that the server has copies of.
+	// InMemory and OnDisk are the models whose weights the server caches there.
 	InMemory, OnDisk []string
 }
 
-// Commands are the calls to servers. A deployment's adapter fills them.
+// Commands are the calls to servers. They are implemented by the deployment's platform adapter.
 type Commands struct {
 	Send   func(ctx context.Context, server backs.Entry, o Order) (Verdict, error)
 	Report func(ctx context.Context, server backs.Entry) (Report, error)
 }
 
 const (
-	// reportLag is how old a report can be: servers give 200 ms, and their
-	// timers fire late.
-	reportLag = 500 * time.Millisecond
-	// adapterReady is how long an adapter takes to load: 5 to 10 ms by the data
-	// sheets, and a request that comes too early is refused.
-	adapterReady = 12 * time.Millisecond
+	// maxReportAge is how old a report's data can be: servers specify 200 ms, and their timers
+	// fire late.
+	maxReportAge = 500 * time.Millisecond
+	// adapterLoadTime is how long an adapter takes to load: 5 to 10 ms by the data sheets, and a
+	// request that arrives before is refused.
+	adapterLoadTime = 12 * time.Millisecond
 )
--- a/steer/plan_test.go
+++ b/steer/plan_test.go
@@ -47,24 +47,24 @@
 		servers []*steer.Server
 		want    []string
 	}{
-		"nothing to do": {20, nil, []*steer.Server{reported(at(0), "a", 0, "m1", "m2")}, nil},
-		"a model without a copy gets free memory": {
-			20, nil, []*steer.Server{reported(at(0), "a", 0, "m1")}, []string{"load m2 at a"},
+		"balanced": {20, nil, []*steer.Server{reportedServer(at(0), "a", 0, "m1", "m2")}, nil},
+		"missing model loads into free memory": {
+			20, nil, []*steer.Server{reportedServer(at(0), "a", 0, "m1")}, []string{"load m2 at a"},
 		},
-		"a model without a copy takes a spare one's place": {
-			10, nil, []*steer.Server{reported(at(0), "a", 0, "m1"), reported(at(0), "b", 0, "m1")}, []string{"unload m1 at a"},
+		"missing model replaces a spare copy": {
+			10, nil, []*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0, "m1")}, []string{"unload m1 at a"},
 		},
-		"the last copy is never taken": {
-			10, map[string]float64{"m2": 100}, []*steer.Server{reported(at(0), "a", 0, "m1")}, nil,
+		"last copy stays": {
+			10, map[string]float64{"m2": 100}, []*steer.Server{reportedServer(at(0), "a", 0, "m1")}, nil,
 		},
-		"demand moves a copy": {
+		"demand adds a copy": {
 			20, map[string]float64{"m2": 100, "m1": 1},
-			[]*steer.Server{reported(at(0), "a", 0, "m1"), reported(at(0), "b", 0, "m1", "m2")}, []string{"load m2 at a"},
+			[]*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0, "m1", "m2")}, []string{"load m2 at a"},
 		},
-		"a small difference moves nothing": {
+		"small difference": {
 			10, map[string]float64{"m1": 50, "m2": 52},
 			[]*steer.Server{
-				reported(at(0), "a", 0, "m1"), reported(at(0), "b", 0, "m1"), reported(at(0), "c", 0, "m2"),
+				reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0, "m1"), reportedServer(at(0), "c", 0, "m2"),
 			}, nil,
 		},
 	}
@@ -76,13 +76,13 @@
 	}
 }
 
-// A server that drains takes its copies along. If they counted, its models
-// would be unreachable from its end until a new copy is loaded.
-func TestCopiesOfLeavingServersDoNotCount(t *testing.T) {
+// The copies at a draining server end with it. If they counted, their models would be unavailable
+// from its end until a new copy is loaded.
+func TestDrainingServersCopiesDoNotCount(t *testing.T) {
 	e := entry("a", "m1", "m2")
 	e.Draining = true
-	leaving := steer.NewServer(at(0), e)
-	p := planner(at(1), engine(20, "m1", "m2"), nil, leaving, reported(at(0), "b", 0, "m1"))
+	draining := steer.NewServer(at(0), e)
+	p := planner(at(1), engine(20, "m1", "m2"), nil, draining, reportedServer(at(0), "b", 0, "m1"))
 	require.Equal(t, []string{"load m2 at b"}, steps(p))
 }
 
@@ -91,53 +91,53 @@
 	far.Domain = "other"
 	other := steer.NewServer(at(0), far)
 	other.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "m1"}}})
-	near := reported(at(0), "b", 0, "m1")
-	holds := reported(at(0), "a", 0, "m2")
+	near := reportedServer(at(0), "b", 0, "m1")
+	holds := reportedServer(at(0), "a", 0, "m2")
 	p := planner(at(1), engine(20, "m1", "m2"), map[string]float64{"m2": 10}, holds, near, other)
-	require.Equal(t, []string{"load m2 at z", "load m2 at b"}, steps(p), "the domain without a copy first")
+	require.Equal(t, []string{"load m2 at z", "load m2 at b"}, steps(p), "loads in the domain without a copy first")
 }
 
-// A server has crashed and is back, empty, with one model's weights on its disk. Requests
-// for that model and for one with more demand, which is on no disk, are late at the only
-// other server. The controller ordered the second model there from the weight store, and
-// the server did nothing for the six seconds of the load. It takes what it can load in one
-// second first, and the other model a second later.
-func TestARestartedServerLoadsFromItsDiskFirst(t *testing.T) {
+// A crashed server restarts empty, with the weights of one model on its disk. Requests for that
+// model, and for one with more demand that is on no disk, are late at the only other server. The
+// controller ordered the second model from the weight store, and the server was idle for the six
+// seconds of the load. It must first load the model on its disk, which takes one second, and the
+// other one a second later.
+func TestRestartedServerLoadsFromDiskFirst(t *testing.T) {
 	e := engine(20, "kept", "hot")
 	for name, m := range e.Models {
 		m.Load, m.Disk = 6*time.Second, time.Second
 		e.Models[name] = m
 	}
-	back := steer.NewServer(at(0), entry("a"))
-	back.Reported(at(0), at(0), steer.Report{OnDisk: []string{"kept"}})
-	p := planner(at(1), e, map[string]float64{"kept": 0.8, "hot": 1}, back, reported(at(0), "b", 0, "kept", "hot"))
+	restarted := steer.NewServer(at(0), entry("a"))
+	restarted.Reported(at(0), at(0), steer.Report{OnDisk: []string{"kept"}})
+	p := planner(at(1), e, map[string]float64{"kept": 0.8, "hot": 1}, restarted, reportedServer(at(0), "b", 0, "kept", "hot"))
 	require.Equal(t, []string{"load kept at a"}, steps(p))
 }
 
-// A busy model gets two more copies, which take seconds to load; the ones that are there made
-// way for another model meanwhile, and its callers found no copy.
-func TestCopiesMakeWayForOnesThatAreNotThereYet(t *testing.T) {
+// Two further copies of a busy model take seconds to load. Counting them, the planner replaced the
+// loaded copies by another model meanwhile, and requests for the busy model found no copy.
+func TestLoadingCopiesDoNotReplaceLoadedOnes(t *testing.T) {
 	e := engine(10, "busy", "other")
 	loading := func(id string) *steer.Server {
-		s := reported(at(0), id, 0)
+		s := reportedServer(at(0), id, 0)
 		s.Answered(at(1), at(1), e, steer.Order{Model: "busy"}, steer.Accepted, 6*time.Second)
 		return s
 	}
 	work := map[string]float64{"busy": 1.2, "other": 0.7}
-	servers := []*steer.Server{reported(at(0), "a", 0, "busy"), reported(at(0), "b", 0, "busy"), reported(at(0), "c", 0, "other")}
-	require.Empty(t, steps(planner(at(1), e, work, servers...)), "without them none makes way")
+	servers := []*steer.Server{reportedServer(at(0), "a", 0, "busy"), reportedServer(at(0), "b", 0, "busy"), reportedServer(at(0), "c", 0, "other")}
+	require.Empty(t, steps(planner(at(1), e, work, servers...)), "no copy is replaced before the new ones load")
 	servers = append(servers, loading("d"), loading("e"))
 	require.Empty(t, steps(planner(at(1), e, work, servers...)))
 }
 
-// A copy that has callers makes way for one that is worth a little more, and that is there
-// eight seconds later, when demand has mostly moved on. From a disk it is there in time.
-func TestACopyMakesWayForOneThatComesTooLate(t *testing.T) {
+// A copy in use was replaced by one with a slightly higher worth that was ready eight seconds
+// later, when demand had mostly shifted to other models. A copy loaded from disk is ready in time.
+func TestCopyNotReplacedByLateOne(t *testing.T) {
 	work := map[string]float64{"low": 0.5, "high": 0.95}
 	servers := func() []*steer.Server {
 		disk := steer.NewServer(at(0), entry("a", "low"))
 		disk.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "low"}}, OnDisk: []string{"high"}})
-		return []*steer.Server{disk, reported(at(0), "b", 0, "low"), reported(at(0), "c", 0, "high")}
+		return []*steer.Server{disk, reportedServer(at(0), "b", 0, "low"), reportedServer(at(0), "c", 0, "high")}
 	}
 	for name, tc := range map[string]struct {
 		load, disk time.Duration
@@ -160,7 +160,7 @@
 // Guards against leaving a model with no copy but one at a contended server, and against loading
 // models there.
 func TestCopyAtContendedServerDoesNotCount(t *testing.T) {
-	servers := []*steer.Server{reported(at(0), "a", 0, "m1"), reported(at(0), "b", 0)}
+	servers := []*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0)}
 	p := planner(at(0), engine(10, "m1"), nil, servers...)
 	require.Empty(t, steps(p))
 	p.Contended = func(server string) bool { return server == "a" }
--- a/steer/reports.go
+++ b/steer/reports.go
@@ -7,31 +7,31 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-func (c *Controller) askReports(ctx context.Context, now time.Time, service string) {
+func (c *Controller) requestReports(ctx context.Context, now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.of(service) {
-		pause := reportEvery
+	for _, s := range c.serversOf(service) {
+		interval := reportInterval
 		if s.NeedsReport() || s.Finishing(now) {
-			pause = reportAgain
+			interval = reportRetryInterval
 		}
 		id := s.entry.ID
-		if c.busy[id] || !c.asked[id].IsZero() && now.Sub(c.asked[id]) < pause {
+		if c.orderInFlight[id] || !c.lastReportRequest[id].IsZero() && now.Sub(c.lastReportRequest[id]) < interval {
 			continue
 		}
-		c.asked[id] = now
+		c.lastReportRequest[id] = now
 		e := s.entry
-		c.spawn(func() { c.askReport(ctx, e) })
+		c.spawn(func() { c.requestReport(ctx, e) })
 	}
 }
 
-func (c *Controller) askReport(ctx context.Context, e backs.Entry) {
+func (c *Controller) requestReport(ctx context.Context, e backs.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := c.Now()
+	requestedAt := c.Now()
 	r, err := c.Commands.Report(ctx, e)
 	if err != nil {
-		c.missed(e.ID, err)
+		c.recordFailedReport(e.ID, err)
 		return
 	}
 	c.mu.Lock()
@@ -41,23 +41,23 @@
 		return
 	}
 	if !r.Born.IsZero() && !r.Born.Equal(e.Born) {
-		c.Log.Info().Str("server", e.ID).Time("born", r.Born).Msg("report of another start of the server")
+		c.Log.Info().Str("server", e.ID).Time("born", r.Born).Msg("report from another instance of the server")
 		if r.Born.After(e.Born) {
 			c.Servers.Ended(c.Now(), e.ID)
 		}
 		return
 	}
-	known, sequence, changed := s.Free(asked), s.sequence, s.changed
-	s.Reported(c.Now(), asked, r)
-	if known != s.Free(asked) || sequence != s.sequence || changed != s.changed {
+	ready, sequence, changed := s.Free(requestedAt), s.sequence, s.changedAt
+	s.Reported(c.Now(), requestedAt, r)
+	if ready != s.Free(requestedAt) || sequence != s.sequence || changed != s.changedAt {
 		c.Log.Info().Str("server", e.ID).Int("sequence", r.Sequence).Int("before", sequence).Bool("busy", r.Busy).
-			Interface("models", r.Models).Interface("pending", r.Pending).Dur("age", c.Now().Sub(asked)).Msg("report")
+			Interface("models", r.Models).Interface("pending", r.Pending).Dur("age", c.Now().Sub(requestedAt)).Msg("report")
 	}
-	c.notify()
+	c.notifyChanged()
 }
 
-// missed notes a server that gave no report.
-func (c *Controller) missed(id string, err error) {
+// recordFailedReport records that a server did not answer a report request.
+func (c *Controller) recordFailedReport(id string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[id]
@@ -65,11 +65,11 @@
 		return
 	}
 	s.Missed()
-	c.Log.Info().Str("server", id).Bool("down", s.Down()).Err(err).Msg("no report")
+	c.Log.Info().Str("server", id).Bool("down", s.Down()).Err(err).Msg("report failed")
 }
 
-// Doubt makes servers be asked for their state at once: a VM could not reach
-// them or was refused what they are thought to hold.
+// Doubt makes the controller request reports from servers at once: a VM could not reach them, or
+// they refused a request for a model that they were expected to hold.
 func (c *Controller) Doubt(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/steer/scale_test.go
+++ b/steer/scale_test.go
@@ -13,12 +13,12 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// BenchmarkStep measures one look at the placement while demand is spread over
-// all models, with settled servers and nothing to order.
+// BenchmarkStep measures one placement step while demand is spread over all models and no orders
+// are needed.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ servers, models int }{{12, 20}, {144, 171}, {1500, 1000}} {
 		b.Run(fmt.Sprintf("%d_servers_%d_models", size.servers, size.models), func(b *testing.B) {
-			c := scaled(size.servers, size.models)
+			c := scaledController(size.servers, size.models)
 			now := c.Now()
 			for b.Loop() {
 				c.Step(context.Background(), now)
@@ -27,7 +27,7 @@
 	}
 }
 
-func scaled(servers, models int) *Controller {
+func scaledController(servers, models int) *Controller {
 	now := time.Unix(1000, 0)
 	engine := &routes.Engine{MemoryMB: 83, AdapterSlots: 5, LoadsPerSecond: 20, Models: make(map[string]routes.Model)}
 	for m := range models {
@@ -51,7 +51,7 @@
 		Log: zerolog.Nop(), Meter: meter.New(),
 		Commands: Commands{
 			Send:   func(context.Context, backs.Entry, Order) (Verdict, error) { return Refused, nil },
-			Report: func(context.Context, backs.Entry) (Report, error) { return Report{}, fmt.Errorf("away") },
+			Report: func(context.Context, backs.Entry) (Report, error) { return Report{}, fmt.Errorf("unreachable") },
 		},
 	}
 	for m := range models {
@@ -60,7 +60,7 @@
 	c.Step(context.Background(), now)
 	for _, s := range c.servers {
 		s.Reported(now.Add(time.Minute), now.Add(time.Minute), Report{Models: s.entry.Models})
-		c.busy[s.entry.ID] = true
+		c.orderInFlight[s.entry.ID] = true
 	}
 	return c
 }
--- a/steer/server.go
+++ b/steer/server.go
@@ -7,80 +7,82 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// phase is where a model is on its way into or out of a server.
+// phase is the loading state of a model at a server.
 type phase int
 
 const (
-	held phase = iota
+	loaded phase = iota
 	loading
-	leaving
+	unloading
 )
 
-// resident is a model at a server, with the adapters that take places: those
-// loaded, on their way, and leaving.
+// resident is a model at a server, with its adapters that take a slot: those loaded, loading and
+// unloading.
 type resident struct {
 	phase    phase
 	since    time.Time
-	adapters map[string]place
+	adapters map[string]adapterSlot
 }
 
-// place is an adapter's place: when it is usable, and whether it is being
-// unloaded. A leaving adapter keeps its place until its runs have ended.
-type place struct {
-	ready   time.Time
-	leaving bool
+// adapterSlot is an adapter's slot: when the adapter is usable, and whether it is unloading. An
+// unloading adapter keeps its slot until its requests have ended.
+type adapterSlot struct {
+	readyAt   time.Time
+	unloading bool
 }
 
-func (p place) usable(now time.Time) bool { return !p.leaving && !now.Before(p.ready) }
+func (s adapterSlot) usable(now time.Time) bool { return !s.unloading && !now.Before(s.readyAt) }
 
-// Server is what the controller knows of one server: what it reported, and
-// what has been ordered since.
+// Server is the controller's view of one server: its reported state, updated by the orders sent
+// since.
 type Server struct {
 	entry  backs.Entry
 	models map[string]*resident
-	// sequence is the number of orders that it has accepted; known once a
-	// report gave it.
-	sequence int
-	known    bool
-	// unclear is when an order got no answer; zero otherwise. Until a later
-	// report shows whether it was accepted, nothing more is ordered: with the
-	// next accepted order the lost one is dead, whether it is late or not.
-	unclear time.Time
-	// busy is until when a model order that was accepted is taken to be under way at
-	// most; underway is set while a report says that one is.
-	busy     time.Time
-	underway bool
-	// done is when that order should be done.
-	done     time.Time
-	changed  time.Time
-	ordered  time.Time
-	listedAt time.Time
-	// doubted is set when a VM found that the server is not what it is thought
-	// to be, until a report; missed counts the reports that failed in a row.
-	doubted bool
-	missed  int
-	// loaded is when a model load was ordered last.
-	loaded time.Time
-	// refused is when it refused an order last.
-	refused time.Time
-	// intent is the model that another one makes way for here, until intended.
-	intent   string
-	intended time.Time
-	// late is when a model load got no answer that no later order has made dead,
-	// lost when any order did, lostExpect the sequence that it expects.
-	late, lost time.Time
-	lostExpect int
-	// rests is until when it gets no orders, as a lost one may still be carried out
-	// that was decided on in another state.
-	rests time.Time
-	// inherited is set while the VM before may have begun a load here that this
-	// one has not seen.
-	inherited bool
-	// stock is the copies of weights that it has; empty when not known for sure.
-	stock stock
+	// sequence is the number of orders that the server has accepted. It is valid once
+	// sequenceKnown is set by a report.
+	sequence      int
+	sequenceKnown bool
+	// outcomeUnknownAt is when an order got no answer or a conflict, or a delayed order showed in
+	// a report; zero otherwise. No order is sent until a later report shows the sequence. The next
+	// accepted order then invalidates the unanswered one, delayed or not.
+	outcomeUnknownAt time.Time
+	// busyUntil is the latest expected end of an accepted order. orderInProgress is set while
+	// reports show a model order in progress.
+	busyUntil       time.Time
+	orderInProgress bool
+	// expectedDone is when that order is expected to end.
+	expectedDone time.Time
+	changedAt    time.Time
+	lastOrder    time.Time
+	entryAt      time.Time
+	// reportRequired is set until the next report if a VM found that the server's state differs
+	// from this one. failedReports counts the report requests that failed in a row.
+	reportRequired bool
+	failedReports  int
+	// lastLoad is when a model load was last ordered.
+	lastLoad time.Time
+	// lastRefused is when the server last refused an order.
+	lastRefused time.Time
+	// reservedModel is the model that memory is being freed for here. The reservation ends at
+	// reservedUntil.
+	reservedModel string
+	reservedUntil time.Time
+	// unansweredLoad is when a model load got no answer, and unansweredOrder when any order did.
+	// The next accepted order clears both. unansweredSequence is the sequence that the unanswered
+	// order expects.
+	unansweredLoad, unansweredOrder time.Time
+	unansweredSequence              int
+	// blockedUntil is the end of a period without orders, as an unanswered order that was decided
+	// on in another state may still be executed.
+	blockedUntil time.Time
+	// mayInheritLoad is set while the previous controller may have begun a load that this one has
+	// not seen.
+	mayInheritLoad bool
+	// cache is the weights that the server caches, empty while they are not known for certain.
+	cache weightCache
 }
 
-// NewServer returns the state of a server by its entry.
+// NewServer returns a server with the models of its entry.
 func NewServer(now time.Time, e backs.Entry) *Server {
 	s := &Server{entry: e, models: make(map[string]*resident)}
 	s.Listed(now, now, e)
@@ -90,133 +92,132 @@
 // Entry returns the server's entry.
 func (s *Server) Entry() backs.Entry { return s.entry }
 
-// settleTime is how long after an own order the server's entry is not believed
-// where it differs: it can be a heartbeat and the store's delay old.
+// settleTime is how long after an order the server's entry or report is ignored where it
+// contradicts the order: an entry can be as old as a heartbeat plus the delay of the store.
 const settleTime = 1500 * time.Millisecond
 
-// Listed applies the server's entry in the platform, known since at. Changes are
-// dated now, as ShownSince can miss one dated before its last call. An entry
-// adds models and never takes one away: it can be old, above all after the
-// store was away, and memory that is taken for free too early is overcommitted.
-// Only a report, which the server gives itself, shows that a model is gone.
-func (s *Server) Listed(now, at time.Time, e backs.Entry) {
+// Listed applies the server's entry in the platform, received at receivedAt. Changes get the time
+// now, as ShownSince can miss a change dated before its last call. An entry can add models but
+// never remove one: it can be old, especially after a store outage, and memory that is considered
+// free too early is overcommitted. Only a report from the server itself shows that a model is
+// gone.
+func (s *Server) Listed(now, receivedAt time.Time, e backs.Entry) {
 	s.entry = e
-	if !at.After(s.listedAt) {
+	if !receivedAt.After(s.entryAt) {
 		return
 	}
-	s.listedAt = at
+	s.entryAt = receivedAt
 	for _, h := range e.Models {
 		r := s.models[h.Model]
-		if r == nil && at.Sub(s.ordered) < settleTime {
+		if r == nil && receivedAt.Sub(s.lastOrder) < settleTime {
 			continue
 		}
-		s.add(now, h)
+		s.addModel(now, h)
 	}
 }
 
-// add takes in a model that the server shows.
-func (s *Server) add(now time.Time, h backs.Held) {
+// addModel records that the server shows a model as loaded.
+func (s *Server) addModel(now time.Time, h backs.Held) {
 	r := s.models[h.Model]
 	if r == nil {
-		r = &resident{since: now, adapters: make(map[string]place)}
+		r = &resident{since: now, adapters: make(map[string]adapterSlot)}
 		s.models[h.Model] = r
-		s.changed = now
+		s.changedAt = now
 	}
 	if r.phase == loading {
-		r.phase, r.since, s.changed = held, now, now
-		s.endOrder()
+		r.phase, r.since, s.changedAt = loaded, now, now
+		s.clearOrder()
 	}
 	for _, a := range h.Adapters {
 		if _, ok := r.adapters[a]; !ok {
-			r.adapters[a] = place{ready: now}
-			s.changed = now
+			r.adapters[a] = adapterSlot{readyAt: now}
+			s.changedAt = now
 		}
 	}
 }
 
-func (s *Server) drop(now time.Time, model string) {
-	if r := s.models[model]; r != nil && r.phase == leaving {
-		s.endOrder()
+func (s *Server) removeModel(now time.Time, model string) {
+	if r := s.models[model]; r != nil && r.phase == unloading {
+		s.clearOrder()
 	}
 	delete(s.models, model)
-	s.changed = now
+	s.changedAt = now
 }
 
-// Reported takes in a report that was asked for at a time. What it shows of
-// models can be older than its sequence, so one that was asked for within
-// reportLag of a change says nothing yet: taken at its word, it frees the memory
-// of a model that is on its way.
-func (s *Server) Reported(now, asked time.Time, r Report) {
-	s.missed = 0
-	if asked.Sub(s.ordered) < reportLag {
+// Reported applies a report that was requested at a time. Its models can be older than its
+// sequence, so a report requested within maxReportAge of an order is ignored: otherwise it would
+// free the memory of a model that is loading.
+func (s *Server) Reported(now, requestedAt time.Time, r Report) {
+	s.failedReports = 0
+	if requestedAt.Sub(s.lastOrder) < maxReportAge {
 		return
 	}
-	if !s.unclear.IsZero() {
-		if asked.Sub(s.unclear) < reportLag {
+	if !s.outcomeUnknownAt.IsZero() {
+		if requestedAt.Sub(s.outcomeUnknownAt) < maxReportAge {
 			return
 		}
-		s.unclear = time.Time{}
+		s.outcomeUnknownAt = time.Time{}
 		s.sequence = r.Sequence
-		s.fearLost(r.Sequence)
+		s.blockForUnanswered(r.Sequence)
 	}
-	if s.known && r.Sequence < s.sequence && asked.Sub(s.ordered) < settleTime {
-		// It is from before the last order.
+	if s.sequenceKnown && r.Sequence < s.sequence && requestedAt.Sub(s.lastOrder) < settleTime {
+		// The report is older than the last order.
 		return
 	}
-	if s.known && r.Sequence > s.sequence {
-		// An order was carried out late; a later report shows what it did.
-		s.sequence, s.unclear = r.Sequence, asked
+	if s.sequenceKnown && r.Sequence > s.sequence {
+		// A delayed order was executed. A later report shows its effect.
+		s.sequence, s.outcomeUnknownAt = r.Sequence, requestedAt
 		return
 	}
-	if !s.known {
-		// A load that goes on was begun by the VM before.
-		s.inherited = r.Busy
+	if !s.sequenceKnown {
+		// A load in progress was begun by the previous controller.
+		s.mayInheritLoad = r.Busy
 	}
-	s.sequence, s.known = r.Sequence, true
-	s.doubted = false
-	s.copies(asked, r)
+	s.sequence, s.sequenceKnown = r.Sequence, true
+	s.reportRequired = false
+	s.updateCache(requestedAt, r)
 	for _, h := range append(slices.Clone(r.Models), r.Pending...) {
-		s.add(now, h)
+		s.addModel(now, h)
 	}
 	for name, m := range s.models {
 		i := slices.IndexFunc(r.Models, func(h backs.Held) bool { return h.Model == name })
 		if i < 0 {
 			if !r.Busy {
-				s.drop(now, name)
+				s.removeModel(now, name)
 			}
 			continue
 		}
-		s.dropAdapters(now, m, append(slices.Clone(r.Models[i].Adapters), pendingOf(r, name)...))
+		s.removeAdapters(now, m, append(slices.Clone(r.Models[i].Adapters), pendingAdapters(r, name)...))
 	}
-	if s.underway = r.Busy; !s.underway {
-		s.settled()
+	if s.orderInProgress = r.Busy; !s.orderInProgress {
+		s.orderEnded()
 	}
 }
 
-// fearLost makes the server rest when it has not come yet to the sequence that a lost
-// order expects: the count had been taken too high, by an answer that did not count.
-// Where the lost order's turn comes only after others, it is carried out on top of
-// what they did, and the server exceeds its memory or places.
-func (s *Server) fearLost(sequence int) {
-	if !s.lost.IsZero() && sequence < s.lostExpect {
-		s.rests = s.lost.Add(lateFor)
+// blockForUnanswered blocks orders to the server if its sequence is below the one that an
+// unanswered order expects: the controller's count was too high, because of an answer that the
+// server did not count. The unanswered order becomes valid only after further orders. It is then
+// executed in addition to them, and the server exceeds its memory or adapter slots.
+func (s *Server) blockForUnanswered(sequence int) {
+	if !s.unansweredOrder.IsZero() && sequence < s.unansweredSequence {
+		s.blockedUntil = s.unansweredOrder.Add(maxOrderDelay)
 	}
 }
 
-// settled notes that no model order is under way: one that is still listed as
-// leaving was not carried out.
-func (s *Server) settled() {
-	s.endOrder()
+// orderEnded records that no model order is in progress. A model that is still listed as unloading
+// was not unloaded.
+func (s *Server) orderEnded() {
+	s.clearOrder()
 	for _, m := range s.models {
-		if m.phase == leaving {
-			m.phase = held
+		if m.phase == unloading {
+			m.phase = loaded
 		}
 	}
 }
 
-func (s *Server) endOrder() { s.busy, s.underway = time.Time{}, false }
+func (s *Server) clearOrder() { s.busyUntil, s.orderInProgress = time.Time{}, false }
 
-func pendingOf(r Report, model string) []string {
+func pendingAdapters(r Report, model string) []string {
 	for _, h := range r.Pending {
 		if h.Model == model {
 			return h.Adapters
@@ -225,106 +226,102 @@
 	return nil
 }
 
-// dropAdapters forgets the adapters that a report does not show and that were
-// not just ordered.
-func (s *Server) dropAdapters(now time.Time, m *resident, shown []string) {
-	for a, at := range m.adapters {
-		if !slices.Contains(shown, a) && (at.leaving || now.Sub(at.ready) > settleTime) {
+// removeAdapters removes the adapters that a report does not show and that were not just ordered.
+func (s *Server) removeAdapters(now time.Time, m *resident, reported []string) {
+	for a, slot := range m.adapters {
+		if !slices.Contains(reported, a) && (slot.unloading || now.Sub(slot.readyAt) > settleTime) {
 			delete(m.adapters, a)
-			s.changed = now
+			s.changedAt = now
 		}
 	}
 }
 
-// copies takes in which copies of weights the server has. A load may push out
-// others, so a report from before the last load says nothing.
-func (s *Server) copies(asked time.Time, r Report) {
-	if asked.Sub(s.loaded) < reportLag {
+// updateCache applies the report's cached weights. A load can evict other copies, so a report
+// requested before or just after the last load is ignored.
+func (s *Server) updateCache(requestedAt time.Time, r Report) {
+	if requestedAt.Sub(s.lastLoad) < maxReportAge {
 		return
 	}
-	s.stock = stock{memory: r.InMemory, disk: r.OnDisk}
+	s.cache = weightCache{memory: r.InMemory, disk: r.OnDisk}
 }
 
-// Free reports whether an order may be sent: the sequence is known, no order is
-// unclear, and no model is on its way. What a report said to be under way may be a
-// load that the VM before ordered and this one does not know of: its memory shows in
-// no list until it is done, however long that takes. Only a report ends that, or the
-// server is ordered beyond its memory and crashes.
+// Free reports whether an order may be sent: the sequence is known, no order has an unknown
+// outcome, and no model order is in progress. A reported order in progress may be a load from the
+// previous controller that this one has no record of. Its memory shows in no list until it ends,
+// however long that takes. Only a report can clear it, or the server gets orders beyond its memory
+// and crashes.
 func (s *Server) Free(now time.Time) bool {
-	if !s.refused.IsZero() && now.Sub(s.refused) < refusalRest || now.Before(s.rests) {
+	if !s.lastRefused.IsZero() && now.Sub(s.lastRefused) < refusalBackoff || now.Before(s.blockedUntil) {
 		return false
 	}
-	return s.known && s.missed == 0 && !s.doubted && s.unclear.IsZero() && !s.underway && !now.Before(s.busy)
+	return s.sequenceKnown && s.failedReports == 0 && !s.reportRequired && s.outcomeUnknownAt.IsZero() && !s.orderInProgress && !now.Before(s.busyUntil)
 }
 
-// NeedsReport reports whether the server's state must be asked for before it
-// can be given orders.
+// NeedsReport reports whether the server can get no orders until it has sent a report.
 func (s *Server) NeedsReport() bool {
-	return !s.known || s.doubted || s.missed > 0 || !s.unclear.IsZero()
+	return !s.sequenceKnown || s.reportRequired || s.failedReports > 0 || !s.outcomeUnknownAt.IsZero()
 }
 
-// Doubt makes the server's state be asked for at once.
-func (s *Server) Doubt() { s.doubted = true }
+// Doubt marks the server's state as uncertain until its next report.
+func (s *Server) Doubt() { s.reportRequired = true }
 
-// refusalRest is how long a server that refused an order gets none. Another one
-// may have its address and give reports as if it were meant; its entry lapses
-// after three heartbeats.
-const refusalRest = 2 * time.Second
+// refusalBackoff is how long a server gets no orders after it refused one. Another server may have
+// taken over its address and answer its report requests; the old entry expires after three
+// heartbeats.
+const refusalBackoff = 2 * time.Second
 
-// lateFor is how long an order without an answer can still be carried out: up to
-// twelve seconds later by the deployments' word.
-const lateFor = 15 * time.Second
+// maxOrderDelay is how long an unanswered order can still be executed: up to twelve seconds later
+// according to the deployments.
+const maxOrderDelay = 15 * time.Second
 
-// Late reports whether a model load that got no answer may still be carried out.
+// Late reports whether an unanswered model load may still be executed.
 func (s *Server) Late(now time.Time) bool {
-	return !s.late.IsZero() && now.Sub(s.late) < lateFor
+	return !s.unansweredLoad.IsZero() && now.Sub(s.unansweredLoad) < maxOrderDelay
 }
 
-// Succeeds takes in that this is the next start of a server under its name. It counts
-// orders from none again, and an order to the start before that got no answer has a
-// number which may fit here once more: carried out then, on top of one that was
-// decided on without it, it exceeds the server's memory. Until it must be dead, no
-// order is given.
-func (s *Server) Succeeds(now time.Time, before *Server) {
-	if lost := before.lost; !lost.IsZero() && now.Sub(lost) < lateFor {
-		s.rests = lost.Add(lateFor)
+// Succeeds blocks orders to this instance of a server while an unanswered order to its previous
+// instance may still be executed. The restarted server counts orders from zero again, so the
+// sequence of the unanswered order can become valid a second time. It would then be executed in
+// addition to an order that was decided on without it, and exceed the server's memory.
+func (s *Server) Succeeds(now time.Time, previous *Server) {
+	if unanswered := previous.unansweredOrder; !unanswered.IsZero() && now.Sub(unanswered) < maxOrderDelay {
+		s.blockedUntil = unanswered.Add(maxOrderDelay)
 	}
 }
 
-// downAfter is how many reports in a row must fail for a server to count as
-// down; one is lost now and then.
-const downAfter = 2
+// downThreshold is how many reports in a row must fail for a server to count as down. A single one
+// is lost now and then.
+const downThreshold = 2
 
-// Missed notes that a report could not be had.
-func (s *Server) Missed() { s.missed++ }
+// Missed records that a report request failed.
+func (s *Server) Missed() { s.failedReports++ }
 
-// Down reports whether the server can not be reached. It gets no orders, and
-// its models count as missing until it answers again; its entry lapses only
-// after three heartbeats.
-func (s *Server) Down() bool { return s.missed >= downAfter }
+// Down reports whether the server is unreachable. It gets no orders, and its models count as
+// missing until it answers again; its entry expires only after three heartbeats.
+func (s *Server) Down() bool { return s.failedReports >= downThreshold }
 
-// Finishing reports whether a model order should be done about now, or is of
-// unknown length, so that a report would show its end.
+// Finishing reports whether an order is expected to have ended by now, or has an unknown duration,
+// so that a report is needed to show its end.
 func (s *Server) Finishing(now time.Time) bool {
-	return (s.underway || !s.busy.IsZero()) && !now.Before(s.done)
+	return (s.orderInProgress || !s.busyUntil.IsZero()) && !now.Before(s.expectedDone)
 }
 
-// Forget makes the state unknown until a report: another VM, or a process on
-// this one that has ended, gave orders up to a time. It may lie ahead.
-func (s *Server) Forget(ended time.Time) {
-	s.ordered = ended
-	s.known, s.unclear = false, time.Time{}
-	s.endOrder()
-	s.inherited = true
-	s.stock = stock{}
+// Forget marks the state as unknown until a report. Another VM, or an earlier process on this one,
+// may have sent orders until predecessorEnd, which may be in the future.
+func (s *Server) Forget(predecessorEnd time.Time) {
+	s.lastOrder = predecessorEnd
+	s.sequenceKnown, s.outcomeUnknownAt = false, time.Time{}
+	s.clearOrder()
+	s.mayInheritLoad = true
+	s.cache = weightCache{}
 }
 
-// Inherited returns how many loads the VM before may have begun here after a
-// time: one if no report has told yet or one goes on, and one for each model
-// that was not there before that time as far as this VM has heard.
+// Inherited returns how many loads the previous controller may have begun at the server after a
+// time: one if no report has arrived or a report shows an order in progress, and one for each
+// model that this VM first observed after that time.
 func (s *Server) Inherited(after time.Time) int {
 	n := 0
-	if s.inherited {
+	if s.mayInheritLoad {
 		n++
 	}
 	for _, r := range s.models {
@@ -335,5 +332,5 @@
 	return n
 }
 
-// Sequence returns the number of orders it is taken to have accepted.
+// Sequence returns the number of orders that the server has accepted, as far as is known.
 func (s *Server) Sequence() int { return s.sequence }
--- /dev/null
+++ b/steer/vmreports.go
@@ -0,0 +1,105 @@
+package steer
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/hibiscuscart/hibiscuscart/backs"
+	"github.com/hibiscuscart/hibiscuscart/pick"
+)
+
+// Want is the demand that a VM observed for a model: a number of requests, and the total time for
+// which they would occupy a whole server.
+type Want struct {
+	Service, Model, Adapter string
+	Requests                int
+	Time                    time.Duration
+}
+
+// Report records a VM's load at the servers and the demand of its callers.
+func (c *Controller) Report(now time.Time, vm string, loads map[string]pick.Load, demands []Want) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.vmLoads == nil {
+		c.vmLoads = make(map[string]map[string]pick.Load)
+	}
+	c.replaceLoads(c.vmLoads[vm], loads)
+	c.vmLoads[vm] = loads
+	for _, w := range demands {
+		c.demand(w.Service).Add(now, w.Model, w.Time.Seconds(), w.Requests)
+		if w.Adapter != "" {
+			c.adapterDemand.Add(now, adapterKey(w.Service, w.Model, w.Adapter), float64(w.Requests), w.Requests)
+		}
+	}
+}
+
+// replaceLoads replaces a VM's part in the total loads. c.mu is held.
+func (c *Controller) replaceLoads(old, next map[string]pick.Load) {
+	if c.totalLoads == nil {
+		c.totalLoads = make(map[string]pick.Load)
+	}
+	for id, l := range old {
+		s := c.totalLoads[id]
+		c.totalLoads[id] = pick.Load{Running: s.Running - l.Running, Reading: s.Reading - l.Reading, Tokens: s.Tokens - l.Tokens}
+		if c.totalLoads[id].Running == 0 {
+			delete(c.totalLoads, id)
+		}
+	}
+	for id, l := range next {
+		c.totalLoads[id] = c.totalLoads[id].Plus(l)
+	}
+}
+
+// Left discards the load of a VM whose link ended.
+func (c *Controller) Left(vm string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.replaceLoads(c.vmLoads[vm], nil)
+	delete(c.vmLoads, vm)
+}
+
+func adapterKey(service, model, adapter string) string { return service + "/" + model + "/" + adapter }
+
+func (c *Controller) demand(service string) *Demand {
+	if c.modelDemand == nil {
+		c.modelDemand = make(map[string]*Demand)
+	}
+	d := c.modelDemand[service]
+	if d == nil {
+		d = &Demand{}
+		c.modelDemand[service] = d
+	}
+	return d
+}
+
+// Loads returns the load of all VMs together at each server.
+func (c *Controller) Loads() map[string]pick.Load {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.totalLoads)
+}
+
+// Shown is the models and adapters that requests may be sent to a server for, and when they last
+// changed.
+type Shown struct {
+	Server  string
+	Models  []backs.Held
+	Changed time.Time
+}
+
+// ShownSince returns the servers that changed after a time. An adapter that becomes ready counts
+// as a change. A server with an unloading model counts as changed until the model is gone, as the
+// server continues to list the model.
+func (c *Controller) ShownSince(now, since time.Time) []Shown {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var list []Shown
+	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
+		s := c.servers[id]
+		if s.changedAt.Add(adapterLoadTime).After(since) || s.unloadingModel() {
+			list = append(list, Shown{Server: id, Models: s.Shown(now), Changed: s.changedAt})
+		}
+	}
+	return list
+}
