--- a/node/node.go
+++ b/node/node.go
@@ -142,7 +142,7 @@
 	}
 	n.control = &steer.Controller{
 		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.servers, Table: n.table.Load, Fence: n.lease.Fence,
-		Term: n.lease.Term, Ended: n.lease.Ended, Contended: n.limits.Contended,
+		Term: n.lease.Term, PredecessorEnd: n.lease.Ended, Contended: n.limits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	n.peers = &peers.Peers{
--- a/peers/frames.go
+++ b/peers/frames.go
@@ -103,18 +103,18 @@
 	return loads
 }
 
-func wantsOf(list []wire.ModelWant) []steer.Want {
-	wants := make([]steer.Want, 0, len(list))
+func wantsOf(list []wire.ModelWant) []steer.ModelDemand {
+	wants := make([]steer.ModelDemand, 0, len(list))
 	for _, w := range list {
-		wants = append(wants, steer.Want{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, Time: time.Duration(w.TimeUs) * time.Microsecond})
+		wants = append(wants, steer.ModelDemand{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, ServerTime: time.Duration(w.TimeUs) * time.Microsecond})
 	}
 	return wants
 }
 
-func wantList(wants []steer.Want) []wire.ModelWant {
+func wantList(wants []steer.ModelDemand) []wire.ModelWant {
 	list := make([]wire.ModelWant, 0, len(wants))
 	for _, w := range wants {
-		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.Time.Microseconds())})
+		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.ServerTime.Microseconds())})
 	}
 	return list
 }
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -168,7 +168,7 @@
 	}
 	p.mu.Unlock()
 	if !again {
-		p.Controller.Left(d.vm)
+		p.Controller.RemoveVM(d.vm)
 	}
 }
 
@@ -185,8 +185,8 @@
 		p.mu.Lock()
 		p.noteBranch(d.vm, branch{vms: m.VMReport.Vms, relaying: m.VMReport.Relaying})
 		p.mu.Unlock()
-		p.Controller.Report(p.Now(), d.vm, loadsOf(m.VMReport.Loads), wantsOf(m.VMReport.Wants))
-		p.Controller.Doubt(m.VMReport.Doubts)
+		p.Controller.RecordVMReport(p.Now(), d.vm, loadsOf(m.VMReport.Loads), wantsOf(m.VMReport.Wants))
+		p.Controller.RequireReports(m.VMReport.Doubts)
 	case m.FindCall != nil:
 		go p.answerFind(spans.Extract(ctx, m.Traceparent), d, m.FindCall)
 	case m.PermitCall != nil:
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -83,7 +83,7 @@
 	Meter     *meter.Set
 
 	mu     sync.Mutex
-	wants  map[wantKey]*steer.Want
+	wants  map[wantKey]*steer.ModelDemand
 	doubts map[string]bool
 	// asking are the questions to the hub that are open.
 	asking questions
@@ -125,7 +125,7 @@
 func (p *Peers) Want(service string, w pick.Work, cost time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addWant(steer.Want{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, Time: cost})
+	p.addWant(steer.ModelDemand{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, ServerTime: cost})
 }
 
 // Doubt notes a server that could not be reached or did not hold what it was
@@ -144,10 +144,10 @@
 	return list
 }
 
-func (p *Peers) takeWants() []steer.Want {
+func (p *Peers) takeWants() []steer.ModelDemand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var list []steer.Want
+	var list []steer.ModelDemand
 	for _, w := range p.wants {
 		list = append(list, *w)
 	}
@@ -177,7 +177,7 @@
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Hold(p.Now(), id, p.Controller.HeldBy(p.Now(), id))
+			p.Servers.Hold(p.Now(), id, p.Controller.ServableModels(p.Now(), id))
 		}
 		return id, err
 	}
@@ -305,14 +305,14 @@
 		changed := p.Controller.Changed()
 		now := p.Now()
 		own := p.Book.Own()
-		p.Controller.Report(now, p.Name, own, p.takeWants())
-		p.Controller.Doubt(p.takeDoubts())
+		p.Controller.RecordVMReport(now, p.Name, own, p.takeWants())
+		p.Controller.RequireReports(p.takeDoubts())
 		// The controller's tracker already merges the reports of all VMs, so its own report is
 		// discarded.
 		p.Poison.TakeReport()
 		p.Limits.TakeReport()
 		p.Book.Others(now, pick.Minus(p.Controller.Loads(), own))
-		for _, s := range p.Controller.ShownSince(now, since) {
+		for _, s := range p.Controller.ChangedSince(now, since) {
 			p.Servers.Hold(now, s.Server, s.Models)
 		}
 		since = now
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -290,14 +290,14 @@
 }
 
 // addWant adds demand to what the controller will be told. p.mu is held.
-func (p *Peers) addWant(w steer.Want) {
+func (p *Peers) addWant(w steer.ModelDemand) {
 	if p.wants == nil {
-		p.wants = make(map[wantKey]*steer.Want)
+		p.wants = make(map[wantKey]*steer.ModelDemand)
 	}
 	key := wantKey{w.Service, w.Model, w.Adapter}
 	if sum := p.wants[key]; sum != nil {
 		sum.Requests += w.Requests
-		sum.Time += w.Time
+		sum.ServerTime += w.ServerTime
 		return
 	}
 	p.wants[key] = &w
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -293,7 +293,7 @@
 		Wants: []wire.ModelWant{{Service: "s", Model: "m", Requests: 2, TimeUs: 20}},
 	})
 	require.Equal(t, pick.Load{Running: 3, Adapters: []string{"m/a1", "m/a2"}}, p.inside()["s1"])
-	require.Equal(t, []steer.Want{{Service: "s", Model: "m", Requests: 3, Time: 30 * time.Microsecond}}, p.takeWants())
+	require.Equal(t, []steer.ModelDemand{{Service: "s", Model: "m", Requests: 3, ServerTime: 30 * time.Microsecond}}, p.takeWants())
 	require.Equal(t, []string{"s2"}, p.takeDoubts())
 	require.Equal(t, 5, p.vmCount())
 	p.branchReport("a", &wire.VMReport{Vms: 1})
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -60,11 +60,11 @@
 func TestServersCarryOutOrdersOneByOne(t *testing.T) {
 	s := testServer()
 	require.True(t, s.held[0] && s.held[1], "both models fit")
-	require.Equal(t, steer.Conflict, s.take(steer.Order{Unload: true, Model: modelName(1), Expect: 1}))
+	require.Equal(t, steer.Conflict, s.take(steer.Order{Unload: true, Model: modelName(1), ExpectedSequence: 1}))
 	require.Equal(t, steer.Accepted, s.take(steer.Order{Unload: true, Model: modelName(1)}))
 	require.False(t, s.held[1])
-	require.Equal(t, steer.Accepted, s.take(steer.Order{Model: modelName(1), Expect: 1}))
-	require.Equal(t, steer.Conflict, s.take(steer.Order{Unload: true, Model: modelName(0), Expect: 2}))
+	require.Equal(t, steer.Accepted, s.take(steer.Order{Model: modelName(1), ExpectedSequence: 1}))
+	require.Equal(t, steer.Conflict, s.take(steer.Order{Unload: true, Model: modelName(0), ExpectedSequence: 2}))
 	s.w.run()
 	require.True(t, s.held[1])
 	require.GreaterOrEqual(t, s.w.now, 100*time.Millisecond)
@@ -79,10 +79,10 @@
 	require.Equal(t, steer.Accepted, s.take(steer.Order{Model: modelName(0), Adapter: adapterName(1)}))
 	require.True(t, s.serves(r))
 	require.Equal(t, []string{adapterName(1)}, s.holds()[0].Adapters)
-	require.Equal(t, steer.Done, s.take(steer.Order{Unload: true, Model: modelName(0), Adapter: adapterName(1), Expect: 1}))
+	require.Equal(t, steer.Done, s.take(steer.Order{Unload: true, Model: modelName(0), Adapter: adapterName(1), ExpectedSequence: 1}))
 	require.False(t, s.serves(r))
-	require.Equal(t, steer.Accepted, s.take(steer.Order{Model: modelName(0), Adapter: adapterName(1), Expect: 2}))
-	require.Panics(t, func() { s.take(steer.Order{Model: modelName(0), Adapter: adapterName(2), Expect: 3}) })
+	require.Equal(t, steer.Accepted, s.take(steer.Order{Model: modelName(0), Adapter: adapterName(1), ExpectedSequence: 2}))
+	require.Panics(t, func() { s.take(steer.Order{Model: modelName(0), Adapter: adapterName(2), ExpectedSequence: 3}) })
 }
 
 func TestCrashedServersComeBackEmptyWithTheirDisks(t *testing.T) {
--- a/replay/server.go
+++ b/replay/server.go
@@ -209,13 +209,13 @@
 }
 
 // take carries out an order.
-func (s *server) take(o steer.Order) steer.Verdict {
+func (s *server) take(o steer.Order) steer.OrderResult {
 	m := modelNumber(o.Model)
 	if o.Adapter != "" {
 		return s.takeAdapter(o, m)
 	}
 	switch {
-	case s.order != nil || o.Expect != s.sequence:
+	case s.order != nil || o.ExpectedSequence != s.sequence:
 		return steer.Conflict
 	case o.Unload != s.held[m]:
 		return steer.Done
@@ -232,11 +232,11 @@
 	return steer.Accepted
 }
 
-func (s *server) takeAdapter(o steer.Order, m int) steer.Verdict {
+func (s *server) takeAdapter(o steer.Order, m int) steer.OrderResult {
 	key := adapterKey{m, adapterNumber(o.Adapter)}
 	at := s.adapters[key]
 	switch {
-	case s.order != nil || o.Expect != s.sequence:
+	case s.order != nil || o.ExpectedSequence != s.sequence:
 		return steer.Conflict
 	case !s.held[m]:
 		return steer.Refused
--- a/replay/share.go
+++ b/replay/share.go
@@ -74,7 +74,7 @@
 	switch {
 	case w.variant.Still:
 		for i := range wants {
-			wants[i].Time = 0
+			wants[i].ServerTime = 0
 		}
 	case w.variant.Foreseen > 0 && v.place == 0:
 		w.foresee(v)
@@ -85,7 +85,7 @@
 	if len(wants) == 0 {
 		return
 	}
-	w.after(leastPause, func() { w.control.Report(w.time(), v.name, nil, wants) })
+	w.after(leastPause, func() { w.control.RecordVMReport(w.time(), v.name, nil, wants) })
 }
 
 // inside returns the load of a domain's VMs as they told it.
--- a/replay/variant.go
+++ b/replay/variant.go
@@ -59,15 +59,15 @@
 			}
 		}
 	}
-	var wants []steer.Want
+	var wants []steer.ModelDemand
 	for m, seconds := range work {
 		if seconds > 0 {
-			wants = append(wants, steer.Want{
-				Service: serviceName, Model: modelName(m), Requests: foreseenRequests, Time: time.Duration(seconds * float64(time.Second)),
+			wants = append(wants, steer.ModelDemand{
+				Service: serviceName, Model: modelName(m), Requests: foreseenRequests, ServerTime: time.Duration(seconds * float64(time.Second)),
 			})
 		}
 	}
-	w.control.Report(w.time(), v.name, nil, wants)
+	w.control.RecordVMReport(w.time(), v.name, nil, wants)
 }
 
 // meanWork is a request of a kind whose sizes are the means.
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -25,7 +25,7 @@
 	rng    *rand.Rand
 	// waiting counts the requests for a model that wait for room.
 	waiting map[string]int
-	wants   map[string]*steer.Want
+	wants   map[string]*steer.ModelDemand
 	// told is what its hub knows of it, outside what it was told of the others.
 	told    map[string]pick.Load
 	open    map[string]bool
@@ -52,11 +52,11 @@
 	key := r.work.Model + "/" + r.work.Adapter
 	want := v.wants[key]
 	if want == nil {
-		want = &steer.Want{Service: serviceName, Model: r.work.Model, Adapter: r.work.Adapter}
+		want = &steer.ModelDemand{Service: serviceName, Model: r.work.Model, Adapter: r.work.Adapter}
 		v.wants[key] = want
 	}
 	want.Requests++
-	want.Time += cost
+	want.ServerTime += cost
 	v.w.at(r.arrived+r.kind.Leaves, func() { v.left(r) })
 	v.try(r)
 }
@@ -283,12 +283,12 @@
 }
 
 // takeWants returns the demand since the last call.
-func (v *vm) takeWants() []steer.Want {
-	list := make([]steer.Want, 0, len(v.wants))
+func (v *vm) takeWants() []steer.ModelDemand {
+	list := make([]steer.ModelDemand, 0, len(v.wants))
 	for _, w := range v.wants {
 		list = append(list, *w)
 	}
-	slices.SortFunc(list, func(a, b steer.Want) int {
+	slices.SortFunc(list, func(a, b steer.ModelDemand) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 	})
 	clear(v.wants)
--- a/replay/world.go
+++ b/replay/world.go
@@ -106,7 +106,7 @@
 		d := i % f.Domains
 		v := &vm{
 			w: w, name: fmt.Sprintf("v%04d", i), place: i, domain: d, rng: rand.New(rand.NewPCG(seed, uint64(1000+i))),
-			budget: &retry.Window{}, waiting: make(map[string]int), wants: make(map[string]*steer.Want), open: make(map[string]bool),
+			budget: &retry.Window{}, waiting: make(map[string]int), wants: make(map[string]*steer.ModelDemand), open: make(map[string]bool),
 			pending: make(map[*request]*send),
 		}
 		v.book = &pick.Book{Domain: domainName(d), Seed: seed*1e6 + uint64(i), Idle: func(id string) bool { return v.open[id] }}
@@ -257,7 +257,7 @@
 		Fence: func(time.Time) (int, bool) { return 1, true }, Now: w.time, Log: zerolog.Nop(), Meter: meter.New(),
 		Spawn: func(call func()) { w.calls = append(w.calls, call) },
 		Commands: steer.Commands{
-			Send: func(_ context.Context, e backs.Entry, o steer.Order) (steer.Verdict, error) {
+			Send: func(_ context.Context, e backs.Entry, o steer.Order) (steer.OrderResult, error) {
 				s := w.byID(e.ID)
 				if s == nil || s.down {
 					return steer.Refused, fmt.Errorf("%s is down", e.ID)
@@ -293,7 +293,7 @@
 
 // find asks the controller for a server that holds a request's model and adapter.
 func (w *world) find(r *request) {
-	_, err := w.control.Look(context.Background(), w.time(), routes.Service{Name: serviceName, Engine: w.engine}, r.work.Model, r.work.Adapter)
+	_, err := w.control.TryFind(context.Background(), w.time(), routes.Service{Name: serviceName, Engine: w.engine}, r.work.Model, r.work.Adapter)
 	if err != nil {
 		panic(fmt.Sprintf("look for %s: %v", r.work.Model, err))
 	}
@@ -303,7 +303,7 @@
 // tell passes on what servers hold by the controller's word.
 func (w *world) tell() {
 	now := w.time()
-	shown := w.control.ShownSince(now, w.shown)
+	shown := w.control.ChangedSince(now, w.shown)
 	w.shown = now
 	if len(shown) == 0 {
 		return
@@ -317,7 +317,7 @@
 }
 
 // doubt passes on that a server was not reached.
-func (w *world) doubt(id string) { w.control.Doubt([]string{id}) }
+func (w *world) doubt(id string) { w.control.RequireReports([]string{id}) }
 
 // troubles plans what befalls servers.
 func (w *world) troubles() {
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -212,11 +212,11 @@
 }
 
 // Order takes an order. It reports whether the answer is to be lost.
-func (b *Backend) Order(o steer.Order) (steer.Verdict, bool) {
+func (b *Backend) Order(o steer.Order) (steer.OrderResult, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lose := b.strikes.take(func(f *BackendFaults) *int { return &f.LoseOrders })
-	if b.busy || o.Expect != b.sequence {
+	if b.busy || o.ExpectedSequence != b.sequence {
 		return steer.Conflict, lose
 	}
 	if o.Adapter != "" {
@@ -263,7 +263,7 @@
 	b.changed()
 }
 
-func (b *Backend) adapter(o steer.Order) steer.Verdict {
+func (b *Backend) adapter(o steer.Order) steer.OrderResult {
 	adapters, ok := b.models[o.Model]
 	if !ok {
 		return steer.Refused
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -100,7 +100,7 @@
 func (c *Controller) findOrLoad(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
 	for {
 		changed := c.Changed()
-		id, err := c.Look(ctx, c.Now(), s, model, adapter)
+		id, err := c.TryFind(ctx, c.Now(), s, model, adapter)
 		if id != "" || err != nil {
 			return id, err
 		}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Look returns a server that serves a model and adapter. If there is none, it returns "" and
+// TryFind returns a server that serves a model and adapter. If there is none, it returns "" and
 // orders the adapter to be loaded at a server that holds the model, if there is one.
-func (c *Controller) Look(ctx context.Context, now time.Time, s routes.Service, model, adapter string) (string, error) {
+func (c *Controller) TryFind(ctx context.Context, now time.Time, s routes.Service, model, adapter string) (string, error) {
 	if id := c.readyServer(now, s.Name, model, adapter); id != "" {
 		return id, nil
 	}
@@ -134,7 +134,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.serversOf(service) {
-		if s.Has(now, model, adapter) && !s.reportRequired && !s.Down() && c.Servers.Usable(now, s.entry.ID) {
+		if s.Serves(now, model, adapter) && !s.reportRequired && !s.Down() && c.Servers.Usable(now, s.entry.ID) {
 			return s.entry.ID
 		}
 	}
@@ -156,7 +156,7 @@
 		if slot, exists := r.adapters[adapter]; exists && !slot.unloading {
 			return
 		}
-		if !s.Free(now) || c.orderInFlight[s.entry.ID] {
+		if !s.AcceptsOrders(now) || c.orderInFlight[s.entry.ID] {
 			continue
 		}
 		if cost := c.adapterCost(s, service, model, adapter); best == nil || cost < bestCost {
@@ -179,7 +179,7 @@
 // loadAdapterAt orders an adapter at a server. Without a free slot or memory it orders the
 // unloading of an adapter that had no recent requests instead.
 func (c *Controller) loadAdapterAt(ctx context.Context, now time.Time, s *Server, service routes.Service, model, adapter string) {
-	if s.Places() < service.Engine.AdapterSlots && s.usedMB(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
+	if s.UsedAdapterSlots() < service.Engine.AdapterSlots && s.usedMB(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
 		c.sendAsync(context.WithoutCancel(ctx), s, Order{Model: model, Adapter: adapter}, adapterLoadTime)
 		return
 	}
@@ -192,14 +192,14 @@
 // the fewest requests, then by a hash that spreads a model's adapters over its copies.
 func (c *Controller) adapterCost(s *Server, service routes.Service, model, adapter string) uint64 {
 	cost := xxhash.Sum64String(s.entry.ID+"/"+model+"/"+adapter) >> 32
-	if s.Places() >= service.Engine.AdapterSlots {
+	if s.UsedAdapterSlots() >= service.Engine.AdapterSlots {
 		cost += 1 << 50
 	}
 	return cost + uint64(c.runningRequests(s.entry.ID)/8)<<33
 }
 
-// adaptersInUse returns the adapters that running requests use at a server. The server would stay
-// busy with unloading one of these until the requests end.
+// adaptersInUse returns the adapters that running requests use at a server. Unloading one of these
+// would keep the server busy until its requests end.
 func (c *Controller) adaptersInUse(server string) map[string]bool {
 	used := make(map[string]bool)
 	for _, loads := range c.vmLoads {
@@ -267,7 +267,7 @@
 				continue
 			}
 			candidates[model.Name] = slices.DeleteFunc(candidates[model.Name], func(s *Server) bool {
-				return s.Places()+ordered[s] >= service.Engine.AdapterSlots
+				return s.UsedAdapterSlots()+ordered[s] >= service.Engine.AdapterSlots
 			})
 			if s := c.bestAdapterServer(candidates[model.Name], service, model, adapter); s != nil {
 				orders[s] = append(orders[s], Order{Model: model.Name, Adapter: adapter})
@@ -306,11 +306,11 @@
 func (c *Controller) recheckAdapterOrder(s *Server, service routes.Service, o Order) (Order, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o.Expect = s.sequence
+	o.ExpectedSequence = s.sequence
 	r := s.models[o.Model]
-	fits := s.Places() < service.Engine.AdapterSlots &&
+	fits := s.UsedAdapterSlots() < service.Engine.AdapterSlots &&
 		s.usedMB(service.Engine)+service.Engine.Models[o.Model].AdapterMB <= service.Engine.MemoryMB
-	return o, r != nil && r.phase == loaded && fits && s.Free(c.Now())
+	return o, r != nil && r.phase == loaded && fits && s.AcceptsOrders(c.Now())
 }
 
 // adapterID returns the name of a model's adapter by its index, which starts at 0.
@@ -349,7 +349,7 @@
 		if !c.reachable(now, s) {
 			continue
 		}
-		accepts := s.Free(now) && s.Places() < service.Engine.AdapterSlots
+		accepts := s.AcceptsOrders(now) && s.UsedAdapterSlots() < service.Engine.AdapterSlots
 		for name, r := range s.models {
 			for a := range r.adapters {
 				present[name+"/"+a] = true
@@ -395,12 +395,12 @@
 	return best
 }
 
-// HeldBy returns the models and adapters of a server that requests may be sent for.
-func (c *Controller) HeldBy(now time.Time, id string) []backs.Held {
+// ServableModels returns the models and adapters of a server that requests may be sent for.
+func (c *Controller) ServableModels(now time.Time, id string) []backs.Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.servers[id]; s != nil {
-		return s.Shown(now)
+		return s.ServableModels(now)
 	}
 	return nil
 }
--- a/steer/balance.go
+++ b/steer/balance.go
@@ -147,7 +147,7 @@
 func plannedCopies(e *routes.Engine, servers []candidate, now time.Time) map[string][]modelCopy {
 	copies := make(map[string][]modelCopy, len(e.Models))
 	for i, s := range servers {
-		if m := s.Intent(now); m != "" {
+		if m := s.ReservedFor(now); m != "" {
 			copies[m] = append(copies[m], modelCopy{server: i})
 		}
 		for name, r := range s.models {
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -106,7 +106,7 @@
 			e.Models = append(e.Models, backs.Held{Model: m})
 		}
 		s := NewServer(start, e)
-		s.Reported(start, start, Report{Models: e.Models})
+		s.ApplyReport(start, start, Report{Models: e.Models})
 		servers = append(servers, s)
 	}
 	demand := &Demand{}
@@ -143,30 +143,30 @@
 		}
 		inProgress = remaining
 		p := &Planner{
-			Engine: engine, Servers: servers, Now: now, Store: func() *Begun {
+			Engine: engine, Servers: servers, Now: now, StartStoreLoad: func() *LoadStart {
 				if len(inProgress) < 9 {
-					return &Begun{}
+					return &LoadStart{}
 				}
 				return nil
 			},
 			Work:   func(m string) float64 { return demand.Work(now, m) / meanAge(demandHalfLife) },
-			Spread: func(m string) float64 { return demand.Spread(now, m) / meanAge(demandHalfLife) },
+			StdErr: func(m string) float64 { return demand.StdErr(now, m) / meanAge(demandHalfLife) },
 		}
 		if trend {
-			p.Ahead = func(m string, horizon time.Duration) (float64, float64) {
-				future, mean := demand.Ahead(now, m, horizon)
+			p.Forecast = func(m string, horizon time.Duration) (float64, float64) {
+				future, mean := demand.Forecast(now, m, horizon)
 				return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 			}
 		}
 		for _, step := range p.Steps() {
-			o := order{server: step.Server, model: step.Model.Name, unload: step.Unload, done: now.Add(step.Time)}
+			o := order{server: step.Server, model: step.Model.Name, unload: step.Unload, done: now.Add(step.LoadTime)}
 			if step.Unload {
 				o.done = now.Add(2 * time.Second)
-				step.Server.Intend(now, step.For)
+				step.Server.Reserve(now, step.ReplacedBy)
 			} else {
 				loads++
 			}
-			step.Server.Answered(now, now, engine, Order{Unload: step.Unload, Model: o.model}, Accepted, o.done.Sub(now))
+			step.Server.ApplyResult(now, now, engine, Order{Unload: step.Unload, Model: o.model}, Accepted, o.done.Sub(now))
 			inProgress = append(inProgress, o)
 		}
 		copies := make(map[string][]modelCopy)
@@ -221,14 +221,14 @@
 			engine.Models["filler"] = routes.Model{Name: "filler", MB: 10, Load: time.Second}
 		}
 		s := NewServer(now, e)
-		s.Reported(now, now, Report{Models: e.Models})
+		s.ApplyReport(now, now, Report{Models: e.Models})
 		servers = append(servers, s)
 	}
 	plan := func(missing time.Duration) []Step {
 		p := &Planner{
-			Engine: engine, Servers: servers, Now: now, Store: func() *Begun { return &Begun{} },
-			Work:    func(m string) float64 { return map[string]float64{"busy": 0.9}[m] },
-			Missing: func(string) time.Duration { return missing },
+			Engine: engine, Servers: servers, Now: now, StartStoreLoad: func() *LoadStart { return &LoadStart{} },
+			Work:            func(m string) float64 { return map[string]float64{"busy": 0.9}[m] },
+			TimeWithoutCopy: func(string) time.Duration { return missing },
 		}
 		return p.Steps()
 	}
@@ -236,5 +236,5 @@
 	steps := plan(time.Minute)
 	require.Len(t, steps, 1)
 	require.True(t, steps[0].Unload)
-	require.Equal(t, "rare", steps[0].For)
+	require.Equal(t, "rare", steps[0].ReplacedBy)
 }
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -41,7 +41,7 @@
 )
 
 // Controller places models and adapters on the servers while it holds the lease. All fields but
-// Term, Ended, Contended, Window and Spawn must be set.
+// Term, PredecessorEnd, Contended, Window and Spawn must be set.
 type Controller struct {
 	// Name is the name of this VM.
 	Name     string
@@ -54,9 +54,9 @@
 	// sent yet; nil uses Fence. In that time the controller requests reports to find out what the
 	// servers hold.
 	Term func(now time.Time) (int, bool)
-	// Ended returns the latest time at which the previous controller may have sent an order; nil
-	// for the start of this VM's term.
-	Ended func() time.Time
+	// PredecessorEnd returns the latest time at which the previous controller may have sent an
+	// order; nil for the start of this VM's term.
+	PredecessorEnd func() time.Time
 	// Contended reports whether the requests for a server far exceed its rate limit; nil for
 	// never.
 	Contended func(server string) bool
@@ -85,7 +85,7 @@
 	lastCopySeen  map[string]time.Time
 	modelDemand   map[string]*Demand
 	adapterDemand Demand
-	loadLimiters  map[string]*Ceiling
+	loadLimiters  map[string]*LoadLimiter
 	vmLoads       map[string]map[string]pick.Load
 	totalLoads    map[string]pick.Load
 	changed       chan struct{}
@@ -182,16 +182,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fence, c.predecessorEnd = fence, now
-	if c.Ended != nil {
-		c.predecessorEnd = c.Ended()
+	if c.PredecessorEnd != nil {
+		c.predecessorEnd = c.PredecessorEnd()
 	}
 	for _, s := range table.Services() {
 		if s.Engine != nil {
-			c.loadLimiter(s).Succeed(c.predecessorEnd)
+			c.loadLimiter(s).BeginTerm(c.predecessorEnd)
 		}
 	}
 	for _, s := range c.servers {
-		s.Forget(c.predecessorEnd)
+		s.BeginTerm(c.predecessorEnd)
 	}
 	c.Log.Info().Dur("since_last_order", now.Sub(c.predecessorEnd)).Int("fence", fence).Msg("lease term started")
 }
@@ -220,9 +220,9 @@
 			c.servers[e.ID] = s
 			added++
 		}
-		s.Listed(now, e.At, e.Entry)
+		s.ApplyEntry(now, e.At, e.Entry)
 		if e.Unreadable {
-			s.Doubt()
+			s.RequireReport()
 		}
 	}
 	for id, s := range c.servers {
@@ -246,7 +246,7 @@
 func (c *Controller) blockRestarted(now time.Time, previous *Server) {
 	for _, s := range c.servers {
 		if s != previous && s.entry.Called() == previous.entry.Called() {
-			s.Succeeds(now, previous)
+			s.BlockAfterRestart(now, previous)
 		}
 	}
 }
@@ -267,9 +267,9 @@
 	c.sortedServers[service] = list
 }
 
-func (c *Controller) loadLimiter(service routes.Service) *Ceiling {
+func (c *Controller) loadLimiter(service routes.Service) *LoadLimiter {
 	if c.loadLimiters == nil {
-		c.loadLimiters = make(map[string]*Ceiling)
+		c.loadLimiters = make(map[string]*LoadLimiter)
 	}
 	loadLimiter := c.loadLimiters[service.Name]
 	if loadLimiter == nil {
@@ -277,7 +277,7 @@
 		if window == 0 {
 			window = defaultWindow
 		}
-		loadLimiter = &Ceiling{Window: window}
+		loadLimiter = &LoadLimiter{Window: window}
 		c.loadLimiters[service.Name] = loadLimiter
 	}
 	loadLimiter.PerSecond = service.Engine.LoadsPerSecond
@@ -311,46 +311,46 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	demand, limiter := c.demand(service.Name), c.loadLimiter(service)
-	limiter.Late, limiter.Inherited = 0, 0
+	limiter.Unanswered, limiter.Inherited = 0, 0
 	c.recordCopies(now, service.Name)
 	for _, s := range c.serversOf(service.Name) {
-		if s.Late(now) {
-			limiter.Late++
+		if s.HasUnansweredLoad(now) {
+			limiter.Unanswered++
 		}
-		limiter.Inherited += s.Inherited(limiter.Ended.Add(-limiter.Window))
+		limiter.Inherited += s.InheritedLoads(limiter.PredecessorEnd.Add(-limiter.Window))
 	}
 	planner := &Planner{
 		Engine: service.Engine, Servers: c.serversOf(service.Name), Now: now,
 		Work:   func(model string) float64 { return demand.Work(now, model) / meanAge(demandHalfLife) },
-		Spread: func(model string) float64 { return demand.Spread(now, model) / meanAge(demandHalfLife) },
-		Ahead: func(model string, horizon time.Duration) (future, mean float64) {
-			future, mean = demand.Ahead(now, model, horizon)
+		StdErr: func(model string) float64 { return demand.StdErr(now, model) / meanAge(demandHalfLife) },
+		Forecast: func(model string, horizon time.Duration) (future, mean float64) {
+			future, mean = demand.Forecast(now, model, horizon)
 			return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 		},
-		Contended: c.Contended,
-		Missing:   func(model string) time.Duration { return c.timeWithoutCopy(now, service.Name, model) },
-		Awaited: func(model string) bool {
+		Contended:       c.Contended,
+		TimeWithoutCopy: func(model string) time.Duration { return c.timeWithoutCopy(now, service.Name, model) },
+		MayBeUnlisted: func(model string) bool {
 			return now.Sub(c.firstListed[service.Name]) < startupListingTime && demand.Last(model).IsZero()
 		},
 		// Counts each planned load at once: one plan may contain many, and each must count the
 		// ones before it.
-		Store: func() *Begun {
+		StartStoreLoad: func() *LoadStart {
 			if !limiter.Allow(now) {
 				return nil
 			}
-			return limiter.Begin(now)
+			return limiter.Start(now)
 		},
 	}
 	for _, step := range planner.Steps() {
 		if c.orderInFlight[step.Server.entry.ID] {
-			limiter.Return(step.Begun)
+			limiter.Release(step.LoadStart)
 			continue
 		}
-		if step.For != "" {
-			step.Server.Intend(now, step.For)
+		if step.ReplacedBy != "" {
+			step.Server.Reserve(now, step.ReplacedBy)
 		}
-		c.sendAsyncWithCallback(ctx, step.Server, Order{Unload: step.Unload, Model: step.Model.Name}, step.Time, func(result Verdict) {
-			limiter.Answered(c.Now(), step.Begun, result)
+		c.sendAsyncWithCallback(ctx, step.Server, Order{Unload: step.Unload, Model: step.Model.Name}, step.LoadTime, func(result OrderResult) {
+			limiter.RecordResult(c.Now(), step.LoadStart, result)
 		})
 	}
 }
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -29,7 +29,7 @@
 		Name: "vm", Servers: view, Table: func() *routes.Table { return table }, Fence: fence,
 		Now: func() time.Time { return now }, Log: zerolog.Nop(), Meter: meter.New(),
 		Commands: Commands{
-			Send: func(_ context.Context, _ backs.Entry, o Order) (Verdict, error) {
+			Send: func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
 				orders <- o
 				return Accepted, nil
 			},
@@ -54,13 +54,13 @@
 	now := c.Now()
 	c.syncServers(now, "s")
 	s := c.servers["a"]
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
 	c.mu.Lock()
 	c.sendAsync(context.Background(), s, Order{Model: "m2"}, time.Second)
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
+	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
 	c.mu.Unlock()
 	close(leaseReady)
-	require.Equal(t, 7, (<-orders).Expect)
+	require.Equal(t, 7, (<-orders).ExpectedSequence)
 }
 
 // If an adapter in use were evicted, the server would accept no further order until its requests
@@ -70,12 +70,12 @@
 	now := c.Now()
 	c.syncServers(now, "s")
 	s := c.servers["a"]
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
-	c.Report(now, "vm", loadUsing("a", "m1/a1"), nil)
+	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
+	c.RecordVMReport(now, "vm", loadUsing("a", "m1/a1"), nil)
 	later := now.Add(time.Minute)
 	model, adapter := c.leastRecentlyUsed(later, s, "s", time.Second)
 	require.Equal(t, "m1/a2", model+"/"+adapter)
-	c.Report(now, "vm", loadUsing("a", "m1/a1", "m1/a2"), nil)
+	c.RecordVMReport(now, "vm", loadUsing("a", "m1/a1", "m1/a2"), nil)
 	_, adapter = c.leastRecentlyUsed(later, s, "s", time.Second)
 	require.Empty(t, adapter)
 }
@@ -99,7 +99,7 @@
 	c.Servers.Replace(now, entries)
 	c.syncServers(now, "s")
 	for _, s := range c.servers {
-		s.Reported(now, now, Report{})
+		s.ApplyReport(now, now, Report{})
 	}
 	c.placeModels(context.Background(), now.Add(startupListingTime), routes.Service{Name: "s", Engine: engine})
 	for range 2 {
@@ -120,7 +120,7 @@
 	var calls []func()
 	c.Spawn = func(call func()) { calls = append(calls, call) }
 	send := c.Commands.Send
-	c.Commands.Send = func(ctx context.Context, e backs.Entry, o Order) (Verdict, error) {
+	c.Commands.Send = func(ctx context.Context, e backs.Entry, o Order) (OrderResult, error) {
 		now = now.Add(500 * time.Millisecond)
 		return send(ctx, e, o)
 	}
@@ -133,7 +133,7 @@
 	c.Servers.Replace(now, entries)
 	c.syncServers(now, "s")
 	for _, s := range c.servers {
-		s.Reported(now, now, Report{})
+		s.ApplyReport(now, now, Report{})
 	}
 	placeAt := func(at time.Time) int {
 		now = at
@@ -160,14 +160,14 @@
 	service, _ := table.Service("s")
 	placeAt := func(now time.Time) {
 		c.syncServers(now, "s")
-		c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+		c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
 		c.placeModels(t.Context(), now, service)
 	}
 	now := c.Now()
 	placeAt(now)
 	placeAt(now.Add(startupListingTime - time.Millisecond))
 	require.Empty(t, c.orderInFlight)
-	c.Report(now, "vm", nil, []Want{{Service: "s", Model: "m2", Requests: 1, Time: time.Millisecond}})
+	c.RecordVMReport(now, "vm", nil, []ModelDemand{{Service: "s", Model: "m2", Requests: 1, ServerTime: time.Millisecond}})
 	placeAt(now.Add(time.Second))
 	require.Equal(t, "m2", (<-orders).Model)
 
@@ -187,12 +187,12 @@
 	c.Spawn = func(call func()) { calls = append(calls, call) }
 	c.Step(t.Context(), c.Now())
 	now := c.Now().Add(time.Second)
-	c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
-	var demands []Want
+	c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	var demands []ModelDemand
 	for _, adapter := range []string{"a1", "a2", "a3"} {
-		demands = append(demands, Want{Service: "s", Model: "m1", Adapter: adapter, Requests: 1, Time: time.Millisecond})
+		demands = append(demands, ModelDemand{Service: "s", Model: "m1", Adapter: adapter, Requests: 1, ServerTime: time.Millisecond})
 	}
-	c.Report(now, "vm", nil, append(demands, Want{Service: "s", Model: "m2", Requests: 1, Time: time.Millisecond}))
+	c.RecordVMReport(now, "vm", nil, append(demands, ModelDemand{Service: "s", Model: "m2", Requests: 1, ServerTime: time.Millisecond}))
 	var got []string
 	for range 2 {
 		calls = nil
@@ -215,7 +215,7 @@
 // must not be sent.
 func TestSerialOrdersStopAtFirstFailure(t *testing.T) {
 	tests := map[string]struct {
-		result  Verdict
+		result  OrderResult
 		between func(c *Controller, leading *bool)
 		want    []int
 	}{
@@ -232,7 +232,7 @@
 			leading := true
 			c, orders := testController(func(time.Time) (int, bool) { return 5, leading })
 			sent := 0
-			c.Commands.Send = func(_ context.Context, _ backs.Entry, o Order) (Verdict, error) {
+			c.Commands.Send = func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
 				orders <- o
 				if sent++; sent != 2 {
 					return Accepted, nil
@@ -247,7 +247,7 @@
 			now := c.Now()
 			c.syncServers(now, "s")
 			s := c.servers["a"]
-			s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 3})
+			s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 3})
 			service, _ := c.Table().Service("s")
 			service.Engine.AdapterSlots = 4
 			c.mu.Lock()
@@ -256,7 +256,7 @@
 			sendAll()
 			var sequences []int
 			for len(orders) > 0 {
-				sequences = append(sequences, (<-orders).Expect)
+				sequences = append(sequences, (<-orders).ExpectedSequence)
 			}
 			require.Equal(t, tc.want, sequences)
 			require.False(t, c.orderInFlight["a"])
@@ -281,7 +281,7 @@
 			return nil
 		},
 		"for a request": func(c *Controller, s routes.Service) error {
-			_, err := c.Look(t.Context(), now, s, "m1", "a1")
+			_, err := c.TryFind(t.Context(), now, s, "m1", "a1")
 			return err
 		},
 	}
@@ -293,12 +293,12 @@
 				{ID: "b", Service: "s", Models: []backs.Held{{Model: "m1"}}},
 			})
 			c.syncServers(now, "s")
-			c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}})
-			c.servers["b"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+			c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}})
+			c.servers["b"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
 			for range downThreshold {
-				c.servers["a"].Missed()
+				c.servers["a"].ReportFailed()
 			}
-			c.Report(now, "vm", nil, []Want{{Service: "s", Model: "m1", Adapter: "a1", Requests: 1, Time: time.Millisecond}})
+			c.RecordVMReport(now, "vm", nil, []ModelDemand{{Service: "s", Model: "m1", Adapter: "a1", Requests: 1, ServerTime: time.Millisecond}})
 			service, _ := c.Table().Service("s")
 			require.NoError(t, request(c, service))
 			select {
--- a/steer/demand.go
+++ b/steer/demand.go
@@ -87,9 +87,9 @@
 // Total returns the decayed sum of requested work over all names.
 func (d *Demand) Total(now time.Time) float64 { return d.all.work * d.all.decay(now) }
 
-// Ahead returns the expected value of Work at the horizon if its trend continues, and its mean
+// Forecast returns the expected value of Work at the horizon if its trend continues, and its mean
 // until then.
-func (d *Demand) Ahead(now time.Time, name string, horizon time.Duration) (future, mean float64) {
+func (d *Demand) Forecast(now time.Time, name string, horizon time.Duration) (future, mean float64) {
 	e := d.entries[name]
 	if e == nil {
 		return 0, 0
@@ -142,10 +142,10 @@
 	return max(1-square(bound/rise), 0)
 }
 
-// Spread returns the standard error of Work as an estimate of the mean demand: requests arrive at
+// StdErr returns the standard error of Work as an estimate of the mean demand: requests arrive at
 // random, and a few of them are a poor estimate. It is at least the work of one request, so that a
 // name without requests so far does not count as certain to have none.
-func (d *Demand) Spread(now time.Time, name string) float64 {
+func (d *Demand) StdErr(now time.Time, name string) float64 {
 	meanRequest := 0.0
 	if d.all.requests > 0 {
 		meanRequest = d.all.work / d.all.requests
--- a/steer/demand_test.go
+++ b/steer/demand_test.go
@@ -14,17 +14,17 @@
 
 func TestDemandStdErr(t *testing.T) {
 	var d steer.Demand
-	require.Zero(t, d.Spread(at(0), "m"))
+	require.Zero(t, d.StdErr(at(0), "m"))
 	for range 100 {
 		d.Add(at(0), "many", 10, 1)
 	}
 	d.Add(at(0), "together", 1000, 100)
 	d.Add(at(0), "few", 10, 1)
 	require.InDelta(t, 1000, d.Work(at(0), "many"), 1e-9)
-	require.InDelta(t, d.Spread(at(0), "many"), d.Spread(at(0), "together"), 1e-9, "added one by one or together")
-	require.InDelta(t, 100.5, d.Spread(at(0), "many"), 0.01)
-	require.Greater(t, d.Spread(at(0), "few"), d.Work(at(0), "few"))
-	require.InDelta(t, 10, d.Spread(at(0), "never"), 1e-9, "a name without requests gets the mean request")
+	require.InDelta(t, d.StdErr(at(0), "many"), d.StdErr(at(0), "together"), 1e-9, "added one by one or together")
+	require.InDelta(t, 100.5, d.StdErr(at(0), "many"), 0.01)
+	require.Greater(t, d.StdErr(at(0), "few"), d.Work(at(0), "few"))
+	require.InDelta(t, 10, d.StdErr(at(0), "never"), 1e-9, "a name without requests gets the mean request")
 	require.InDelta(t, 500, d.Work(at(0.9), "many"), 1e-9)
 }
 
@@ -55,7 +55,7 @@
 			p := planner(at(1), engine(20, names...), nil, servers...)
 			// The unit of work is the time of one server. The decayed sum covers 1.3 s.
 			p.Work = func(m string) float64 { return d.Work(at(1), m) / 1.3 }
-			p.Spread = func(m string) float64 { return d.Spread(at(1), m) / 1.3 }
+			p.StdErr = func(m string) float64 { return d.StdErr(at(1), m) / 1.3 }
 			require.Equal(t, tc.moves, len(p.Steps()) > 0)
 		})
 	}
@@ -82,7 +82,7 @@
 		add(now, "m2", 40*progress)
 		p := planner(now, engine(10, "m1", "m2"), nil, servers...)
 		p.Work = func(m string) float64 { return d.Work(now, m) / 1.3 }
-		p.Spread = func(m string) float64 { return d.Spread(now, m) / 1.3 }
+		p.StdErr = func(m string) float64 { return d.StdErr(now, m) / 1.3 }
 		if len(p.Steps()) > 0 {
 			movedAfter = float64(tick-30) / 10
 		}
@@ -140,7 +140,7 @@
 		t.Run(name, func(t *testing.T) {
 			d, now := demandOf(10.5, tc.models, tc.rate), at(10.5)
 			forecast := func(m int) float64 {
-				future, _ := d.Ahead(now, fmt.Sprintf("m%03d", m), 5*time.Second)
+				future, _ := d.Forecast(now, fmt.Sprintf("m%03d", m), 5*time.Second)
 				return future / d.Work(now, fmt.Sprintf("m%03d", m))
 			}
 			require.GreaterOrEqual(t, forecast(0), tc.least)
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -18,9 +18,9 @@
 
 // sendAsyncWithCallback is sendAsync with a function that is called with the order's result while
 // c.mu is held.
-func (c *Controller) sendAsyncWithCallback(ctx context.Context, s *Server, o Order, expectedTime time.Duration, onResult func(Verdict)) {
+func (c *Controller) sendAsyncWithCallback(ctx context.Context, s *Server, o Order, expectedTime time.Duration, onResult func(OrderResult)) {
 	c.orderInFlight[s.entry.ID] = true
-	o.Expect = s.sequence
+	o.ExpectedSequence = s.sequence
 	c.spawn(func() {
 		result := c.send(ctx, s, o, expectedTime)
 		c.mu.Lock()
@@ -45,7 +45,7 @@
 var errNotLeading = errors.New("this VM does not hold the controllers' lease")
 
 // send sends one order and applies its result. The caller has marked the order as in flight.
-func (c *Controller) send(ctx context.Context, s *Server, o Order, expectedTime time.Duration) Verdict {
+func (c *Controller) send(ctx context.Context, s *Server, o Order, expectedTime time.Duration) OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := c.Now()
@@ -60,10 +60,10 @@
 	result, err := c.Commands.Send(ctx, e, o)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Answered(c.Now(), now, c.engine(e.Service), o, result, expectedTime)
+	s.ApplyResult(c.Now(), now, c.engine(e.Service), o, result, expectedTime)
 	c.notifyChanged()
 	c.Meter.Count("steer.orders", 1)
 	c.Log.Info().Str("server", e.ID).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
-		Int("expect", o.Expect).Int("fence", fence).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
+		Int("expect", o.ExpectedSequence).Int("fence", fence).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
 	return result
 }
--- a/steer/models.go
+++ b/steer/models.go
@@ -9,9 +9,9 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Has reports whether the server holds a model, and the adapter if one is named, ready for
+// Serves reports whether the server holds a model, and the adapter if one is named, ready for
 // requests.
-func (s *Server) Has(now time.Time, model, adapter string) bool {
+func (s *Server) Serves(now time.Time, model, adapter string) bool {
 	r := s.models[model]
 	if r == nil || r.phase != loaded {
 		return false
@@ -23,8 +23,8 @@
 	return ok && slot.usable(now)
 }
 
-// Shown returns the models and adapters that requests may be sent for.
-func (s *Server) Shown(now time.Time) []backs.Held {
+// ServableModels returns the models and adapters that requests may be sent for.
+func (s *Server) ServableModels(now time.Time) []backs.Held {
 	var list []backs.Held
 	for _, name := range slices.Sorted(maps.Keys(s.models)) {
 		r := s.models[name]
@@ -52,8 +52,8 @@
 	return false
 }
 
-// Places returns how many adapter slots are taken.
-func (s *Server) Places() int {
+// UsedAdapterSlots returns how many adapter slots are taken.
+func (s *Server) UsedAdapterSlots() int {
 	n := 0
 	for _, r := range s.models {
 		n += len(r.adapters)
--- a/steer/order.go
+++ b/steer/order.go
@@ -1,8 +1,8 @@
 // Package steer decides which models and adapters the backend servers hold and sends them load and
 // unload orders. One VM at a time does so under a lease; the others query it.
 //
-// Server, Demand, Ceiling and Planner make decisions without I/O. Controller runs them and calls
-// the servers.
+// Server, Demand, LoadLimiter and Planner make decisions without I/O. Controller runs them and
+// calls the servers.
 package steer
 
 import (
@@ -19,27 +19,27 @@
 	Model  string
 	// Adapter is empty for an order that concerns the model itself.
 	Adapter string
-	// Expect is the number of orders that the server must have accepted before this one. The
-	// server checks it on execution, so a delayed order is invalid once the server has accepted a
-	// later one.
-	Expect int
+	// ExpectedSequence is the number of orders that the server must have accepted before this one.
+	// The server checks it on execution, so a delayed order is invalid once the server has
+	// accepted a later one.
+	ExpectedSequence int
 	// Holder is the name of the VM that sends the order, Fence its lease's fencing number.
 	Holder string
 	Fence  int
 }
 
-// Verdict is a server's answer to an order.
-type Verdict int
+// OrderResult is a server's answer to an order.
+type OrderResult int
 
 // Results of an order.
 const (
 	// Unknown means that no answer arrived. The order may be executed now or later.
-	Unknown Verdict = iota
+	Unknown OrderResult = iota
 	// Accepted means that the server is executing the order.
 	Accepted
 	// Done means that the order is complete or was already fulfilled.
 	Done
-	// Conflict means that another order is in progress or that Expect does not match.
+	// Conflict means that another order is in progress or that ExpectedSequence does not match.
 	Conflict
 	// Refused means that the order will never be executed.
 	Refused
@@ -60,9 +60,9 @@
 	InMemory, OnDisk []string
 }
 
-// Commands are the calls to servers. They are implemented by the deployment's platform adapter.
+// Commands are the calls to servers. The deployment's platform layer implements them.
 type Commands struct {
-	Send   func(ctx context.Context, server backs.Entry, o Order) (Verdict, error)
+	Send   func(ctx context.Context, server backs.Entry, o Order) (OrderResult, error)
 	Report func(ctx context.Context, server backs.Entry) (Report, error)
 }
 
--- a/steer/orderresult.go
+++ b/steer/orderresult.go
@@ -7,12 +7,12 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Answered applies the result of an order that was sent at sentAt. expectedTime is how long its
+// ApplyResult applies the result of an order that was sent at sentAt. expectedTime is how long its
 // execution takes, e the capacity of the server.
-func (s *Server) Answered(now, sentAt time.Time, e *routes.Engine, o Order, result Verdict, expectedTime time.Duration) {
+func (s *Server) ApplyResult(now, sentAt time.Time, e *routes.Engine, o Order, result OrderResult, expectedTime time.Duration) {
 	switch result {
 	case Unknown:
-		s.outcomeUnknownAt, s.unansweredOrder, s.unansweredSequence = now, now, o.Expect
+		s.outcomeUnknownAt, s.unansweredOrder, s.unansweredSequence = now, now, o.ExpectedSequence
 		if !o.Unload && o.Adapter == "" {
 			s.unansweredLoad = now
 		}
@@ -39,7 +39,7 @@
 // a report shows it in progress: concurrent loads slow each other down.
 const loadTimeoutFactor = 4
 
-func (s *Server) apply(now time.Time, e *routes.Engine, o Order, result Verdict, expectedTime time.Duration) {
+func (s *Server) apply(now time.Time, e *routes.Engine, o Order, result OrderResult, expectedTime time.Duration) {
 	if o.Adapter != "" {
 		r := s.models[o.Model]
 		if r == nil {
@@ -83,14 +83,14 @@
 // enough for that model's requests to end and the load to be ordered.
 const reservationTTL = 8 * time.Second
 
-// Intend reserves memory for a model while another one is unloaded. Otherwise each placement step
+// Reserve reserves memory for a model while another one is unloaded. Otherwise each placement step
 // until the load finds the model as short of copies as before and unloads another copy for it.
-func (s *Server) Intend(now time.Time, model string) {
+func (s *Server) Reserve(now time.Time, model string) {
 	s.reservedModel, s.reservedUntil = model, now.Add(reservationTTL)
 }
 
-// Intent returns the model that memory is reserved for, "" for none.
-func (s *Server) Intent(now time.Time) string {
+// ReservedFor returns the model that memory is reserved for, "" for none.
+func (s *Server) ReservedFor(now time.Time) string {
 	if s.reservedModel == "" || !now.Before(s.reservedUntil) || s.models[s.reservedModel] != nil {
 		return ""
 	}
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -14,12 +14,13 @@
 	Server *Server
 	Unload bool
 	Model  routes.Model
-	// For is the model that an unloaded one makes memory available for.
-	For string
-	// Store is set for a load from the weight store; Begun counts it against the load limit.
-	Store bool
-	Begun *Begun
-	Time  time.Duration
+	// ReplacedBy is the model that an unloaded one makes memory available for.
+	ReplacedBy string
+	// FromStore is set for a load from the weight store; LoadStart counts it against the load
+	// limit.
+	FromStore bool
+	LoadStart *LoadStart
+	LoadTime  time.Duration
 }
 
 // Planner turns demand into the next model orders of a service. It keeps no state between plans.
@@ -35,18 +36,19 @@
 	Engine  *routes.Engine
 	Servers []*Server
 	// Work returns the recently requested work of a model, in units of a whole server's time, and
-	// Spread its standard error; nil for none.
-	Work, Spread func(model string) float64
-	// Ahead returns the work requested at the horizon by the trend, and the mean until then; nil
-	// if the recent work is the forecast.
-	Ahead func(model string, horizon time.Duration) (future, mean float64)
-	// Store counts one more load from the weight store. It returns nil if none may begin now.
-	Store func() *Begun
-	// Missing returns how long a model has been without a copy; nil if unknown.
-	Missing func(model string) time.Duration
-	// Awaited reports whether a model without a copy probably has one at a server that is not
-	// listed yet; nil for never.
-	Awaited func(model string) bool
+	// StdErr its standard error; nil for none.
+	Work, StdErr func(model string) float64
+	// Forecast returns the work requested at the horizon by the trend, and the mean until then;
+	// nil if the recent work is the forecast.
+	Forecast func(model string, horizon time.Duration) (future, mean float64)
+	// StartStoreLoad counts one more load from the weight store. It returns nil if none may begin
+	// now.
+	StartStoreLoad func() *LoadStart
+	// TimeWithoutCopy returns how long a model has been without a copy; nil if unknown.
+	TimeWithoutCopy func(model string) time.Duration
+	// MayBeUnlisted reports whether a model without a copy probably has one at a server that is
+	// not listed yet; nil for never.
+	MayBeUnlisted func(model string) bool
 	// Contended reports whether the requests for a server far exceed its rate limit; nil for
 	// never. The copies at such a server do not count, and no models are loaded there.
 	Contended func(server string) bool
@@ -137,12 +139,12 @@
 func (p *Planner) reservedLoads(used map[*Server]bool) []Step {
 	var steps []Step
 	for i, s := range p.candidates {
-		m, ok := p.Engine.Models[s.Intent(p.Now)]
+		m, ok := p.Engine.Models[s.ReservedFor(p.Now)]
 		if !ok || !s.acceptsOrders || s.heldMB+m.MB > p.Engine.MemoryMB {
 			continue
 		}
 		loadTime, store := s.loadTime(m)
-		step := Step{Server: p.candidates[i].Server, Model: m, Store: store, Time: loadTime}
+		step := Step{Server: p.candidates[i].Server, Model: m, FromStore: store, LoadTime: loadTime}
 		if !p.startLoad(&step) {
 			continue
 		}
@@ -156,11 +158,11 @@
 // startLoad counts a load against the limit of the weight store. It returns false if the limit
 // allows no further load now.
 func (p *Planner) startLoad(s *Step) bool {
-	if !s.Store {
+	if !s.FromStore {
 		return true
 	}
-	s.Begun = p.Store()
-	return s.Begun != nil
+	s.LoadStart = p.StartStoreLoad()
+	return s.LoadStart != nil
 }
 
 // prepare computes the work of each model, the candidates and the balances. Servers that are
@@ -179,7 +181,7 @@
 			continue
 		}
 		domains[s.entry.Domain] = true
-		p.candidates = append(p.candidates, candidate{Server: s, heldMB: s.usedMB(p.Engine), acceptsOrders: s.Free(p.Now)})
+		p.candidates = append(p.candidates, candidate{Server: s, heldMB: s.usedMB(p.Engine), acceptsOrders: s.AcceptsOrders(p.Now)})
 		for name, r := range s.models {
 			if r.phase != unloading {
 				p.copiesInDomain[domainModel{s.entry.Domain, name}]++
@@ -195,14 +197,14 @@
 // would be ready.
 func (p *Planner) estimate(m routes.Model) estimate {
 	work, stdErr := p.Work(m.Name), 0.0
-	if p.Spread != nil {
-		stdErr = p.Spread(m.Name)
+	if p.StdErr != nil {
+		stdErr = p.StdErr(m.Name)
 	}
 	e := estimate{low: max(work-stdErr, 0), mean: work, high: work + stdErr}
-	if p.Ahead == nil {
+	if p.Forecast == nil {
 		return e
 	}
-	future, mean := p.Ahead(m.Name, min(m.Load, maxForecast))
+	future, mean := p.Forecast(m.Name, min(m.Load, maxForecast))
 	if future < work {
 		return estimate{low: min(e.low, future), mean: mean, high: mean + stdErr}
 	}
@@ -252,13 +254,13 @@
 // bestOption returns the most urgent option for one more copy of a model.
 func (p *Planner) bestOption(m routes.Model, used map[*Server]bool) (option, bool) {
 	w, copies := p.work[m.Name], len(p.planned.copies[m.Name])
-	if copies == 0 && p.Awaited != nil && p.Awaited(m.Name) || copies > 0 && w.low*w.low < minGain {
+	if copies == 0 && p.MayBeUnlisted != nil && p.MayBeUnlisted(m.Name) || copies > 0 && w.low*w.low < minGain {
 		return option{}, false
 	}
 	var best option
 	found := false
 	for i, s := range p.candidates {
-		if !s.acceptsOrders || used[s.Server] || s.models[m.Name] != nil || s.Intent(p.Now) != "" {
+		if !s.acceptsOrders || used[s.Server] || s.models[m.Name] != nil || s.ReservedFor(p.Now) != "" {
 			continue
 		}
 		o, ok := p.optionAt(i, m)
@@ -288,7 +290,7 @@
 func (p *Planner) optionAt(i int, m routes.Model) (option, bool) {
 	s := p.candidates[i]
 	loadTime, store := s.loadTime(m)
-	o := option{step: Step{Server: s.Server, Model: m, Store: store, Time: loadTime}, candidate: i}
+	o := option{step: Step{Server: s.Server, Model: m, FromStore: store, LoadTime: loadTime}, candidate: i}
 	if s.heldMB+m.MB <= p.Engine.MemoryMB {
 		return p.evaluate(o, p.planned.util[i], 0, loadTime)
 	}
@@ -353,8 +355,8 @@
 // firstCopyWorth returns the worth of a model's only copy.
 func (p *Planner) firstCopyWorth(model string) float64 {
 	worth := firstCopyBaseWorth + firstCopyWorkWeight*p.work[model].mean
-	if p.Missing != nil {
-		worth *= 1 + p.Missing(model).Seconds()
+	if p.TimeWithoutCopy != nil {
+		worth *= 1 + p.TimeWithoutCopy(model).Seconds()
 	}
 	return worth
 }
@@ -379,7 +381,7 @@
 		p.copiesInDomain[domainModel{domain, o.victim}]--
 		p.planned.add(o.step.Model.Name, o.candidate)
 		p.copiesInDomain[domainModel{domain, o.step.Model.Name}]++
-		return Step{Server: o.step.Server, Unload: true, Model: p.Engine.Models[o.victim], For: o.step.Model.Name}, true
+		return Step{Server: o.step.Server, Unload: true, Model: p.Engine.Models[o.victim], ReplacedBy: o.step.Model.Name}, true
 	}
 	if !p.startLoad(&o.step) {
 		return Step{}, false
--- a/steer/plan_test.go
+++ b/steer/plan_test.go
@@ -23,8 +23,8 @@
 func planner(now time.Time, e *routes.Engine, work map[string]float64, servers ...*steer.Server) *steer.Planner {
 	return &steer.Planner{
 		Engine: e, Servers: servers, Now: now,
-		Work:  func(m string) float64 { return work[m] },
-		Store: func() *steer.Begun { return &steer.Begun{} },
+		Work:           func(m string) float64 { return work[m] },
+		StartStoreLoad: func() *steer.LoadStart { return &steer.LoadStart{} },
 	}
 }
 
@@ -90,7 +90,7 @@
 	far := entry("z", "m1")
 	far.Domain = "other"
 	other := steer.NewServer(at(0), far)
-	other.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "m1"}}})
+	other.ApplyReport(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "m1"}}})
 	near := reportedServer(at(0), "b", 0, "m1")
 	holds := reportedServer(at(0), "a", 0, "m2")
 	p := planner(at(1), engine(20, "m1", "m2"), map[string]float64{"m2": 10}, holds, near, other)
@@ -109,7 +109,7 @@
 		e.Models[name] = m
 	}
 	restarted := steer.NewServer(at(0), entry("a"))
-	restarted.Reported(at(0), at(0), steer.Report{OnDisk: []string{"kept"}})
+	restarted.ApplyReport(at(0), at(0), steer.Report{OnDisk: []string{"kept"}})
 	p := planner(at(1), e, map[string]float64{"kept": 0.8, "hot": 1}, restarted, reportedServer(at(0), "b", 0, "kept", "hot"))
 	require.Equal(t, []string{"load kept at a"}, steps(p))
 }
@@ -120,7 +120,7 @@
 	e := engine(10, "busy", "other")
 	loading := func(id string) *steer.Server {
 		s := reportedServer(at(0), id, 0)
-		s.Answered(at(1), at(1), e, steer.Order{Model: "busy"}, steer.Accepted, 6*time.Second)
+		s.ApplyResult(at(1), at(1), e, steer.Order{Model: "busy"}, steer.Accepted, 6*time.Second)
 		return s
 	}
 	work := map[string]float64{"busy": 1.2, "other": 0.7}
@@ -136,7 +136,7 @@
 	work := map[string]float64{"low": 0.5, "high": 0.95}
 	servers := func() []*steer.Server {
 		disk := steer.NewServer(at(0), entry("a", "low"))
-		disk.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "low"}}, OnDisk: []string{"high"}})
+		disk.ApplyReport(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "low"}}, OnDisk: []string{"high"}})
 		return []*steer.Server{disk, reportedServer(at(0), "b", 0, "low"), reportedServer(at(0), "c", 0, "high")}
 	}
 	for name, tc := range map[string]struct {
--- a/steer/reports.go
+++ b/steer/reports.go
@@ -12,7 +12,7 @@
 	defer c.mu.Unlock()
 	for _, s := range c.serversOf(service) {
 		interval := reportInterval
-		if s.NeedsReport() || s.Finishing(now) {
+		if s.NeedsReport() || s.OrderDue(now) {
 			interval = reportRetryInterval
 		}
 		id := s.entry.ID
@@ -47,9 +47,9 @@
 		}
 		return
 	}
-	ready, sequence, changed := s.Free(requestedAt), s.sequence, s.changedAt
-	s.Reported(c.Now(), requestedAt, r)
-	if ready != s.Free(requestedAt) || sequence != s.sequence || changed != s.changedAt {
+	ready, sequence, changed := s.AcceptsOrders(requestedAt), s.sequence, s.changedAt
+	s.ApplyReport(c.Now(), requestedAt, r)
+	if ready != s.AcceptsOrders(requestedAt) || sequence != s.sequence || changed != s.changedAt {
 		c.Log.Info().Str("server", e.ID).Int("sequence", r.Sequence).Int("before", sequence).Bool("busy", r.Busy).
 			Interface("models", r.Models).Interface("pending", r.Pending).Dur("age", c.Now().Sub(requestedAt)).Msg("report")
 	}
@@ -64,18 +64,18 @@
 	if s == nil {
 		return
 	}
-	s.Missed()
+	s.ReportFailed()
 	c.Log.Info().Str("server", id).Bool("down", s.Down()).Err(err).Msg("report failed")
 }
 
-// Doubt makes the controller request reports from servers at once: a VM could not reach them, or
-// they refused a request for a model that they were expected to hold.
-func (c *Controller) Doubt(ids []string) {
+// RequireReports makes the controller request reports from servers at once: a VM could not reach
+// them, or they refused a request for a model that they were expected to hold.
+func (c *Controller) RequireReports(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
 		if s := c.servers[id]; s != nil {
-			s.Doubt()
+			s.RequireReport()
 		}
 	}
 }
--- a/steer/scale_test.go
+++ b/steer/scale_test.go
@@ -50,7 +50,7 @@
 		Fence: func(time.Time) (int, bool) { return 1, true }, Now: func() time.Time { return now },
 		Log: zerolog.Nop(), Meter: meter.New(),
 		Commands: Commands{
-			Send:   func(context.Context, backs.Entry, Order) (Verdict, error) { return Refused, nil },
+			Send:   func(context.Context, backs.Entry, Order) (OrderResult, error) { return Refused, nil },
 			Report: func(context.Context, backs.Entry) (Report, error) { return Report{}, fmt.Errorf("unreachable") },
 		},
 	}
@@ -59,7 +59,7 @@
 	}
 	c.Step(context.Background(), now)
 	for _, s := range c.servers {
-		s.Reported(now.Add(time.Minute), now.Add(time.Minute), Report{Models: s.entry.Models})
+		s.ApplyReport(now.Add(time.Minute), now.Add(time.Minute), Report{Models: s.entry.Models})
 		c.orderInFlight[s.entry.ID] = true
 	}
 	return c
--- a/steer/server.go
+++ b/steer/server.go
@@ -85,7 +85,7 @@
 // NewServer returns a server with the models of its entry.
 func NewServer(now time.Time, e backs.Entry) *Server {
 	s := &Server{entry: e, models: make(map[string]*resident)}
-	s.Listed(now, now, e)
+	s.ApplyEntry(now, now, e)
 	return s
 }
 
@@ -96,12 +96,12 @@
 // contradicts the order: an entry can be as old as a heartbeat plus the delay of the store.
 const settleTime = 1500 * time.Millisecond
 
-// Listed applies the server's entry in the platform, received at receivedAt. Changes get the time
-// now, as ShownSince can miss a change dated before its last call. An entry can add models but
-// never remove one: it can be old, especially after a store outage, and memory that is considered
-// free too early is overcommitted. Only a report from the server itself shows that a model is
-// gone.
-func (s *Server) Listed(now, receivedAt time.Time, e backs.Entry) {
+// ApplyEntry applies the server's entry in the platform, received at receivedAt. Changes get the
+// time now, as ChangedSince can miss a change dated before its last call. An entry can add models
+// but never remove one: it can be old, especially after a store outage, and memory that is
+// considered free too early is overcommitted. Only a report from the server itself shows that a
+// model is gone.
+func (s *Server) ApplyEntry(now, receivedAt time.Time, e backs.Entry) {
 	s.entry = e
 	if !receivedAt.After(s.entryAt) {
 		return
@@ -144,10 +144,10 @@
 	s.changedAt = now
 }
 
-// Reported applies a report that was requested at a time. Its models can be older than its
+// ApplyReport applies a report that was requested at a time. Its models can be older than its
 // sequence, so a report requested within maxReportAge of an order is ignored: otherwise it would
 // free the memory of a model that is loading.
-func (s *Server) Reported(now, requestedAt time.Time, r Report) {
+func (s *Server) ApplyReport(now, requestedAt time.Time, r Report) {
 	s.failedReports = 0
 	if requestedAt.Sub(s.lastOrder) < maxReportAge {
 		return
@@ -245,12 +245,12 @@
 	s.cache = weightCache{memory: r.InMemory, disk: r.OnDisk}
 }
 
-// Free reports whether an order may be sent: the sequence is known, no order has an unknown
-// outcome, and no model order is in progress. A reported order in progress may be a load from the
-// previous controller that this one has no record of. Its memory shows in no list until it ends,
-// however long that takes. Only a report can clear it, or the server gets orders beyond its memory
-// and crashes.
-func (s *Server) Free(now time.Time) bool {
+// AcceptsOrders reports whether an order may be sent: the sequence is known, no order has an
+// unknown outcome, and no model order is in progress. A reported order in progress may be a load
+// from the previous controller that this one has no record of. Its memory shows in no list until
+// it ends, however long that takes. Only a report can clear it, or the server gets orders beyond
+// its memory and crashes.
+func (s *Server) AcceptsOrders(now time.Time) bool {
 	if !s.lastRefused.IsZero() && now.Sub(s.lastRefused) < refusalBackoff || now.Before(s.blockedUntil) {
 		return false
 	}
@@ -262,8 +262,8 @@
 	return !s.sequenceKnown || s.reportRequired || s.failedReports > 0 || !s.outcomeUnknownAt.IsZero()
 }
 
-// Doubt marks the server's state as uncertain until its next report.
-func (s *Server) Doubt() { s.reportRequired = true }
+// RequireReport marks the server's state as uncertain until its next report.
+func (s *Server) RequireReport() { s.reportRequired = true }
 
 // refusalBackoff is how long a server gets no orders after it refused one. Another server may have
 // taken over its address and answer its report requests; the old entry expires after three
@@ -274,16 +274,16 @@
 // according to the deployments.
 const maxOrderDelay = 15 * time.Second
 
-// Late reports whether an unanswered model load may still be executed.
-func (s *Server) Late(now time.Time) bool {
+// HasUnansweredLoad reports whether an unanswered model load may still be executed.
+func (s *Server) HasUnansweredLoad(now time.Time) bool {
 	return !s.unansweredLoad.IsZero() && now.Sub(s.unansweredLoad) < maxOrderDelay
 }
 
-// Succeeds blocks orders to this instance of a server while an unanswered order to its previous
-// instance may still be executed. The restarted server counts orders from zero again, so the
-// sequence of the unanswered order can become valid a second time. It would then be executed in
-// addition to an order that was decided on without it, and exceed the server's memory.
-func (s *Server) Succeeds(now time.Time, previous *Server) {
+// BlockAfterRestart blocks orders to this instance of a server while an unanswered order to its
+// previous instance may still be executed. The restarted server counts orders from zero again, so
+// the sequence of the unanswered order can become valid a second time. It would then be executed
+// in addition to an order that was decided on without it, and exceed the server's memory.
+func (s *Server) BlockAfterRestart(now time.Time, previous *Server) {
 	if unanswered := previous.unansweredOrder; !unanswered.IsZero() && now.Sub(unanswered) < maxOrderDelay {
 		s.blockedUntil = unanswered.Add(maxOrderDelay)
 	}
@@ -293,22 +293,22 @@
 // is lost now and then.
 const downThreshold = 2
 
-// Missed records that a report request failed.
-func (s *Server) Missed() { s.failedReports++ }
+// ReportFailed records that a report request failed.
+func (s *Server) ReportFailed() { s.failedReports++ }
 
 // Down reports whether the server is unreachable. It gets no orders, and its models count as
 // missing until it answers again; its entry expires only after three heartbeats.
 func (s *Server) Down() bool { return s.failedReports >= downThreshold }
 
-// Finishing reports whether an order is expected to have ended by now, or has an unknown duration,
+// OrderDue reports whether an order is expected to have ended by now, or has an unknown duration,
 // so that a report is needed to show its end.
-func (s *Server) Finishing(now time.Time) bool {
+func (s *Server) OrderDue(now time.Time) bool {
 	return (s.orderInProgress || !s.busyUntil.IsZero()) && !now.Before(s.expectedDone)
 }
 
-// Forget marks the state as unknown until a report. Another VM, or an earlier process on this one,
-// may have sent orders until predecessorEnd, which may be in the future.
-func (s *Server) Forget(predecessorEnd time.Time) {
+// BeginTerm marks the state as unknown until a report. Another VM, or an earlier process on this
+// one, may have sent orders until predecessorEnd, which may be in the future.
+func (s *Server) BeginTerm(predecessorEnd time.Time) {
 	s.lastOrder = predecessorEnd
 	s.sequenceKnown, s.outcomeUnknownAt = false, time.Time{}
 	s.clearOrder()
@@ -316,10 +316,10 @@
 	s.cache = weightCache{}
 }
 
-// Inherited returns how many loads the previous controller may have begun at the server after a
-// time: one if no report has arrived or a report shows an order in progress, and one for each
+// InheritedLoads returns how many loads the previous controller may have begun at the server after
+// a time: one if no report has arrived or a report shows an order in progress, and one for each
 // model that this VM first observed after that time.
-func (s *Server) Inherited(after time.Time) int {
+func (s *Server) InheritedLoads(after time.Time) int {
 	n := 0
 	if s.mayInheritLoad {
 		n++
--- a/steer/server_test.go
+++ b/steer/server_test.go
@@ -27,7 +27,7 @@
 func reportedServer(now time.Time, id string, sequence int, models ...string) *steer.Server {
 	e := entry(id, models...)
 	s := steer.NewServer(now, e)
-	s.Reported(now, now, steer.Report{Models: e.Models, Sequence: sequence})
+	s.ApplyReport(now, now, steer.Report{Models: e.Models, Sequence: sequence})
 	return s
 }
 
@@ -37,13 +37,13 @@
 func TestStaleEntryFreesNoMemory(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
 	load := steer.Order{Model: "m2"}
-	s.Answered(at(1), at(1), &routes.Engine{}, load, steer.Accepted, time.Second)
-	s.Reported(at(3), at(3), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 1})
-	require.True(t, s.Has(at(3), "m2", ""))
-	s.Listed(at(9), at(9), entry("a", "m1"))
-	require.True(t, s.Has(at(9), "m2", ""), "an entry removed a model that a report showed")
-	s.Reported(at(10), at(10), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
-	require.False(t, s.Has(at(10), "m2", ""))
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, load, steer.Accepted, time.Second)
+	s.ApplyReport(at(3), at(3), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 1})
+	require.True(t, s.Serves(at(3), "m2", ""))
+	s.ApplyEntry(at(9), at(9), entry("a", "m1"))
+	require.True(t, s.Serves(at(9), "m2", ""), "an entry removed a model that a report showed")
+	s.ApplyReport(at(10), at(10), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
+	require.False(t, s.Serves(at(10), "m2", ""))
 }
 
 // An order gets no answer and is executed seconds later. If the next order were sent with the old
@@ -52,13 +52,13 @@
 // then invalidates the delayed one.
 func TestUnansweredOrderBlocksOrders(t *testing.T) {
 	s := reportedServer(at(0), "a", 3, "m1")
-	require.True(t, s.Free(at(0)))
-	s.Answered(at(1), at(0.6), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
-	require.False(t, s.Free(at(1)))
-	s.Reported(at(1.2), at(1.1), steer.Report{Models: entry("", "m1").Models, Sequence: 3})
-	require.False(t, s.Free(at(1.2)), "the report may be older than the order")
-	s.Reported(at(1.8), at(1.7), steer.Report{Models: entry("", "m1").Models, Sequence: 4})
-	require.True(t, s.Free(at(1.8)))
+	require.True(t, s.AcceptsOrders(at(0)))
+	s.ApplyResult(at(1), at(0.6), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
+	require.False(t, s.AcceptsOrders(at(1)))
+	s.ApplyReport(at(1.2), at(1.1), steer.Report{Models: entry("", "m1").Models, Sequence: 3})
+	require.False(t, s.AcceptsOrders(at(1.2)), "the report may be older than the order")
+	s.ApplyReport(at(1.8), at(1.7), steer.Report{Models: entry("", "m1").Models, Sequence: 4})
+	require.True(t, s.AcceptsOrders(at(1.8)))
 	require.Equal(t, 4, s.Sequence())
 }
 
@@ -68,11 +68,11 @@
 // while a report shows one in progress.
 func TestBusyServerGetsNoOrders(t *testing.T) {
 	s := steer.NewServer(at(0), entry("a", "m1"))
-	s.Reported(at(1), at(1), steer.Report{Models: entry("", "m1").Models, Sequence: 6, Busy: true})
-	require.False(t, s.Free(at(1)))
-	s.Reported(at(3), at(3), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 6})
-	require.True(t, s.Free(at(3)))
-	require.True(t, s.Has(at(3), "m2", ""))
+	s.ApplyReport(at(1), at(1), steer.Report{Models: entry("", "m1").Models, Sequence: 6, Busy: true})
+	require.False(t, s.AcceptsOrders(at(1)))
+	s.ApplyReport(at(3), at(3), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 6})
+	require.True(t, s.AcceptsOrders(at(3)))
+	require.True(t, s.Serves(at(3), "m2", ""))
 }
 
 // A report has the current sequence but older models: it counts an order whose model is missing,
@@ -80,25 +80,25 @@
 // another one.
 func TestReportWithStaleModels(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Accepted, 300*time.Millisecond)
-	s.Reported(at(1.2), at(1.15), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
-	require.False(t, s.Free(at(1.2)))
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Accepted, 300*time.Millisecond)
+	s.ApplyReport(at(1.2), at(1.15), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
+	require.False(t, s.AcceptsOrders(at(1.2)))
 	// A delayed order of another VM was executed, so one more report is needed.
 	s = reportedServer(at(0), "a", 0, "m1")
-	s.Reported(at(2), at(2), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
-	require.False(t, s.Free(at(2)))
-	s.Reported(at(2.6), at(2.6), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 1})
-	require.True(t, s.Free(at(2.6)))
-	require.True(t, s.Has(at(2.6), "m2", ""))
+	s.ApplyReport(at(2), at(2), steer.Report{Models: entry("", "m1").Models, Sequence: 1})
+	require.False(t, s.AcceptsOrders(at(2)))
+	s.ApplyReport(at(2.6), at(2.6), steer.Report{Models: entry("", "m1", "m2").Models, Sequence: 1})
+	require.True(t, s.AcceptsOrders(at(2.6)))
+	require.True(t, s.Serves(at(2.6), "m2", ""))
 }
 
 // If a report from before the last order were applied, it would remove the order's model or
 // adapter, and its memory would be used twice.
 func TestReportOlderThanOrder(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a1"}, steer.Accepted, 10*time.Millisecond)
-	s.Reported(at(1.1), at(1.05), steer.Report{Models: entry("", "m1").Models, Sequence: 0})
-	require.True(t, s.Has(at(1.1), "m1", "a1"))
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a1"}, steer.Accepted, 10*time.Millisecond)
+	s.ApplyReport(at(1.1), at(1.05), steer.Report{Models: entry("", "m1").Models, Sequence: 0})
+	require.True(t, s.Serves(at(1.1), "m1", "a1"))
 	require.Equal(t, 1, s.Sequence())
 }
 
@@ -107,28 +107,28 @@
 // The slot is free when a report shows that the adapter is gone.
 func TestUnloadingAdapterKeepsSlot(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a1"}, steer.Accepted, time.Millisecond)
-	require.Equal(t, 1, s.Places())
-	s.Answered(at(4), at(4), &routes.Engine{}, steer.Order{Unload: true, Model: "m1", Adapter: "a1"}, steer.Accepted, 0)
-	require.Equal(t, 1, s.Places())
-	require.False(t, s.Has(at(4), "m1", "a1"))
-	s.Reported(at(5), at(5), steer.Report{Models: entry("", "m1").Models, Sequence: 2})
-	require.Zero(t, s.Places())
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a1"}, steer.Accepted, time.Millisecond)
+	require.Equal(t, 1, s.UsedAdapterSlots())
+	s.ApplyResult(at(4), at(4), &routes.Engine{}, steer.Order{Unload: true, Model: "m1", Adapter: "a1"}, steer.Accepted, 0)
+	require.Equal(t, 1, s.UsedAdapterSlots())
+	require.False(t, s.Serves(at(4), "m1", "a1"))
+	s.ApplyReport(at(5), at(5), steer.Report{Models: entry("", "m1").Models, Sequence: 2})
+	require.Zero(t, s.UsedAdapterSlots())
 }
 
 func TestUnloadingModelIsNotServable(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1", "m2")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1"}, steer.Accepted, 0)
-	require.Equal(t, []backs.Held{{Model: "m2"}}, s.Shown(at(1)))
-	require.False(t, s.Free(at(1)))
-	s.Reported(at(2), at(2), steer.Report{Models: entry("", "m2").Models, Sequence: 1})
-	require.True(t, s.Free(at(2)))
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1"}, steer.Accepted, 0)
+	require.Equal(t, []backs.Held{{Model: "m2"}}, s.ServableModels(at(1)))
+	require.False(t, s.AcceptsOrders(at(1)))
+	s.ApplyReport(at(2), at(2), steer.Report{Models: entry("", "m2").Models, Sequence: 1})
+	require.True(t, s.AcceptsOrders(at(2)))
 }
 
 func TestOrderResults(t *testing.T) {
 	tests := map[string]struct {
 		order         steer.Order
-		result        steer.Verdict
+		result        steer.OrderResult
 		sequence      int
 		acceptsOrders bool
 	}{
@@ -143,20 +143,20 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := reportedServer(at(0), "a", 0, "m1")
-			s.Answered(at(1), at(1), &routes.Engine{}, tc.order, tc.result, time.Second)
+			s.ApplyResult(at(1), at(1), &routes.Engine{}, tc.order, tc.result, time.Second)
 			require.Equal(t, tc.sequence, s.Sequence())
-			require.Equal(t, tc.acceptsOrders, s.Free(at(1)))
+			require.Equal(t, tc.acceptsOrders, s.AcceptsOrders(at(1)))
 		})
 	}
 }
 
 func TestLoadLimiterBoundsEveryWindow(t *testing.T) {
-	c := steer.Ceiling{Window: 5 * time.Second, PerSecond: 1.1}
+	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.1}
 	started := 0
 	for ms := range 20_000 {
 		now := at(float64(ms) / 1000)
 		if c.Allow(now) {
-			c.Begin(now)
+			c.Start(now)
 			started++
 		}
 	}
@@ -169,12 +169,12 @@
 // twice the limit. It may begin two in the first window: even after two short terms in a row these
 // stay within the three that the weight store has capacity for above the allowed rate.
 func TestLoadLimiterAfterTakeover(t *testing.T) {
-	c := steer.Ceiling{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
-	c.Succeed(at(0))
+	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
+	c.BeginTerm(at(0))
 	started := 0
 	for ms := range 5000 {
 		if now := at(float64(ms) / 1000); c.Allow(now) {
-			c.Begin(now)
+			c.Start(now)
 			started++
 		}
 	}
@@ -187,11 +187,11 @@
 // Counted from the first order, a model with new demand right after the takeover waited five
 // seconds more for its copies.
 func TestInheritedWindowStartsAtLastOrder(t *testing.T) {
-	c := steer.Ceiling{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
-	c.Succeed(at(0))
+	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
+	c.BeginTerm(at(0))
 	for range 2 {
 		require.True(t, c.Allow(at(3)))
-		c.Begin(at(3))
+		c.Start(at(3))
 	}
 	require.False(t, c.Allow(at(3)))
 	require.True(t, c.Allow(at(5)))
@@ -215,11 +215,11 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := steer.NewServer(at(0), entry("a", "m1"))
-			s.Forget(at(20))
+			s.BeginTerm(at(20))
 			if tc.report != nil {
-				s.Reported(at(21), at(21), *tc.report)
+				s.ApplyReport(at(21), at(21), *tc.report)
 			}
-			require.Equal(t, tc.want, s.Inherited(at(15)))
+			require.Equal(t, tc.want, s.InheritedLoads(at(15)))
 		})
 	}
 }
@@ -228,10 +228,10 @@
 // order. If it were applied, it would free the memory of a loading model.
 func TestReportOlderThanTermEnd(t *testing.T) {
 	s := steer.NewServer(at(0), entry("a", "m1"))
-	s.Forget(at(20))
-	s.Reported(at(20.2), at(20.2), steer.Report{Models: entry("", "m1").Models})
+	s.BeginTerm(at(20))
+	s.ApplyReport(at(20.2), at(20.2), steer.Report{Models: entry("", "m1").Models})
 	require.True(t, s.NeedsReport())
-	s.Reported(at(20.6), at(20.6), steer.Report{Models: entry("", "m1").Models})
+	s.ApplyReport(at(20.6), at(20.6), steer.Report{Models: entry("", "m1").Models})
 	require.False(t, s.NeedsReport())
 }
 
@@ -240,14 +240,14 @@
 // use up the load limit, and models in demand would wait for their copies.
 func TestRefusedOrders(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Refused, time.Second)
-	require.False(t, s.Free(at(1)))
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Refused, time.Second)
+	require.False(t, s.AcceptsOrders(at(1)))
 	require.True(t, s.NeedsReport())
-	c := steer.Ceiling{Window: 5 * time.Second, PerSecond: 0.2}
+	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 0.2}
 	require.True(t, c.Allow(at(0)))
-	b := c.Begin(at(0))
+	b := c.Start(at(0))
 	require.False(t, c.Allow(at(1)))
-	c.Return(b)
+	c.Release(b)
 	require.True(t, c.Allow(at(1)))
 }
 
@@ -257,16 +257,16 @@
 // one.
 func TestUnansweredLoadsCountAgainstLimit(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
-	s.Answered(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
-	require.True(t, s.Late(at(12)))
-	require.False(t, s.Late(at(20)))
-	s.Reported(at(2), at(2), steer.Report{Models: entry("", "m1").Models})
-	s.Answered(at(3), at(3), &routes.Engine{}, steer.Order{Model: "m3"}, steer.Accepted, time.Second)
-	require.False(t, s.Late(at(4)))
-	c := steer.Ceiling{Window: 5 * time.Second, PerSecond: 1.4, Late: 6}
+	s.ApplyResult(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
+	require.True(t, s.HasUnansweredLoad(at(12)))
+	require.False(t, s.HasUnansweredLoad(at(20)))
+	s.ApplyReport(at(2), at(2), steer.Report{Models: entry("", "m1").Models})
+	s.ApplyResult(at(3), at(3), &routes.Engine{}, steer.Order{Model: "m3"}, steer.Accepted, time.Second)
+	require.False(t, s.HasUnansweredLoad(at(4)))
+	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Unanswered: 6}
 	started := 0
 	for c.Allow(at(1)) {
-		c.Begin(at(1))
+		c.Start(at(1))
 		started++
 	}
 	require.Equal(t, 3, started)
@@ -278,19 +278,19 @@
 // must get no order until the unanswered one has expired.
 func TestRestartedServerWaitsForUnansweredOrder(t *testing.T) {
 	previous, now := reportedServer(at(0), "a", 0, "m1"), at(4)
-	previous.Answered(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
+	previous.ApplyResult(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
 	restarted := reportedServer(now, "b", 0)
-	require.True(t, restarted.Free(now))
-	restarted.Succeeds(now, previous)
-	require.False(t, restarted.Free(now))
-	require.False(t, restarted.Free(at(15.9)))
-	require.True(t, restarted.Free(at(16)))
+	require.True(t, restarted.AcceptsOrders(now))
+	restarted.BlockAfterRestart(now, previous)
+	require.False(t, restarted.AcceptsOrders(now))
+	require.False(t, restarted.AcceptsOrders(at(15.9)))
+	require.True(t, restarted.AcceptsOrders(at(16)))
 
 	answered := reportedServer(at(0), "c", 0)
-	answered.Answered(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Accepted, time.Second)
+	answered.ApplyResult(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Accepted, time.Second)
 	restarted = reportedServer(now, "d", 0)
-	restarted.Succeeds(now, answered)
-	require.True(t, restarted.Free(now), "the previous instance has no unanswered order")
+	restarted.BlockAfterRestart(now, answered)
+	require.True(t, restarted.AcceptsOrders(now), "the previous instance has no unanswered order")
 }
 
 // During a store outage a server's entry expires, and the entry written next dates from before a
@@ -300,13 +300,13 @@
 // No order may be sent until a report shows the end of the load.
 func TestUnknownLoadEndsWithReport(t *testing.T) {
 	s := steer.NewServer(at(0), entry("a", "m1", "m2"))
-	s.Forget(at(0))
-	s.Reported(at(1), at(1), steer.Report{Models: entry("", "m1", "m2").Models, Busy: true, Sequence: 3})
-	require.False(t, s.Free(at(60)))
-	require.True(t, s.Finishing(at(1.2)), "an order of unknown duration needs frequent reports")
-	s.Reported(at(61), at(61), steer.Report{Models: entry("", "m1", "m2", "m3").Models, Sequence: 3})
-	require.True(t, s.Free(at(61)))
-	require.True(t, s.Has(at(61), "m3", ""))
+	s.BeginTerm(at(0))
+	s.ApplyReport(at(1), at(1), steer.Report{Models: entry("", "m1", "m2").Models, Busy: true, Sequence: 3})
+	require.False(t, s.AcceptsOrders(at(60)))
+	require.True(t, s.OrderDue(at(1.2)), "an order of unknown duration needs frequent reports")
+	s.ApplyReport(at(61), at(61), steer.Report{Models: entry("", "m1", "m2", "m3").Models, Sequence: 3})
+	require.True(t, s.AcceptsOrders(at(61)))
+	require.True(t, s.Serves(at(61), "m3", ""))
 }
 
 // A server answers 200 to the unloading of an adapter that it had already unloaded and does not
@@ -316,12 +316,12 @@
 // crashed. No order may be sent until the unanswered one has expired.
 func TestUnansweredOrderWithSequenceTooHigh(t *testing.T) {
 	s := reportedServer(at(0), "a", 15, "m1")
-	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1", Adapter: "a17", Expect: 15}, steer.Done, 0)
+	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1", Adapter: "a17", ExpectedSequence: 15}, steer.Done, 0)
 	require.Equal(t, 16, s.Sequence())
-	s.Answered(at(2), at(1.7), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a4", Expect: 16}, steer.Unknown, 0)
-	s.Reported(at(2.6), at(2.6), steer.Report{Models: entry("", "m1").Models, Sequence: 15})
+	s.ApplyResult(at(2), at(1.7), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a4", ExpectedSequence: 16}, steer.Unknown, 0)
+	s.ApplyReport(at(2.6), at(2.6), steer.Report{Models: entry("", "m1").Models, Sequence: 15})
 	require.Equal(t, 15, s.Sequence())
-	require.False(t, s.Free(at(3)))
-	require.False(t, s.Free(at(16.9)))
-	require.True(t, s.Free(at(17)))
+	require.False(t, s.AcceptsOrders(at(3)))
+	require.False(t, s.AcceptsOrders(at(16.9)))
+	require.True(t, s.AcceptsOrders(at(17)))
 }
--- a/steer/vmreports.go
+++ b/steer/vmreports.go
@@ -9,16 +9,16 @@
 	"github.com/hibiscuscart/hibiscuscart/pick"
 )
 
-// Want is the demand that a VM observed for a model: a number of requests, and the total time for
-// which they would occupy a whole server.
-type Want struct {
+// ModelDemand is the demand that a VM observed for a model: a number of requests, and the total
+// time for which they would occupy a whole server.
+type ModelDemand struct {
 	Service, Model, Adapter string
 	Requests                int
-	Time                    time.Duration
+	ServerTime              time.Duration
 }
 
-// Report records a VM's load at the servers and the demand of its callers.
-func (c *Controller) Report(now time.Time, vm string, loads map[string]pick.Load, demands []Want) {
+// RecordVMReport records a VM's load at the servers and the demand of its callers.
+func (c *Controller) RecordVMReport(now time.Time, vm string, loads map[string]pick.Load, demands []ModelDemand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.vmLoads == nil {
@@ -27,7 +27,7 @@
 	c.replaceLoads(c.vmLoads[vm], loads)
 	c.vmLoads[vm] = loads
 	for _, w := range demands {
-		c.demand(w.Service).Add(now, w.Model, w.Time.Seconds(), w.Requests)
+		c.demand(w.Service).Add(now, w.Model, w.ServerTime.Seconds(), w.Requests)
 		if w.Adapter != "" {
 			c.adapterDemand.Add(now, adapterKey(w.Service, w.Model, w.Adapter), float64(w.Requests), w.Requests)
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// Left discards the load of a VM whose link ended.
-func (c *Controller) Left(vm string) {
+// RemoveVM discards the load of a VM whose link ended.
+func (c *Controller) RemoveVM(vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replaceLoads(c.vmLoads[vm], nil)
@@ -80,25 +80,25 @@
 	return maps.Clone(c.totalLoads)
 }
 
-// Shown is the models and adapters that requests may be sent to a server for, and when they last
-// changed.
-type Shown struct {
-	Server  string
-	Models  []backs.Held
-	Changed time.Time
+// ServerModels is the models and adapters that requests may be sent to a server for, and when they
+// last changed.
+type ServerModels struct {
+	Server    string
+	Models    []backs.Held
+	ChangedAt time.Time
 }
 
-// ShownSince returns the servers that changed after a time. An adapter that becomes ready counts
+// ChangedSince returns the servers that changed after a time. An adapter that becomes ready counts
 // as a change. A server with an unloading model counts as changed until the model is gone, as the
 // server continues to list the model.
-func (c *Controller) ShownSince(now, since time.Time) []Shown {
+func (c *Controller) ChangedSince(now, since time.Time) []ServerModels {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var list []Shown
+	var list []ServerModels
 	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
 		s := c.servers[id]
 		if s.changedAt.Add(adapterLoadTime).After(since) || s.unloadingModel() {
-			list = append(list, Shown{Server: id, Models: s.Shown(now), Changed: s.changedAt})
+			list = append(list, ServerModels{Server: id, Models: s.ServableModels(now), ChangedAt: s.changedAt})
 		}
 	}
 	return list
--- a/steer/vmreports_test.go
+++ b/steer/vmreports_test.go
@@ -18,34 +18,34 @@
 	e := backs.Entry{ID: "a", Models: []backs.Held{{Model: "m1"}, {Model: "m2"}}}
 	c := &Controller{servers: map[string]*Server{"a": NewServer(now, e), "b": NewServer(now, backs.Entry{ID: "b"})}}
 	s := c.servers["a"]
-	s.Answered(now, now, &routes.Engine{}, Order{Unload: true, Model: "m1"}, Accepted, 0)
+	s.ApplyResult(now, now, &routes.Engine{}, Order{Unload: true, Model: "m1"}, Accepted, 0)
 
 	later := now.Add(3 * time.Second)
-	changed := c.ShownSince(later, later.Add(-100*time.Millisecond))
+	changed := c.ChangedSince(later, later.Add(-100*time.Millisecond))
 	require.Len(t, changed, 1)
 	require.Equal(t, "a", changed[0].Server)
 	require.Equal(t, []backs.Held{{Model: "m2"}}, changed[0].Models)
 
-	s.Reported(later, later.Add(-50*time.Millisecond), Report{Models: []backs.Held{{Model: "m2"}}, Sequence: 1})
+	s.ApplyReport(later, later.Add(-50*time.Millisecond), Report{Models: []backs.Held{{Model: "m2"}}, Sequence: 1})
 	later = later.Add(time.Second)
-	require.Empty(t, c.ShownSince(later, later.Add(-100*time.Millisecond)))
+	require.Empty(t, c.ChangedSince(later, later.Add(-100*time.Millisecond)))
 }
 
-// Guards against a loaded model missing from ShownSince when the previous call fell between the
+// Guards against a loaded model missing from ChangedSince when the previous call fell between the
 // arrival of the server's entry and the sync that applied it.
-func TestShownSinceIncludesLoadedModel(t *testing.T) {
+func TestChangedSinceIncludesLoadedModel(t *testing.T) {
 	c, _ := testController(func(time.Time) (int, bool) { return 5, true })
 	now := c.Now()
 	c.syncServers(now, "s")
-	c.servers["a"].Answered(now, now, &routes.Engine{}, Order{Model: "m2"}, Accepted, time.Second)
+	c.servers["a"].ApplyResult(now, now, &routes.Engine{}, Order{Model: "m2"}, Accepted, time.Second)
 
 	received := now.Add(1200 * time.Millisecond)
 	c.Servers.Put(received, backs.Entry{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1"}, {Model: "m2"}}})
 	previous := received.Add(50 * time.Millisecond)
-	c.ShownSince(previous, received.Add(-50*time.Millisecond))
+	c.ChangedSince(previous, received.Add(-50*time.Millisecond))
 	synced := received.Add(90 * time.Millisecond)
 	c.syncServers(synced, "s")
-	changed := c.ShownSince(synced, previous)
+	changed := c.ChangedSince(synced, previous)
 	require.Len(t, changed, 1)
 	require.Equal(t, []backs.Held{{Model: "m1"}, {Model: "m2"}}, changed[0].Models)
 }
