--- a/peers/frames.go
+++ b/peers/frames.go
@@ -109,19 +109,19 @@
 }
 
 // demandOf converts demand from its wire form.
-func demandOf(list []wire.ModelWant) []steer.Want {
-	demand := make([]steer.Want, 0, len(list))
+func demandOf(list []wire.ModelWant) []steer.ModelDemand {
+	demand := make([]steer.ModelDemand, 0, len(list))
 	for _, w := range list {
-		demand = append(demand, steer.Want{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, Time: time.Duration(w.TimeUs) * time.Microsecond})
+		demand = append(demand, steer.ModelDemand{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, ServerTime: time.Duration(w.TimeUs) * time.Microsecond})
 	}
 	return demand
 }
 
 // demandList converts demand to its wire form.
-func demandList(demand []steer.Want) []wire.ModelWant {
+func demandList(demand []steer.ModelDemand) []wire.ModelWant {
 	list := make([]wire.ModelWant, 0, len(demand))
 	for _, w := range demand {
-		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.Time.Microseconds())})
+		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.ServerTime.Microseconds())})
 	}
 	return list
 }
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -167,7 +167,7 @@
 	}
 	p.mu.Unlock()
 	if !relinked {
-		p.Controller.Left(d.vm)
+		p.Controller.RemoveVM(d.vm)
 	}
 }
 
@@ -184,8 +184,8 @@
 		p.mu.Lock()
 		p.setSubtree(d.vm, subtree{vms: m.VMReport.Vms, relaying: m.VMReport.Relaying})
 		p.mu.Unlock()
-		p.Controller.Report(p.Now(), d.vm, loadsOf(m.VMReport.Loads), demandOf(m.VMReport.Wants))
-		p.Controller.Doubt(m.VMReport.Doubts)
+		p.Controller.RecordVMReport(p.Now(), d.vm, loadsOf(m.VMReport.Loads), demandOf(m.VMReport.Wants))
+		p.Controller.RequireReports(m.VMReport.Doubts)
 	case m.FindCall != nil:
 		go p.answerFind(spans.Extract(ctx, m.Traceparent), d, m.FindCall)
 	case m.PermitCall != nil:
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -84,7 +84,7 @@
 
 	mu sync.Mutex
 	// demand and unverified are not yet reported to the controller.
-	demand     map[demandKey]*steer.Want
+	demand     map[demandKey]*steer.ModelDemand
 	unverified map[string]bool
 	// finds are the pending find calls.
 	finds findGroup
@@ -127,7 +127,7 @@
 func (p *Peers) RecordDemand(service string, w pick.Work, cost time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addDemand(steer.Want{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, Time: cost})
+	p.addDemand(steer.ModelDemand{Service: service, Model: w.Model, Adapter: w.Adapter, Requests: 1, ServerTime: cost})
 }
 
 // RequestVerification asks the controller to verify the state of a server that could not be reached or
@@ -146,10 +146,10 @@
 	return list
 }
 
-func (p *Peers) takeDemand() []steer.Want {
+func (p *Peers) takeDemand() []steer.ModelDemand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var list []steer.Want
+	var list []steer.ModelDemand
 	for _, w := range p.demand {
 		list = append(list, *w)
 	}
@@ -179,7 +179,7 @@
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Hold(p.Now(), id, p.Controller.HeldBy(p.Now(), id))
+			p.Servers.Hold(p.Now(), id, p.Controller.ServableModels(p.Now(), id))
 		}
 		return id, err
 	}
@@ -310,14 +310,14 @@
 		changed := p.Controller.Changed()
 		now := p.Now()
 		own := p.Book.Own()
-		p.Controller.Report(now, p.Name, own, p.takeDemand())
-		p.Controller.Doubt(p.takeUnverified())
+		p.Controller.RecordVMReport(now, p.Name, own, p.takeDemand())
+		p.Controller.RequireReports(p.takeUnverified())
 		// The controller's tracker already merges the reports of all VMs, so its own report is
 		// discarded.
 		p.Poison.TakeReport()
 		p.Limits.TakeReport()
 		p.Book.Others(now, pick.Minus(p.Controller.Loads(), own))
-		for _, s := range p.Controller.ShownSince(now, since) {
+		for _, s := range p.Controller.ChangedSince(now, since) {
 			p.Servers.Hold(now, s.Server, s.Models)
 		}
 		since = now
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -290,14 +290,14 @@
 }
 
 // addDemand adds to the demand of the next report to the controller. p.mu must be held.
-func (p *Peers) addDemand(w steer.Want) {
+func (p *Peers) addDemand(w steer.ModelDemand) {
 	if p.demand == nil {
-		p.demand = make(map[demandKey]*steer.Want)
+		p.demand = make(map[demandKey]*steer.ModelDemand)
 	}
 	key := demandKey{w.Service, w.Model, w.Adapter}
 	if sum := p.demand[key]; sum != nil {
 		sum.Requests += w.Requests
-		sum.Time += w.Time
+		sum.ServerTime += w.ServerTime
 		return
 	}
 	p.demand[key] = &w
