--- a/pick/book.go
+++ b/pick/book.go
@@ -12,69 +12,73 @@
 )
 
 const (
-	// readRate is how many prompt tokens of the largest model a server reads in
-	// a millisecond until answers have shown it: by the deployments' data sheets
-	// 38.4, less the steps of running requests between the pieces.
-	readRate = 32.0
-	// rateWeight is the weight of one answer in a model's learned rate, rateLeast
-	// and rateMost its bounds, and rateTokens the prompt from which an answer
-	// tells: below it the way and the first step outweigh the reading.
-	rateWeight = 0.1
-	rateLeast  = 8.0
-	rateMost   = 400.0
-	rateTokens = 200
-	// runCost is what each running request adds to the time of a first token:
-	// a step grows by microseconds a request, some tens of steps lie between.
-	runCost = 300 * time.Microsecond
-	// farCost is the price of another failure domain in time: one way and back,
-	// and the bytes that cross.
-	farCost = 4 * time.Millisecond
-	// openCost is the price of a new connection in time: it holds a slot of the
-	// server and takes a way and back and a millisecond of its work.
-	openCost = 6 * time.Millisecond
-	// plainTime is the time of a request to a service without models until
-	// answers have shown it; the data sheets say 15 to 30 ms.
-	plainTime = 20 * time.Millisecond
-	// answerTime is the time of a whole answer of a model server until answers have shown
-	// it, by the data sheets 0.3 s to 1.5 s, and answerWeight the weight of one answer:
-	// kinds of requests differ by five times.
-	answerTime   = 700 * time.Millisecond
-	answerWeight = 0.02
-	// keptShare is the part of a server's token memory that kept prompts are
-	// taken to fill; running requests have the rest.
-	keptShare = 0.7
-	// ownerShare is how much of a shared prefix the server that it belongs to
-	// is taken to keep before this VM has sent it there: other VMs have.
-	ownerShare = 0.6
-	// kvLimit is the filling of the token memory above which a server preempts
-	// running streams, with room for what they still generate.
-	kvLimit = 0.85
-	// kvPenalty stands for the preemption that a request beyond kvLimit causes.
-	kvPenalty = 2 * time.Second
-	// faultCost is what a certain failure costs: the objective is missed, and
-	// a request that must not run twice is lost.
-	faultCost = 3 * time.Second
+	// defaultPrefillTokensPerMs is the prefill rate of the largest model until
+	// responses have been measured. The deployments' data sheets give 38.4 tokens
+	// per millisecond; decode steps of running requests between chunks lower it.
+	defaultPrefillTokensPerMs = 32.0
+	// prefillRateWeight is the weight of one response in the moving average of a
+	// model's prefill rate. minPrefillTokensPerMs and maxPrefillTokensPerMs bound
+	// the samples. Prompts below minPrefillSampleTokens are not sampled, because
+	// network latency and the first decode step outweigh their prefill time.
+	prefillRateWeight      = 0.1
+	minPrefillTokensPerMs  = 8.0
+	maxPrefillTokensPerMs  = 400.0
+	minPrefillSampleTokens = 200
+	// runningRequestCost is what each running request adds to the time to first
+	// token: it lengthens a decode step by microseconds, and some tens of steps
+	// run before the first token.
+	runningRequestCost = 300 * time.Microsecond
+	// crossDomainCost is the cost of another failure domain in time: one network
+	// round trip and the transfer across domains.
+	crossDomainCost = 4 * time.Millisecond
+	// newConnectionCost is the cost of a new connection in time: it occupies a
+	// slot of the server and takes a round trip and a millisecond of server work.
+	newConnectionCost = 6 * time.Millisecond
+	// defaultResponseTime is the response time of a service without models until
+	// responses have been measured; the data sheets give 15 to 30 ms.
+	defaultResponseTime = 20 * time.Millisecond
+	// defaultModelResponseTime is the time of a complete response of a model
+	// server until responses have been measured; the data sheets give 0.3 s to
+	// 1.5 s. modelResponseWeight is the weight of one response in the average;
+	// it is small because kinds of requests differ by a factor of five.
+	defaultModelResponseTime = 700 * time.Millisecond
+	modelResponseWeight      = 0.02
+	// prefixCacheShare is the share of a server's KV cache assumed to hold cached
+	// prompts; running requests use the rest.
+	prefixCacheShare = 0.7
+	// assumedPrefixShare is the share of a shared prefix that the server assigned
+	// to it is assumed to have cached before this VM has sent it there, because
+	// other VMs have.
+	assumedPrefixShare = 0.6
+	// kvPreemptionShare is the KV cache usage above which a server preempts
+	// running streams. It leaves capacity for the tokens still to be generated.
+	kvPreemptionShare = 0.85
+	// preemptionCost is the cost of the preemption that a request beyond
+	// kvPreemptionShare causes.
+	preemptionCost = 2 * time.Second
+	// failureCost is the cost of a certain failure: the request misses its
+	// objective, and a request that must not run twice is lost.
+	failureCost = 3 * time.Second
 )
 
-// Load is what a server carries from some callers.
+// Load is the load on a server from one or more VMs.
 type Load struct {
-	// Running is the requests sent and not ended, Tokens the token memory that
-	// they need.
+	// Running is the number of requests sent and not finished, Tokens the KV
+	// cache tokens that they need.
 	Running, Tokens int
-	// Reading is how long the server needs to read the prompts of those without
-	// a first event.
+	// Reading is the prefill time of the requests without a first event.
 	Reading time.Duration
-	// Adapters are those in use, as MODEL/ADAPTER. Sums leave them out.
+	// Adapters lists the adapters in use, as MODEL/ADAPTER. Sums omit them.
 	Adapters []string
 }
 
-// Plus returns the sum of two loads.
+// Plus returns the sum of two loads, without adapters.
 func (l Load) Plus(o Load) Load {
 	return Load{Running: l.Running + o.Running, Reading: l.Reading + o.Reading, Tokens: l.Tokens + o.Tokens}
 }
 
-// Minus returns sums without one VM's part, which is a little older or newer
-// than the one in the sums.
+// Minus subtracts one VM's part from sums. The two can be of slightly different
+// age, so results below zero become zero.
 func Minus(sums, part map[string]Load) map[string]Load {
 	rest := make(map[string]Load, len(sums))
 	for id, s := range sums {
@@ -84,17 +88,17 @@
 	return rest
 }
 
-// state is the books of one server.
-type state struct {
-	own, others Load
-	cache       cache
-	faults      faults
-	took        time.Duration
-	// adapters counts the requests that use each adapter.
+// serverState is the load, prefix cache and history of one server.
+type serverState struct {
+	local, remote Load
+	cache         prefixCache
+	failures      failureRate
+	responseTime  time.Duration
+	// adapters is the number of requests using each adapter.
 	adapters map[string]int
 }
 
-func (s *state) use(w Work, n int) {
+func (s *serverState) addAdapterUse(w Work, delta int) {
 	if w.Adapter == "" {
 		return
 	}
@@ -102,68 +106,72 @@
 		s.adapters = make(map[string]int)
 	}
 	name := w.Model + "/" + w.Adapter
-	if s.adapters[name] += n; s.adapters[name] <= 0 {
+	if s.adapters[name] += delta; s.adapters[name] <= 0 {
 		delete(s.adapters, name)
 	}
 }
 
-// Book keeps the books of all servers. Domain is the VM's failure domain; the
-// rest of the zero value works. It is safe for use by several goroutines.
+// Book tracks the load and the measured performance of all servers and chooses
+// between them. Domain is the VM's failure domain; the zero value of the other
+// fields is usable. It is safe for use by several goroutines.
 type Book struct {
 	Domain string
-	// Seed sets the VM's chance apart from that of the others.
+	// Seed makes the VM's random choices differ from those of other VMs.
 	Seed uint64
-	// Idle reports whether a connection to a server is kept; nil for always.
+	// Idle reports whether an idle connection to a server is open; nil means
+	// always.
 	Idle func(id string) bool
 
 	mu      sync.Mutex
-	servers map[string]*state
-	// told is when the load of the others was told, turn counts the requests
-	// that chance decided on.
-	told    time.Time
-	turn    uint64
-	domains map[string]*faults
-	// rates is how many prompt tokens of a model are read in a millisecond, as
-	// answers of idle servers have shown.
-	rates map[string]float64
-	// took is the usual time of an answer of each service.
-	took map[string]time.Duration
-	// answers is the usual time of a whole answer of each service that runs models.
-	answers map[string]time.Duration
-	// lengths is how much of the most output the answers of a route have, steps the
-	// time of a token of a model.
-	lengths map[string]float64
-	steps   map[string]time.Duration
+	servers map[string]*serverState
+	// remoteLoadsAt is when the loads of the other VMs were reported,
+	// randomKeys the number of random keys drawn.
+	remoteLoadsAt  time.Time
+	randomKeys     uint64
+	domainFailures map[string]*failureRate
+	// prefillRates is the prefill rate of each model in tokens per millisecond,
+	// measured on idle servers.
+	prefillRates map[string]float64
+	// responseTimes is the average response time of each service.
+	responseTimes map[string]time.Duration
+	// modelResponseTimes is the average time of a complete response of each
+	// service that runs models.
+	modelResponseTimes map[string]time.Duration
+	// outputShares is the average output of each route as a share of the
+	// maximum output tokens, tokenTimes the decode time of a token of each
+	// model.
+	outputShares map[string]float64
+	tokenTimes   map[string]time.Duration
 }
 
-func (b *Book) state(id string) *state {
+func (b *Book) serverState(id string) *serverState {
 	s := b.servers[id]
 	if s == nil {
 		if b.servers == nil {
-			b.servers = make(map[string]*state)
+			b.servers = make(map[string]*serverState)
 		}
-		s = &state{}
+		s = &serverState{}
 		b.servers[id] = s
 	}
 	return s
 }
 
-// Choice is a server and when it is predicted to give its first event.
+// Choice is the chosen server with the predicted time to its first event.
 type Choice struct {
 	Server    backs.Entry
 	Predicted time.Duration
-	// Queue is the part of it before the server reads this request.
+	// Queue is the part of Predicted before this request's prefill starts.
 	Queue time.Duration
-	// Missing is how many prompt tokens it is predicted to read, and Reading how
-	// long that takes.
+	// Missing is the number of prompt tokens predicted to miss the prefix cache,
+	// and Reading their prefill time.
 	Missing int
 	Reading time.Duration
-	// Load is what the prediction took the server to carry.
+	// Load is the load of the server that the prediction assumed.
 	Load Load
 }
 
-// Choose returns the best of the candidates, leaving out those in tried. kv is
-// a server's token memory, 0 when unknown.
+// Choose returns the candidate with the lowest predicted cost, except those in
+// tried. kv is the size of a server's KV cache in tokens, 0 when unknown.
 func (b *Book) Choose(now time.Time, candidates []backs.Entry, w Work, kv int, tried []string) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,99 +194,101 @@
 	return best, found
 }
 
-// chooseModel spreads the requests for a model over the servers that hold it.
+// chooseModel distributes the requests for a model over the servers that hold it.
 func (b *Book) chooseModel(now time.Time, candidates []backs.Entry, w Work, kv int, tried []string) (Choice, bool) {
-	chain := w.chain()
-	key, open := w.shared(chain), time.Duration(0)
-	if sharedTokens(w) < prefixFrom {
-		key, open = b.chance(), openCost
+	prefixKeys := w.prefixKeys()
+	key, connCost := w.sharedPrefixKey(prefixKeys), time.Duration(0)
+	if sharedPrefixTokens(w) < minSharedPrefixTokens {
+		key, connCost = b.randomKey(), newConnectionCost
 	}
-	options := make([]option, 0, len(candidates))
+	ranked := make([]candidate, 0, len(candidates))
 	for _, e := range candidates {
 		if slices.Contains(tried, e.ID) {
 			continue
 		}
-		o := option{entry: e, queue: b.queue(now, e) + b.crowding(e) + b.penalty(now, e, w, kv)}
-		if !b.kept(e) {
-			o.queue += open
+		c := candidate{server: e, queueTime: b.queueTime(now, e) + b.slotBacklog(e) + b.penalty(now, e, w, kv)}
+		if !b.hasIdleConn(e) {
+			c.queueTime += connCost
 		}
-		options = append(options, o)
+		ranked = append(ranked, c)
 	}
-	if len(options) == 0 {
+	if len(ranked) == 0 {
 		return Choice{}, false
 	}
-	chosen := options[spread(options, key)]
-	return b.predict(now, chosen.entry, w, chain, true), true
+	chosen := ranked[weightedRendezvous(ranked, key)]
+	return b.predict(now, chosen.server, w, prefixKeys, true), true
 }
 
-// queue is the time that a server needs for what it has to read already. What the
-// other VMs told of has been worked on since.
-func (b *Book) queue(now time.Time, e backs.Entry) time.Duration {
-	s := b.state(e.ID)
-	others := max(s.others.Reading-now.Sub(b.told), 0)
-	return s.own.Reading + others + time.Duration(s.own.Running+s.others.Running)*runCost
+// queueTime returns the time that a server needs for its pending prefill. The
+// servers have processed part of the load of the other VMs since it was reported.
+func (b *Book) queueTime(now time.Time, e backs.Entry) time.Duration {
+	s := b.serverState(e.ID)
+	remotePrefill := max(s.remote.Reading-now.Sub(b.remoteLoadsAt), 0)
+	return s.local.Reading + remotePrefill + time.Duration(s.local.Running+s.remote.Running)*runningRequestCost
 }
 
-// crowding is the time that a server needs for the answers of what it runs, each of which
-// takes one of its slots. Requests are spread so that reading and answers together are
-// level: by reading alone, of two servers with short prompts the one whose slots are taken
-// looks as good as the one that is empty, and requests wait for a slot there.
-func (b *Book) crowding(e backs.Entry) time.Duration {
+// slotBacklog returns the time that a server needs for the responses it is
+// generating, each of which occupies one slot. Requests are distributed so that
+// prefill and decode together are balanced. With prefill alone, a server with
+// short prompts and no free slot would rank equal to an empty one, and requests
+// would wait there for a slot.
+func (b *Book) slotBacklog(e backs.Entry) time.Duration {
 	if e.Slots == 0 {
 		return 0
 	}
-	s := b.state(e.ID)
-	return time.Duration(s.own.Running+s.others.Running) * b.usualAnswer(e.Service) / time.Duration(e.Slots)
+	s := b.serverState(e.ID)
+	return time.Duration(s.local.Running+s.remote.Running) * b.modelResponseTime(e.Service) / time.Duration(e.Slots)
 }
 
-// usualAnswer returns how long the whole answer of a model server usually takes.
-func (b *Book) usualAnswer(service string) time.Duration {
-	return cmp.Or(b.answers[service], answerTime)
+// modelResponseTime returns the average time of a complete response of a model server.
+func (b *Book) modelResponseTime(service string) time.Duration {
+	return cmp.Or(b.modelResponseTimes[service], defaultModelResponseTime)
 }
 
-func (b *Book) predict(now time.Time, e backs.Entry, w Work, chain []uint64, owner bool) Choice {
-	s := b.state(e.ID)
-	load := s.own.Plus(s.others)
+func (b *Book) predict(now time.Time, e backs.Entry, w Work, prefixKeys []uint64, assumeShared bool) Choice {
+	s := b.serverState(e.ID)
+	load := s.local.Plus(s.remote)
 	if w.Model == "" {
-		return Choice{Server: e, Predicted: s.plainTime(b.took[e.Service], load, e.Slots), Load: load}
+		return Choice{Server: e, Predicted: s.predictResponseTime(b.responseTimes[e.Service], load, e.Slots), Load: load}
 	}
-	hit := s.cache.hit(w, chain)
-	if owner {
-		hit = max(hit, int(ownerShare*float64(sharedTokens(w))))
+	cachedTokens := s.cache.hitTokens(w, prefixKeys)
+	if assumeShared {
+		cachedTokens = max(cachedTokens, int(assumedPrefixShare*float64(sharedPrefixTokens(w))))
 	}
-	missing := max(w.Prompt-hit, 1)
-	reading := time.Duration(float64(missing) / b.rate(w) * float64(time.Millisecond))
-	queue := b.queue(now, e)
-	return Choice{Server: e, Missing: missing, Queue: queue, Reading: reading, Load: load, Predicted: queue + reading}
+	uncached := max(w.Prompt-cachedTokens, 1)
+	prefill := time.Duration(float64(uncached) / b.prefillRate(w) * float64(time.Millisecond))
+	queueTime := b.queueTime(now, e)
+	return Choice{Server: e, Missing: uncached, Queue: queueTime, Reading: prefill, Load: load, Predicted: queueTime + prefill}
 }
 
-// rate returns how many prompt tokens of the work's model are read in a
-// millisecond. Before answers have shown it, larger models are taken to be
-// slower in proportion.
-func (b *Book) rate(w Work) float64 {
-	if r, ok := b.rates[w.Model]; ok {
+// prefillRate returns the prefill rate of the work's model in tokens per
+// millisecond. Without measurements, larger models are assumed to be slower in
+// proportion to their size.
+func (b *Book) prefillRate(w Work) float64 {
+	if r, ok := b.prefillRates[w.Model]; ok {
 		return r
 	}
 	if w.Size > 0 {
-		return min(readRate/w.Size, rateMost)
+		return min(defaultPrefillTokensPerMs/w.Size, maxPrefillTokensPerMs)
 	}
-	return readRate
+	return defaultPrefillTokensPerMs
 }
 
-// learn takes in that an idle server read prompt tokens of a model in a time.
-func (b *Book) learn(w Work, tokens int, took time.Duration) {
-	if took -= firstStep; tokens < rateTokens || took <= 0 {
+// learnPrefillRate adds a measurement: an idle server has prefilled a number of
+// prompt tokens of a model in a time.
+func (b *Book) learnPrefillRate(w Work, tokens int, took time.Duration) {
+	if took -= firstEventOverhead; tokens < minPrefillSampleTokens || took <= 0 {
 		return
 	}
-	if b.rates == nil {
-		b.rates = make(map[string]float64)
+	if b.prefillRates == nil {
+		b.prefillRates = make(map[string]float64)
 	}
-	shown := min(max(float64(tokens)/(took.Seconds()*1000), rateLeast), rateMost)
-	rate := b.rate(w)
-	b.rates[w.Model] = rate + rateWeight*(shown-rate)
+	observed := min(max(float64(tokens)/(took.Seconds()*1000), minPrefillTokensPerMs), maxPrefillTokensPerMs)
+	rate := b.prefillRate(w)
+	b.prefillRates[w.Model] = rate + prefillRateWeight*(observed-rate)
 }
 
-func sharedTokens(w Work) int {
+func sharedPrefixTokens(w Work) int {
 	tokens := 0
 	for _, p := range w.Parts[:max(len(w.Parts)-1, 0)] {
 		tokens += p.Tokens
@@ -286,65 +296,65 @@
 	return tokens
 }
 
-// plainTime predicts the answer of a service without models: the rounds of
-// requests ahead of this one, each of the usual time. A server that has not
-// answered yet is taken to be like the others, so that it is tried.
-func (s *state) plainTime(usual time.Duration, load Load, slots int) time.Duration {
-	took := s.took
+// predictResponseTime predicts the response time of a service without models: the
+// number of rounds of requests ahead of this one times the average response time.
+// A server without responses gets the average of the service, so that it is tried.
+func (s *serverState) predictResponseTime(serviceTime time.Duration, load Load, slots int) time.Duration {
+	took := s.responseTime
 	if took == 0 {
-		took = usual
+		took = serviceTime
 	}
 	if took == 0 {
-		took = plainTime
+		took = defaultResponseTime
 	}
 	rounds := float64(load.Running+1) / float64(max(slots, 1))
 	return time.Duration(float64(took) * math.Max(1, rounds) * (1 + 0.2*rounds))
 }
 
-// penalty is what speaks against a server beside its time: distance, recent
-// failures and a token memory that is nearly full.
+// penalty returns the cost of a server beside its response time: distance, recent
+// failures and a KV cache that is nearly full.
 func (b *Book) penalty(now time.Time, e backs.Entry, w Work, kv int) time.Duration {
-	s := b.state(e.ID)
-	cost := time.Duration(s.faults.now(now) * float64(faultCost))
+	s := b.serverState(e.ID)
+	cost := time.Duration(s.failures.current(now) * float64(failureCost))
 	if e.Domain != b.Domain {
-		cost += farCost + time.Duration(b.domains[e.Domain].now(now)*float64(faultCost))
+		cost += crossDomainCost + time.Duration(b.domainFailures[e.Domain].current(now)*float64(failureCost))
 	}
-	if need := s.own.Tokens + s.others.Tokens + w.Prompt + w.Output; w.Model != "" && kv > 0 && float64(need) > kvLimit*float64(kv) {
-		cost += kvPenalty
+	if kvNeed := s.local.Tokens + s.remote.Tokens + w.Prompt + w.Output; w.Model != "" && kv > 0 && float64(kvNeed) > kvPreemptionShare*float64(kv) {
+		cost += preemptionCost
 	}
 	if e.Cold > 0 {
-		cost += plainTime
+		cost += defaultResponseTime
 	}
-	if w.Model == "" && !b.kept(e) {
-		cost += openCost
+	if w.Model == "" && !b.hasIdleConn(e) {
+		cost += newConnectionCost
 	}
 	return cost
 }
 
-// kept reports whether a connection to a server is kept.
-func (b *Book) kept(e backs.Entry) bool { return b.Idle == nil || b.Idle(e.ID) }
+// hasIdleConn reports whether an idle connection to a server is open.
+func (b *Book) hasIdleConn(e backs.Entry) bool { return b.Idle == nil || b.Idle(e.ID) }
 
-// Others replaces what the other VMs have at each server, as of now.
+// Others replaces the load of the other VMs on each server, as reported at now.
 func (b *Book) Others(now time.Time, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = now
+	b.remoteLoadsAt = now
 	for id, s := range b.servers {
-		s.others = loads[id]
+		s.remote = loads[id]
 	}
 	for id, l := range loads {
-		b.state(id).others = l
+		b.serverState(id).remote = l
 	}
 }
 
-// Own returns what this VM has at each server.
+// Own returns the load of this VM on each server.
 func (b *Book) Own() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := make(map[string]Load)
 	for id, s := range b.servers {
-		if s.own.Running > 0 {
-			l := s.own
+		if s.local.Running > 0 {
+			l := s.local
 			l.Adapters = slices.Collect(maps.Keys(s.adapters))
 			own[id] = l
 		}
@@ -352,13 +362,13 @@
 	return own
 }
 
-// Retain forgets the servers that are not in the list and idle.
+// Retain discards the state of servers that are not in the list and have no running requests.
 func (b *Book) Retain(known []backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.servers {
 		listed := slices.ContainsFunc(known, func(e backs.Entry) bool { return e.ID == id })
-		if !listed && s.own.Running == 0 {
+		if !listed && s.local.Running == 0 {
 			delete(b.servers, id)
 		}
 	}
--- a/pick/cache.go
+++ b/pick/cache.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// cache is what a server is believed to keep of prompts: the least recently
-// used parts yield when the tokens exceed its room, as on the server.
-type cache struct {
-	parts  map[uint64]cached
+// prefixCache is the predicted prefix cache of a server. Like the server, it evicts the
+// least recently used parts when the tokens exceed its capacity.
+type prefixCache struct {
+	parts  map[uint64]cachedPart
 	tokens int
 }
 
-type cached struct {
-	tokens int
-	used   time.Time
+type cachedPart struct {
+	tokens   int
+	lastUsed time.Time
 }
 
-// hit returns how many tokens at the start of the prompt are kept.
-func (c *cache) hit(w Work, chain []uint64) int {
+// hitTokens returns the number of cached tokens at the start of the prompt.
+func (c *prefixCache) hitTokens(w Work, keys []uint64) int {
 	tokens := 0
-	for i, key := range chain {
+	for i, key := range keys {
 		if _, ok := c.parts[key]; !ok {
 			break
 		}
@@ -26,28 +26,28 @@
 	return tokens
 }
 
-// read notes that the server reads a prompt, with room tokens in all.
-func (c *cache) read(now time.Time, w Work, chain []uint64, room int) {
+// add records the prefill of a prompt; capacity is the size of the cache in tokens.
+func (c *prefixCache) add(now time.Time, w Work, keys []uint64, capacity int) {
 	if c.parts == nil {
-		c.parts = make(map[uint64]cached)
+		c.parts = make(map[uint64]cachedPart)
 	}
-	for i, key := range chain {
+	for i, key := range keys {
 		if _, ok := c.parts[key]; !ok {
 			c.tokens += w.Parts[i].Tokens
 		}
-		c.parts[key] = cached{tokens: w.Parts[i].Tokens, used: now}
+		c.parts[key] = cachedPart{tokens: w.Parts[i].Tokens, lastUsed: now}
 	}
-	for c.tokens > room && len(c.parts) > 0 {
-		c.dropOldest()
+	for c.tokens > capacity && len(c.parts) > 0 {
+		c.evictOldest()
 	}
 }
 
-func (c *cache) dropOldest() {
+func (c *prefixCache) evictOldest() {
 	var oldest uint64
-	var used time.Time
+	var oldestUse time.Time
 	for key, p := range c.parts {
-		if used.IsZero() || p.used.Before(used) {
-			oldest, used = key, p.used
+		if oldestUse.IsZero() || p.lastUsed.Before(oldestUse) {
+			oldest, oldestUse = key, p.lastUsed
 		}
 	}
 	c.tokens -= c.parts[oldest].tokens
--- a/pick/cost_test.go
+++ b/pick/cost_test.go
@@ -10,11 +10,11 @@
 	"github.com/hibiscuscart/hibiscuscart/pick"
 )
 
-// Two models of nearly the same size run at very different paces, and their answers
-// have a third of the tokens that callers allow. Counted by tokens, the quick one got as
-// many servers as the slow one. What requests take is learned from their answers, and
-// from the quickest more than from those that waited behind prompts.
-func TestCostIsLearnedFromAnswers(t *testing.T) {
+// Two models of nearly the same size run at very different speeds, and their responses
+// have a third of the tokens that callers allow. By token count, the fast one got as many
+// servers as the slow one. The cost of requests is learned from their responses, and more
+// from the fastest than from those that waited for other prompts.
+func TestCostLearning(t *testing.T) {
 	book := &pick.Book{Domain: "d"}
 	entry := backs.Entry{ID: "a", Service: "s", Domain: "d", Slots: 48}
 	work := func(model string) pick.Work {
@@ -36,12 +36,12 @@
 	for i := range 300 {
 		step := 5 * time.Millisecond
 		if i%2 == 0 {
-			step *= 3 // Prompts were read between.
+			step *= 3 // Prefills interrupted the decoding.
 		}
 		answer("slow", 23*time.Millisecond, step, 50)
 		answer("quick", 11*time.Millisecond, 1500*time.Microsecond, 50)
 	}
-	// 600 tokens at 37.5 a ms, and 300 tokens of 5 ms beside 47 others.
+	// 600 tokens at 37.5 per ms, and 300 tokens of 5 ms with 47 concurrent requests.
 	require.InDelta(t, 16+31, book.Cost(work("slow")).Seconds()*1000, 8)
 	require.InDelta(t, 4+9.4, book.Cost(work("quick")).Seconds()*1000, 4)
 }
--- a/pick/room.go
+++ b/pick/room.go
@@ -2,116 +2,119 @@
 
 import "time"
 
-// Load pattern: the demand for a model jumps, and its one or two copies get several
-// times what they can read; more copies are being loaded and take some seconds. If
-// all requests are sent, those copies have a queue of many seconds: what is behind
-// it is answered when its caller has left, and can not be moved to the new copies
-// when they are there. A queue of a second keeps a copy busy just as well.
+// Load pattern: the demand for a model jumps, and its one or two replicas get several
+// times the requests that they can prefill; further replicas are loading and take some
+// seconds. If all requests are sent, those replicas have a queue of many seconds. Requests
+// at its end are answered after their callers have disconnected, and can not be moved to
+// the new replicas. A queue of one second keeps a replica just as busy.
 //
-// So requests beyond that wait at their VM, where they can still go to any copy.
-// When there is room, each VM lets in a part of those that it holds, by how many it
-// takes all VMs to hold; else all of them come at once and the queue is as long as
-// before. A request that found no room for as long as its answer should have taken
-// is refused, as its caller can do better: it is told when to come back.
+// Requests beyond that therefore wait in their VM, from where they can still go to any
+// replica. When a server has capacity, each VM admits a share of its waiting requests
+// according to the estimated number waiting in all VMs; otherwise all would arrive at once
+// and the queue would be as long as before. A request that has waited for as long as its
+// response should have taken is refused with a retry time, so that its caller can use an
+// alternative.
 //
-// While more is asked for than copies can read, a queue as long as the limit stays, and if
-// that is longer than the objective, everything is answered late. So a request is sent at
-// once only where it is predicted in time. One that is not has missed its objective
-// wherever it goes: it waits until a queue is short, and makes nobody else late.
+// While demand exceeds capacity, the queue stays at its limit, and if the limit is longer
+// than the objective, all responses are late. A request is therefore sent at once only if
+// it is predicted to meet its objective. Otherwise it will miss it on any server: it waits
+// until a queue is short, and delays no other request.
 
 const (
-	// roomLimit is the queue at a server, in time to read it, up to which requests
-	// are sent. It covers what is not known yet of the load by other VMs, some 300
-	// to 500 ms, with as much again, so that a server is not left idle.
-	roomLimit = time.Second
-	// lateLimit is the queue up to which requests are sent that have waited: their
-	// objective is mostly missed, and those that could still meet theirs go first. It
-	// keeps a copy at work until the next look.
-	lateLimit = 2 * RoomPause
-	// timelyShare is the part of the objective within which the first event must be
-	// predicted for a request to be sent at once; the rest is for the way and the first
-	// step. With both limits the replays of the worst load earn, means of three seeds,
-	// 0.873, 0.827 and 0.870 of what is owed (9, 71 and 195 VMs) in place of 0.864,
-	// 0.802 and 0.853; with 0.7 here 0.851, 0.826 and 0.862.
-	timelyShare = 0.9
-	// RoomPause lies between two looks for room: load is told as often.
+	// maxQueueTime is the queue of a server, as prefill time, up to which requests are
+	// sent. It covers the delay of the load reports of other VMs, some 300 to 500 ms,
+	// and as much again, so that a server does not become idle.
+	maxQueueTime = time.Second
+	// maxLateQueueTime is the queue up to which waiting requests are sent. Most of them
+	// miss their objective, and requests that can still meet theirs go first. It keeps a
+	// replica busy until the next check.
+	maxLateQueueTime = 2 * RoomPause
+	// objectiveShare is the share of the objective within which the first event must be
+	// predicted for a request to be sent at once; the rest covers network latency and
+	// the first decode step. With this and maxLateQueueTime, overload replays (9, 71 and
+	// 195 VMs, means of three seeds) score 0.873, 0.827 and 0.870 of the maximum, without
+	// them 0.864, 0.802 and 0.853. A value of 0.7 scores 0.851, 0.826 and 0.862.
+	objectiveShare = 0.9
+	// RoomPause is the interval between admission checks, equal to that of load reports.
 	RoomPause = 100 * time.Millisecond
-	// roomWaitLeast is how long a request waits for room at least.
-	roomWaitLeast = 300 * time.Millisecond
+	// minAdmissionWait is the minimum time that a request waits for capacity.
+	minAdmissionWait = 300 * time.Millisecond
 )
 
-// Load pattern: short answers that are urgent and long ones that are less so share the slots
-// of a server, and more is asked for than it can run. The long ones fill its queue, and what
-// is urgent is refused there, though it would have gone first; or else it takes the slots of
-// streams that run, which are read anew and pause. At their VMs the long ones lose nothing
-// by waiting: a slot that is free is taken from a short queue as well as from a long one.
+// Load pattern: urgent requests with short responses and less urgent ones with long
+// responses share the slots of a server, and demand exceeds its capacity. The long ones
+// fill its queue, and the server refuses urgent requests that it would have run first; or
+// it preempts running streams for them, which pause and need a second prefill. The long
+// ones lose nothing by waiting in their VMs: a short queue fills a free slot as well as a
+// long one.
 //
-// So what is not urgent waits at its VM while a server has all of its slots taken and a few
-// requests waiting. Which those are is the operators' word, by the routes' priorities.
+// Less urgent requests therefore wait in their VM while all slots of a server are taken and
+// a few requests are queued. Operators set the urgency by the priorities of the routes.
 
 const (
-	// slotsLimit is how many requests a server has, in slots, up to which less urgent
-	// ones are sent to it: what waits there keeps the slots taken until the next word of
-	// its load. The replays of the worst load earn 0.887, 0.880 and 0.862 of what is owed
-	// (means of three seeds; 9, 71 and 195 VMs) in place of 0.870, 0.848 and 0.862, and
-	// on the second servers refuse 0.7 in place of 8.8 thousand requests. With 1.0 it is
-	// 0.864, 0.860, 0.869, with 1.6 0.874, 0.878, 0.864.
-	slotsLimit = 1.3
+	// maxRunningPerSlot is the number of requests per slot of a server up to which less
+	// urgent ones are sent to it: the queued ones keep the slots occupied until the next
+	// load report. Overload replays (9, 71 and 195 VMs, means of three seeds) score 0.887,
+	// 0.880 and 0.862 of the maximum, without this limit 0.870, 0.848 and 0.862; with 71
+	// VMs, servers refuse 0.7 instead of 8.8 thousand requests. A value of 1.0 scores
+	// 0.864, 0.860 and 0.869, 1.6 scores 0.874, 0.878 and 0.864.
+	maxRunningPerSlot = 1.3
 )
 
-// Room decides whether a request is sent or waits.
+// Room decides whether a request is sent or waits in its VM.
 type Room struct {
-	// Held is how many requests for the model this VM holds, this one too when it
-	// has waited before; VMs is how many VMs there are.
+	// Held is the number of requests for the model waiting in this VM, including this
+	// one if it has waited before; VMs is the number of VMs.
 	Held, VMs int
-	// Objective is the time to the first event within which the answer is in time, 0
-	// for none.
+	// Objective is the target time to the first event, 0 for none.
 	Objective time.Duration
-	// Urgent says that the request goes before most others at a server.
+	// Urgent is set if servers run the request before most others.
 	Urgent bool
 }
 
-// Admit reports whether a request may be sent to the server chosen for it. chance
-// is a random number from 0 up to 1.
-func (r Room) Admit(c Choice, chance float64) bool {
-	if !r.Urgent && !c.slotSoon() {
+// Admit reports whether a request may be sent to the server chosen for it. random
+// is a random number in the interval from 0 up to 1.
+func (r Room) Admit(c Choice, random float64) bool {
+	if !r.Urgent && !c.slotSoonFree() {
 		return false
 	}
 	if r.Held <= 0 {
-		return c.Queue < r.limit(c.Reading)
+		return c.Queue < r.queueLimit(c.Reading)
 	}
-	room := lateLimit - c.Queue
-	if room <= 0 {
+	spareTime := maxLateQueueTime - c.Queue
+	if spareTime <= 0 {
 		return false
 	}
-	waiting := time.Duration(r.Held*max(r.VMs, 1)) * max(c.Reading, time.Millisecond)
-	return chance < room.Seconds()/waiting.Seconds()
+	waitingPrefill := time.Duration(r.Held*max(r.VMs, 1)) * max(c.Reading, time.Millisecond)
+	return random < spareTime.Seconds()/waitingPrefill.Seconds()
 }
 
-// limit returns the queue up to which a request is sent that takes as long to read.
-func (r Room) limit(reading time.Duration) time.Duration {
+// queueLimit returns the queue up to which a request with this prefill time is sent.
+func (r Room) queueLimit(prefill time.Duration) time.Duration {
 	if r.Objective <= 0 {
-		return roomLimit
+		return maxQueueTime
 	}
-	timely := time.Duration(timelyShare*float64(r.Objective)) - reading
-	return min(max(timely, lateLimit), roomLimit)
+	timely := time.Duration(objectiveShare*float64(r.Objective)) - prefill
+	return min(max(timely, maxLateQueueTime), maxQueueTime)
 }
 
-// slotSoon reports whether the server has a slot for a request that is not urgent within a
-// short time, as far as known.
-func (c Choice) slotSoon() bool {
-	return c.Server.Slots == 0 || float64(c.Load.Running) < slotsLimit*float64(c.Server.Slots)
+// slotSoonFree reports whether the server is expected to have a slot shortly for a request
+// that is not urgent.
+func (c Choice) slotSoonFree() bool {
+	return c.Server.Slots == 0 || float64(c.Load.Running) < maxRunningPerSlot*float64(c.Server.Slots)
 }
 
-// HasRoom reports whether the server takes the request without a wait for a slot or
-// a long queue, as far as known.
+// HasRoom reports whether the server is expected to run the request without waiting for a
+// slot or a long queue.
 func (c Choice) HasRoom() bool {
-	return c.Queue < roomLimit && (c.Server.Slots == 0 || c.Load.Running < c.Server.Slots)
+	return c.Queue < maxQueueTime && (c.Server.Slots == 0 || c.Load.Running < c.Server.Slots)
 }
 
-// RoomWait returns how long a request with an objective waits for room.
-func RoomWait(objective time.Duration) time.Duration { return max(objective, roomWaitLeast) }
+// RoomWait returns the maximum time that a request with an objective waits for capacity.
+func RoomWait(objective time.Duration) time.Duration { return max(objective, minAdmissionWait) }
 
-// ComeBack returns when a request that found no room should come back: when the
-// queue it met has room again.
-func ComeBack(queue time.Duration) time.Duration { return max(queue-roomLimit/2, roomLimit/2) }
+// ComeBack returns the delay after which a refused request should be retried: the time until
+// the queue of its server has capacity again.
+func ComeBack(queueTime time.Duration) time.Duration {
+	return max(queueTime-maxQueueTime/2, maxQueueTime/2)
+}
--- a/pick/spread.go
+++ b/pick/spread.go
@@ -9,67 +9,68 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// Load pattern: dozens of VMs send to the same servers, and each knows what the
-// others have sent with a delay of some hundred milliseconds. If each chooses the
-// server with the shortest queue, all choose the same one until they are told of
-// each other, and half a second of prompts arrives there at once: a herd.
+// Load pattern: dozens of VMs send to the same servers, and each learns the load of
+// the others with a delay of some hundred milliseconds. If each chooses the server
+// with the shortest queue, all choose the same one until the next load report, and
+// half a second of prompts arrives there at once: a thundering herd.
 //
-// The work that arrives within the delay is therefore taken to be spread such that
-// the queues of the candidates grow level, and each candidate gets the part of the
-// requests that this takes: of equal queues equal parts, of a longer one less, of
-// one beyond the level none (Dahlin, "Interpreting Stale Load Information", 1999).
-// Which request goes where is settled by a weighted rendezvous of its shared prefix,
-// on which all VMs agree: the prefixes stay divided among the servers, and only as
-// many of them move as the queues make necessary.
+// The work that arrives within the delay is therefore assumed to be distributed so
+// that the queues of the candidates become equal, and each candidate gets a matching
+// share of the requests: equal queues get equal shares, a longer one less, one above
+// the level none (Dahlin, "Interpreting Stale Load Information", 1999). A weighted
+// rendezvous hash of the shared prefix selects the server of a request, so that all
+// VMs select the same one: the prefixes stay partitioned among the servers, and only
+// as many of them move as the queues require.
 
 const (
-	// spreadSlack is the work, in time to read it, that arrives at each server
-	// within the delay of the others' load, some 200 to 500 ms at half of the
-	// servers' capacity. Less lets VMs crowd, more leaves queues uneven.
-	spreadSlack = 200 * time.Millisecond
-	// prefixFrom is the length of a shared prefix, in tokens, from which it is
-	// worth to keep it at one server: reading less takes 20 ms at most.
-	prefixFrom = 800
+	// staleWork is the work, as prefill time, that arrives at each server within
+	// the delay of the load reports, some 200 to 500 ms at half of the servers'
+	// capacity. A lower value lets VMs overload one server, a higher one leaves
+	// queues uneven.
+	staleWork = 200 * time.Millisecond
+	// minSharedPrefixTokens is the length of a shared prefix from which requests
+	// are routed by it. The prefill of shorter ones takes 20 ms at most.
+	minSharedPrefixTokens = 800
 )
 
-// option is a candidate for one request.
-type option struct {
-	entry backs.Entry
-	// queue is what lies before the request there, and what speaks against the
-	// server.
-	queue time.Duration
+// candidate is a server that a request may be sent to.
+type candidate struct {
+	server backs.Entry
+	// queueTime is the queue in front of the request plus the server's
+	// penalties.
+	queueTime time.Duration
 }
 
-// spread returns the index of the option that a key falls to.
-func spread(options []option, key uint64) int {
-	level := levelOf(options)
+// weightedRendezvous returns the index of the candidate selected for a key.
+func weightedRendezvous(candidates []candidate, key uint64) int {
+	level := levelQueueTime(candidates)
 	best, least := -1, math.Inf(1)
-	for i, o := range options {
-		weight := (level - o.queue).Seconds()
+	for i, c := range candidates {
+		weight := (level - c.queueTime).Seconds()
 		if weight <= 0 {
 			continue
 		}
 		// The smallest of exponentially distributed values with these rates: each
-		// option wins in proportion to its weight.
-		if score := -math.Log(uniform(rendezvous(o.entry.ID, key))) / weight; score < least {
+		// candidate is selected in proportion to its weight.
+		if score := -math.Log(uniform(rendezvousHash(c.server.ID, key))) / weight; score < least {
 			best, least = i, score
 		}
 	}
 	return best
 }
 
-// uniform maps a hash to a number between 0 and 1, both left out.
+// uniform maps a hash to a number in the open interval from 0 to 1.
 func uniform(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
-// levelOf returns how long all queues are when the work that is on its way has
+// levelQueueTime returns the common length of the queues after the stale work has
 // been added to the shorter ones.
-func levelOf(options []option) time.Duration {
-	queues := make([]time.Duration, len(options))
-	for i, o := range options {
-		queues[i] = o.queue
+func levelQueueTime(candidates []candidate) time.Duration {
+	queues := make([]time.Duration, len(candidates))
+	for i, c := range candidates {
+		queues[i] = c.queueTime
 	}
 	slices.SortFunc(queues, cmp.Compare)
-	sum := spreadSlack * time.Duration(len(queues))
+	sum := staleWork * time.Duration(len(queues))
 	for i, q := range queues {
 		sum += q
 		level := sum / time.Duration(i+1)
@@ -80,9 +81,9 @@
 	return 0
 }
 
-// chance returns a key for a request that has no prefix worth keeping together.
+// randomKey returns a key for a request without a shared prefix to route by.
 // b.mu is held.
-func (b *Book) chance() uint64 {
-	b.turn++
-	return mix(b.Seed + b.turn*0x9e3779b97f4a7c15)
+func (b *Book) randomKey() uint64 {
+	b.randomKeys++
+	return mixHash(b.Seed + b.randomKeys*0x9e3779b97f4a7c15)
 }
--- a/pick/ticket.go
+++ b/pick/ticket.go
@@ -2,129 +2,129 @@
 
 import "time"
 
-// Ticket is a request that was sent to a server.
+// Ticket is one attempt of a request on a server.
 type Ticket struct {
-	book    *Book
-	id      string
-	domain  string
-	service string
-	load    Load
-	work    Work
-	started time.Time
-	// missing is the tokens that the server had to read, alone that it had
-	// hardly anything else to do.
-	missing     int
-	alone       bool
-	read, ended bool
+	balancer *Book
+	serverID string
+	domain   string
+	service  string
+	load     Load
+	work     Work
+	started  time.Time
+	// uncachedTokens is the number of prompt tokens that the server had to
+	// prefill. serverIdle is set when it had nearly no other work.
+	uncachedTokens   int
+	serverIdle       bool
+	prefilled, ended bool
 }
 
-// aloneRunning is how many running requests leave the reading of a prompt
-// nearly undisturbed.
-const aloneRunning = 3
+// maxIdleRunning is the number of running requests up to which the prefill time
+// of a prompt is nearly unaffected.
+const maxIdleRunning = 3
 
-// Begin books a request onto the chosen server, whose token memory is kv.
+// Begin adds a request to the load of the chosen server, whose KV cache has kv tokens.
 func (b *Book) Begin(now time.Time, c Choice, w Work, kv int) *Ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.state(c.Server.ID)
+	s := b.serverState(c.Server.ID)
 	t := &Ticket{
-		book: b, id: c.Server.ID, domain: c.Server.Domain, service: c.Server.Service, work: w, started: now, missing: c.Missing,
-		alone: c.Load.Reading == 0 && c.Load.Running <= aloneRunning,
-		load:  Load{Running: 1, Reading: c.Reading, Tokens: w.Prompt + w.Output/2},
+		balancer: b, serverID: c.Server.ID, domain: c.Server.Domain, service: c.Server.Service, work: w, started: now, uncachedTokens: c.Missing,
+		serverIdle: c.Load.Reading == 0 && c.Load.Running <= maxIdleRunning,
+		load:       Load{Running: 1, Reading: c.Reading, Tokens: w.Prompt + w.Output/2},
 	}
-	s.own = s.own.Plus(t.load)
-	s.use(w, 1)
+	s.local = s.local.Plus(t.load)
+	s.addAdapterUse(w, 1)
 	if w.Model != "" {
-		s.cache.read(now, w, w.chain(), int(keptShare*float64(kv)))
+		s.cache.add(now, w, w.prefixKeys(), int(prefixCacheShare*float64(kv)))
 	}
 	return t
 }
 
-// First notes the first event: the prompt has been read.
+// First records the first event: the prefill is complete.
 func (t *Ticket) First(now time.Time) {
-	t.book.mu.Lock()
-	defer t.book.mu.Unlock()
-	if t.alone && !t.read && !t.ended {
-		t.book.learn(t.work, t.missing, now.Sub(t.started))
+	t.balancer.mu.Lock()
+	defer t.balancer.mu.Unlock()
+	if t.serverIdle && !t.prefilled && !t.ended {
+		t.balancer.learnPrefillRate(t.work, t.uncachedTokens, now.Sub(t.started))
 	}
-	t.first()
+	t.endPrefill()
 }
 
-func (t *Ticket) first() {
-	if !t.read {
-		t.read = true
-		t.book.state(t.id).own.Reading -= t.load.Reading
+func (t *Ticket) endPrefill() {
+	if !t.prefilled {
+		t.prefilled = true
+		t.balancer.serverState(t.serverID).local.Reading -= t.load.Reading
 	}
 }
 
-// Verdict is how a request ended, as far as it speaks about the server.
+// Verdict is the result of an attempt, as evidence about the server.
 type Verdict int
 
-// The verdicts.
+// Results of an attempt.
 const (
-	// Neutral says nothing: the caller left, or the server was leaving.
+	// Neutral is no evidence: the caller disconnected, or the server was shutting down.
 	Neutral Verdict = iota
-	// Good is a whole answer.
+	// Good is a complete response.
 	Good
-	// Refused is a refusal without running; the server is full or restarting.
+	// Refused is a refusal without execution: the server is full or restarting.
 	Refused
-	// Bad is an error, a broken or forged answer, or silence.
+	// Bad is an error, a truncated or invalid response, or a timeout.
 	Bad
 )
 
-// Weights of a verdict in the moving share of failures: a server that fails a
-// third of its requests is avoided after two or three of them.
+// Weights of a result in the moving average of failures: a server that fails a
+// third of its requests is avoided after two or three failures.
 const (
-	badWeight     = 0.35
-	refusedWeight = 0.1
-	goodWeight    = 0.2
-	tookWeight    = 0.2
+	failureWeight      = 0.35
+	refusedWeight      = 0.1
+	successWeight      = 0.2
+	responseTimeWeight = 0.2
 )
 
-// End books the request off.
+// End removes the request from the load of the server and records its result.
 func (t *Ticket) End(now time.Time, v Verdict) {
-	t.book.mu.Lock()
-	defer t.book.mu.Unlock()
+	t.balancer.mu.Lock()
+	defer t.balancer.mu.Unlock()
 	if t.ended {
 		return
 	}
 	t.ended = true
-	t.first()
-	s := t.book.state(t.id)
-	s.use(t.work, -1)
-	s.own.Running--
-	s.own.Tokens -= t.load.Tokens
-	s.faults.judge(now, v)
-	// A server's failure speaks against its domain only where others could not be reached.
-	if f := t.book.domainFaults(t.domain); v == Good || f.share > 0 {
-		f.judge(now, v)
+	t.endPrefill()
+	s := t.balancer.serverState(t.serverID)
+	s.addAdapterUse(t.work, -1)
+	s.local.Running--
+	s.local.Tokens -= t.load.Tokens
+	s.failures.record(now, v)
+	// A server's failure counts against its domain only while the domain has failed connections.
+	if f := t.balancer.domainFailureRate(t.domain); v == Good || f.rate > 0 {
+		f.record(now, v)
 	}
 	if v == Good && t.work.Model != "" {
-		t.book.answered(t.service, now.Sub(t.started))
+		t.balancer.recordModelResponse(t.service, now.Sub(t.started))
 	}
 	if v == Good {
 		took := now.Sub(t.started)
-		if t.book.took == nil {
-			t.book.took = make(map[string]time.Duration)
+		if t.balancer.responseTimes == nil {
+			t.balancer.responseTimes = make(map[string]time.Duration)
 		}
-		s.took = blend(s.took, took)
-		t.book.took[t.service] = blend(t.book.took[t.service], took)
+		s.responseTime = movingAverage(s.responseTime, took)
+		t.balancer.responseTimes[t.service] = movingAverage(t.balancer.responseTimes[t.service], took)
 	}
 }
 
-// answered notes the time of a whole answer of a model server. b.mu is held.
-func (b *Book) answered(service string, took time.Duration) {
-	if b.answers == nil {
-		b.answers = make(map[string]time.Duration)
+// recordModelResponse records the time of a complete response of a model server. b.mu is held.
+func (b *Book) recordModelResponse(service string, took time.Duration) {
+	if b.modelResponseTimes == nil {
+		b.modelResponseTimes = make(map[string]time.Duration)
 	}
-	usual := b.usualAnswer(service)
-	b.answers[service] = usual + time.Duration(answerWeight*float64(took-usual))
+	average := b.modelResponseTime(service)
+	b.modelResponseTimes[service] = average + time.Duration(modelResponseWeight*float64(took-average))
 }
 
-// blend moves a mean towards a new value; the first one counts whole.
-func blend(mean, value time.Duration) time.Duration {
+// movingAverage moves a mean towards a new value; a zero mean is replaced by the value.
+func movingAverage(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
 	}
-	return mean + time.Duration(tookWeight*float64(value-mean))
+	return mean + time.Duration(responseTimeWeight*float64(value-mean))
 }
