--- a/plan/demand.go
+++ b/plan/demand.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// riseSpan and fallSpan are the time constants of the demand estimate. It
-	// rises fast, as a flood is served late for as long as it is not seen. It
-	// falls more slowly, so that a gap of a second is not the end of a burst,
-	// but not for long: demand that is gone holds copies against demand that is
-	// there. A copy is not dropped because its demand has gone, only when
-	// another model needs its place.
-	riseSpan = time.Second
-	fallSpan = 2 * time.Second
-	// leastDemand is the estimate below which a model is forgotten.
-	leastDemand = 0.01
+	// riseTimeConstant and fallTimeConstant are the time constants of the demand
+	// estimate. It rises fast, because a surge is served late until the estimate
+	// shows it. It falls more slowly, so that a gap of one second does not end a
+	// burst, but not much more slowly: demand that has ended would keep replicas
+	// that current demand needs. Falling demand alone drops no replica; a replica
+	// is dropped only when another model needs its memory.
+	riseTimeConstant = time.Second
+	fallTimeConstant = 2 * time.Second
+	// minDemand is the estimate below which a model is removed.
+	minDemand = 0.01
 )
 
-// Demand estimates the load offered for each model, in requests in progress. The
-// zero value has seen none.
+// Demand estimates the offered load of each model, in concurrent requests. The
+// zero value has no observations.
 type Demand struct {
 	models map[string]estimate
 }
@@ -29,33 +29,33 @@
 	at    time.Time
 }
 
-// Observe takes in the load offered for each model now; a model that is not
-// named has none.
+// Observe adds the offered load of each model at now; a model that is missing has
+// none.
 func (d *Demand) Observe(now time.Time, requests map[string]float64) {
 	if d.models == nil {
 		d.models = make(map[string]estimate)
 	}
 	for model := range requests {
 		if _, known := d.models[model]; !known {
-			d.models[model] = estimate{at: now.Add(-riseSpan)}
+			d.models[model] = estimate{at: now.Add(-riseTimeConstant)}
 		}
 	}
 	for model, e := range d.models {
-		e.value += (requests[model] - e.value) * gain(now.Sub(e.at), requests[model] > e.value)
+		e.value += (requests[model] - e.value) * smoothingFactor(now.Sub(e.at), requests[model] > e.value)
 		e.at = now
 		d.models[model] = e
-		if e.value < leastDemand && requests[model] == 0 {
+		if e.value < minDemand && requests[model] == 0 {
 			delete(d.models, model)
 		}
 	}
 }
 
-func gain(elapsed time.Duration, rising bool) float64 {
-	span := fallSpan
+func smoothingFactor(elapsed time.Duration, rising bool) float64 {
+	timeConstant := fallTimeConstant
 	if rising {
-		span = riseSpan
+		timeConstant = riseTimeConstant
 	}
-	return 1 - math.Exp(-elapsed.Seconds()/span.Seconds())
+	return 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
 
 // Of returns the estimate for a model.
--- a/plan/example_test.go
+++ b/plan/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscuscart/hibiscuscart/plan"
 )
 
-// A model that is asked for more than one server can answer gets another copy.
+// A model with more demand than one server can serve gets another replica.
 func ExampleMake() {
 	in := plan.Input{
 		Copies: 1,
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan says which models the backend servers should hold: a pure
-// function of what is deployed, how much of it is asked for, what the servers
-// hold and what a move costs.
+// Package plan computes which models the backend servers should hold. The plan is a
+// pure function of the deployed models, their demand, the models that the servers
+// hold and the cost of a move.
 package plan
 
 import (
@@ -15,15 +15,14 @@
 type Model struct {
 	Name string
 	Pool string
-	// Bytes are those of the model and all its adapters.
+	// Bytes is the size of the model and all its adapters.
 	Bytes     int
 	Artifacts []ctrl.Artifact
 	// Priority is the highest of the profiles that deploy it.
 	Priority int
-	// Demand is the estimate of the load offered for it, in requests in
-	// progress.
+	// Demand is the estimated offered load, in concurrent requests.
 	Demand float64
-	// Weight is that of attainment against moves, 0 to 1.
+	// Weight is the weight of attainment against moves, 0 to 1.
 	Weight float64
 }
 
@@ -32,29 +31,28 @@
 	Name   string
 	Domain string
 	Pool   string
-	// Memory are the bytes for models and adapters.
+	// Memory is the capacity for models and adapters, in bytes.
 	Memory int
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// Holds are the models that it holds or is loading.
+	// Holds lists the models that it holds or is loading.
 	Holds []string
-	// Fresh are those of them that were loaded so lately that they are not
-	// dropped yet: what a load costs must have had time to pay.
+	// Fresh lists those of them that were loaded recently and are not dropped
+	// yet, so that the cost of the load is amortized.
 	Fresh []string
 }
 
-// Input is what a plan follows from.
+// Input is the input of a plan.
 type Input struct {
 	Servers []Server
 	Models  []Model
-	// Copies is how many copies of each model there should be where there is
-	// room, for when a server dies.
+	// Copies is the number of replicas of each model to keep where memory allows,
+	// in case a server fails.
 	Copies int
-	// MoveCost is what one move costs, in requests: the requests that a server
-	// could serve in the time a load takes, as measured.
+	// MoveCost is the cost of one move in requests: the number of requests that a
+	// server could serve during a load.
 	MoveCost float64
-	// Horizon is for how many service times a change in demand is taken to
-	// last.
+	// Horizon is the expected duration of a change in demand, in service times.
 	Horizon float64
 }
 
@@ -64,22 +62,22 @@
 	defaultMoveCost = 50
 	defaultHorizon  = 100
 	defaultSlots    = 32
-	// fullLoad is the share of its slots up to which a server serves within its
+	// maxUtilization is the share of its slots up to which a server meets its latency
 	// targets.
-	fullLoad = 0.8
+	maxUtilization = 0.8
 )
 
-// Output is the plan.
+// Output is a plan.
 type Output struct {
-	// Holds has the models that each server should hold.
+	// Holds lists the models that each server should hold.
 	Holds map[string][]string
-	// Unplaced are the models for which there is no room.
+	// Unplaced lists the models that fit on no server.
 	Unplaced []string
-	// Moves is how many loads and unloads lead from the present to the plan.
+	// Moves is the number of loads and unloads from the current state to the plan.
 	Moves int
 }
 
-// Artifacts returns the artifacts of a server's models.
+// Artifacts returns the artifacts of the models planned for a server.
 func (o Output) Artifacts(models []Model, server string) []ctrl.Artifact {
 	var all []ctrl.Artifact
 	for _, m := range models {
@@ -90,67 +88,67 @@
 	return all
 }
 
-// Make returns the plan. It begins with what the servers hold and changes only
-// what pays: a copy is added where the requests it lets be served in time, by
-// the weight of attainment, are worth more than the moves. It goes through the
-// models in turn:
+// Make returns the plan. It starts from the models that the servers hold and makes
+// only changes with a net benefit: it adds a replica if the requests that can then be
+// served in time, weighted by attainment, are worth more than the moves. It repeats
+// these steps:
 //
-//  1. each model without a copy gets one, in order of priority and demand;
-//  2. while a server is loaded beyond what it serves in time, its busiest model
-//     gets a copy on the server with the most room to spare;
-//  3. where memory is left, models with fewer than Copies get another, in
-//     another failure domain first.
+//  1. Each model without a replica gets one, in order of priority and demand.
+//  2. While a server has more load than it serves in time, its busiest model gets a
+//     replica on the server with the most spare capacity.
+//  3. Where memory is left, models with fewer than Copies replicas get another,
+//     preferably in another failure domain.
 func Make(in Input) Output {
 	p := newPlanner(in)
-	for range relieveRounds {
-		added := p.added
-		p.placeMissing()
-		p.relieve()
-		p.addCopies()
-		if p.added == added {
+	for range maxRounds {
+		additions := p.additions
+		p.placeUnplaced()
+		p.relieveOverload()
+		p.addSpareReplicas()
+		if p.additions == additions {
 			break
 		}
-		p.share()
+		p.distributeDemand()
 	}
 	return p.output()
 }
 
-// relieveRounds bounds how often what was added makes room for, or makes pay,
-// something else.
-const relieveRounds = 12
+// maxRounds bounds the repetitions of the steps: an added replica can free memory for
+// another one or make it worth its moves.
+const maxRounds = 12
 
 // planner is the state of one plan.
 type planner struct {
-	in      Input
-	servers []*server
-	models  []*model
-	byName  map[string]*model
-	evicted int
-	added   int
+	in           Input
+	servers      []*server
+	models       []*model
+	modelsByName map[string]*model
+	evictions    int
+	additions    int
 }
 
 type server struct {
 	Server
-	free  int
-	load  float64
-	holds []*model
+	freeBytes int
+	load      float64
+	models    []*model
 }
 
 type model struct {
 	Model
-	on       []*server
+	replicas []*server
 	unplaced bool
 }
 
 func newPlanner(in Input) *planner {
-	p := &planner{in: in, byName: make(map[string]*model)}
+	p := &planner{in: in, modelsByName: make(map[string]*model)}
 	p.in.Copies = orDefault(in.Copies, defaultCopies)
 	p.in.MoveCost = orDefault(in.MoveCost, defaultMoveCost)
 	p.in.Horizon = orDefault(in.Horizon, defaultHorizon)
 	for _, m := range in.Models {
 		state := &model{Model: m}
 		p.models = append(p.models, state)
-		p.byName[m.Pool+"/"+m.Name] = state
+		p.modelsByName[m.Pool+"/"+m.Name] = state
 	}
 	slices.SortFunc(p.models, func(a, b *model) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(b.Demand, a.Demand),
@@ -158,16 +156,16 @@
 	})
 	for _, s := range in.Servers {
 		s.Slots = orDefault(s.Slots, defaultSlots)
-		state := &server{Server: s, free: s.Memory}
+		state := &server{Server: s, freeBytes: s.Memory}
 		p.servers = append(p.servers, state)
 		for _, name := range s.Holds {
-			if m := p.byName[s.Pool+"/"+name]; m != nil {
-				p.put(m, state)
+			if m := p.modelsByName[s.Pool+"/"+name]; m != nil {
+				p.place(m, state)
 			}
 		}
 	}
 	slices.SortFunc(p.servers, func(a, b *server) int { return cmp.Compare(a.Name, b.Name) })
-	p.share()
+	p.distributeDemand()
 	return p
 }
 
@@ -178,40 +176,39 @@
 	return v
 }
 
-func (p *planner) put(m *model, s *server) {
-	m.on = append(m.on, s)
-	s.holds = append(s.holds, m)
-	s.free -= m.Bytes
+func (p *planner) place(m *model, s *server) {
+	m.replicas = append(m.replicas, s)
+	s.models = append(s.models, m)
+	s.freeBytes -= m.Bytes
 }
 
-func (p *planner) take(m *model, s *server) {
-	m.on = slices.DeleteFunc(m.on, func(x *server) bool { return x == s })
-	s.holds = slices.DeleteFunc(s.holds, func(x *model) bool { return x == m })
-	s.free += m.Bytes
+func (p *planner) remove(m *model, s *server) {
+	m.replicas = slices.DeleteFunc(m.replicas, func(x *server) bool { return x == s })
+	s.models = slices.DeleteFunc(s.models, func(x *model) bool { return x == m })
+	s.freeBytes += m.Bytes
 }
 
-// share divides each model's demand among its copies, in proportion to the room
-// that the other models leave: a few rounds come close to what routing by load
-// does.
-func (p *planner) share() {
+// distributeDemand divides each model's demand among its replicas, in proportion to the
+// capacity that the other models leave. A few rounds approximate load-based routing.
+func (p *planner) distributeDemand() {
 	const rounds = 4
 	for _, s := range p.servers {
 		s.load = 0
 	}
 	for _, m := range p.models {
-		for _, s := range m.on {
-			s.load += m.Demand / float64(len(m.on))
+		for _, s := range m.replicas {
+			s.load += m.Demand / float64(len(m.replicas))
 		}
 	}
 	for range rounds {
 		next := make(map[*server]float64, len(p.servers))
 		for _, m := range p.models {
 			total := 0.0
-			for _, s := range m.on {
-				total += room(s)
+			for _, s := range m.replicas {
+				total += routingWeight(s)
 			}
-			for _, s := range m.on {
-				next[s] += m.Demand * room(s) / total
+			for _, s := range m.replicas {
+				next[s] += m.Demand * routingWeight(s) / total
 			}
 		}
 		for _, s := range p.servers {
@@ -220,80 +217,80 @@
 	}
 }
 
-// room weighs a server as routing by load does: the emptier, the more.
-func room(s *server) float64 {
+// routingWeight approximates load-based routing: the less load, the higher the weight.
+func routingWeight(s *server) float64 {
 	return float64(s.Slots) / (1 + s.load)
 }
 
-// over is the load of a server beyond what it serves in time.
-func over(s *server) float64 { return math.Max(s.load-fullLoad*float64(s.Slots), 0) }
+// excessLoad returns the load of a server beyond what it serves in time.
+func excessLoad(s *server) float64 { return math.Max(s.load-maxUtilization*float64(s.Slots), 0) }
 
-// placeMissing gives each model without a copy one.
-func (p *planner) placeMissing() {
+// placeUnplaced gives each model without a replica one.
+func (p *planner) placeUnplaced() {
 	for _, m := range p.models {
-		if len(m.on) > 0 {
+		if len(m.replicas) > 0 {
 			continue
 		}
-		s := p.roomiest(m, nil, true)
+		s := p.bestTarget(m, nil, true)
 		m.unplaced = s == nil
 		if s != nil {
-			p.add(m, s)
+			p.addReplica(m, s)
 		}
 	}
 }
 
-// add puts a copy of a model on a server, making room first.
-func (p *planner) add(m *model, s *server) {
-	p.makeRoom(m, s)
-	p.put(m, s)
-	p.added++
-	p.share()
+// addReplica places a replica of a model on a server, evicting others as needed.
+func (p *planner) addReplica(m *model, s *server) {
+	p.evictFor(m, s)
+	p.place(m, s)
+	p.additions++
+	p.distributeDemand()
 }
 
-// addCopies gives models another copy where memory is left over, without
-// dropping anything. Room for the largest model stays free on one server of the
-// pool, so that a copy can always be made before one is dropped.
-func (p *planner) addCopies() {
-	for copies := 1; copies < p.in.Copies; copies++ {
+// addSpareReplicas gives models another replica where memory is left, without evictions.
+// Memory for the largest model stays free on one server of the pool, so that a replica
+// can always be added before another is dropped.
+func (p *planner) addSpareReplicas() {
+	for replicas := 1; replicas < p.in.Copies; replicas++ {
 		for _, m := range p.models {
-			if len(m.on) != copies {
+			if len(m.replicas) != replicas {
 				continue
 			}
-			if s := p.spareServer(m); s != nil {
-				p.put(m, s)
-				p.added++
+			if s := p.spareReplicaTarget(m); s != nil {
+				p.place(m, s)
+				p.additions++
 			}
 		}
 	}
 }
 
-func (p *planner) spareServer(m *model) *server {
+func (p *planner) spareReplicaTarget(m *model) *server {
 	var best *server
 	for _, s := range p.servers {
-		if s.Pool != m.Pool || s.free < m.Bytes || slices.Contains(s.holds, m) || !p.keepsReserve(m, s) {
+		if s.Pool != m.Pool || s.freeBytes < m.Bytes || slices.Contains(s.models, m) || !p.keepsReserve(m, s) {
 			continue
 		}
-		if best == nil || p.spareBetter(m, s, best) {
+		if best == nil || p.betterSpareTarget(m, s, best) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (p *planner) spareBetter(m *model, a, b *server) bool {
-	aNew, bNew := !inDomain(m, a.Domain), !inDomain(m, b.Domain)
-	if aNew != bNew {
-		return aNew
+func (p *planner) betterSpareTarget(m *model, a, b *server) bool {
+	aNewDomain, bNewDomain := !hasReplicaIn(m, a.Domain), !hasReplicaIn(m, b.Domain)
+	if aNewDomain != bNewDomain {
+		return aNewDomain
 	}
-	return a.free > b.free
+	return a.freeBytes > b.freeBytes
 }
 
-func inDomain(m *model, domain string) bool {
-	return slices.ContainsFunc(m.on, func(s *server) bool { return s.Domain == domain })
+func hasReplicaIn(m *model, domain string) bool {
+	return slices.ContainsFunc(m.replicas, func(s *server) bool { return s.Domain == domain })
 }
 
-// keepsReserve reports whether room for the pool's largest model is left on
-// some server when m is put on s.
+// keepsReserve reports whether some server has free memory for the pool's largest model
+// after m is placed on s.
 func (p *planner) keepsReserve(m *model, s *server) bool {
 	largest := 0
 	for _, other := range p.models {
@@ -302,11 +299,11 @@
 		}
 	}
 	for _, other := range p.servers {
-		free := other.free
+		freeBytes := other.freeBytes
 		if other == s {
-			free -= m.Bytes
+			freeBytes -= m.Bytes
 		}
-		if other.Pool == m.Pool && free >= largest {
+		if other.Pool == m.Pool && freeBytes >= largest {
 			return true
 		}
 	}
@@ -314,10 +311,10 @@
 }
 
 func (p *planner) output() Output {
-	out := Output{Holds: make(map[string][]string), Moves: p.added + p.evicted}
+	out := Output{Holds: make(map[string][]string), Moves: p.additions + p.evictions}
 	for _, s := range p.servers {
 		names := []string{}
-		for _, m := range s.holds {
+		for _, m := range s.models {
 			names = append(names, m.Name)
 		}
 		slices.Sort(names)
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -13,9 +13,9 @@
 	"github.com/hibiscuscart/hibiscuscart/plan"
 )
 
-// scene draws a deployment: models of a few sizes, some with much demand, and
-// what the servers hold from an earlier plan.
-func scene(rng *rand.Rand, servers, models, memory int) plan.Input {
+// randomInput returns a random deployment: models of a few sizes, some with high demand,
+// on servers that hold none.
+func randomInput(rng *rand.Rand, servers, models, memory int) plan.Input {
 	var in plan.Input
 	for i := range servers {
 		in.Servers = append(in.Servers, plan.Server{
@@ -33,8 +33,8 @@
 	return in
 }
 
-// adopt makes a plan's outcome the present state.
-func adopt(in plan.Input, out plan.Output) plan.Input {
+// applyPlan makes the result of a plan the current state.
+func applyPlan(in plan.Input, out plan.Output) plan.Input {
 	in.Servers = slices.Clone(in.Servers)
 	for i, s := range in.Servers {
 		in.Servers[i].Holds = out.Holds[s.Name]
@@ -42,39 +42,38 @@
 	return in
 }
 
-// served is how much of the demand is served in time when it is divided as well
-// as the copies allow: a maximum flow from models to servers, found by pushing
-// demand along augmenting paths.
-func served(in plan.Input, holds map[string][]string) float64 {
-	const fullLoad = 0.8
-	room := make(map[string]float64)
-	on := make(map[string][]string)
+// maxServed returns the demand that can be served in time with the best distribution over
+// the replicas: a maximum flow from models to servers, found with augmenting paths.
+func maxServed(in plan.Input, holds map[string][]string) float64 {
+	const maxUtilization = 0.8
+	capacity := make(map[string]float64)
+	serversOf := make(map[string][]string)
 	for _, s := range in.Servers {
-		room[s.Name] = fullLoad * float64(s.Slots)
+		capacity[s.Name] = maxUtilization * float64(s.Slots)
 		for _, m := range holds[s.Name] {
-			on[m] = append(on[m], s.Name)
+			serversOf[m] = append(serversOf[m], s.Name)
 		}
 	}
 	flow := make(map[[2]string]float64)
 	total := 0.0
-	var push func(model string, want float64, seen map[string]bool) float64
-	push = func(model string, want float64, seen map[string]bool) float64 {
-		for _, s := range on[model] {
+	var push func(model string, amount float64, seen map[string]bool) float64
+	push = func(model string, amount float64, seen map[string]bool) float64 {
+		for _, s := range serversOf[model] {
 			if seen[s] {
 				continue
 			}
 			seen[s] = true
-			if n := min(want, room[s]); n > 1e-9 {
-				room[s] -= n
+			if n := min(amount, capacity[s]); n > 1e-9 {
+				capacity[s] -= n
 				flow[[2]string{model, s}] += n
 				return n
 			}
-			for other, servers := range on {
+			for other, servers := range serversOf {
 				f := flow[[2]string{other, s}]
 				if other == model || f <= 1e-9 || !slices.Contains(servers, s) {
 					continue
 				}
-				if n := push(other, min(want, f), seen); n > 1e-9 {
+				if n := push(other, min(amount, f), seen); n > 1e-9 {
 					flow[[2]string{other, s}] -= n
 					flow[[2]string{model, s}] += n
 					return n
@@ -96,39 +95,39 @@
 	return total
 }
 
-func checkPlan(t *testing.T, in plan.Input, out plan.Output) {
+func requireValidPlan(t *testing.T, in plan.Input, out plan.Output) {
 	t.Helper()
 	sizes := make(map[string]int)
 	for _, m := range in.Models {
 		sizes[m.Name] = m.Bytes
 	}
-	copies := make(map[string]int)
+	replicas := make(map[string]int)
 	for _, s := range in.Servers {
 		used := 0
 		for i, name := range out.Holds[s.Name] {
 			used += sizes[name]
-			copies[name]++
+			replicas[name]++
 			require.NotContains(t, out.Holds[s.Name][:i], name)
 		}
 		require.LessOrEqual(t, used, s.Memory, "memory of %s", s.Name)
 	}
 	for _, m := range in.Models {
 		if !slices.Contains(out.Unplaced, m.Name) {
-			require.Positive(t, copies[m.Name], "copies of %s", m.Name)
+			require.Positive(t, replicas[m.Name], "copies of %s", m.Name)
 		}
 	}
 }
 
-// TestPlansFitAndSettle: a plan fits the memory and places every model that has
-// room; planned again from its own outcome it changes nothing.
-func TestPlansFitAndSettle(t *testing.T) {
+// A plan fits the memory and places every model that memory allows. Planning again from
+// its result changes nothing.
+func TestPlanFitsAndConverges(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		in := scene(rng, 3+rng.IntN(8), 2+rng.IntN(12), 64)
+		in := randomInput(rng, 3+rng.IntN(8), 2+rng.IntN(12), 64)
 		for round := range 4 {
 			out := plan.Make(in)
-			checkPlan(t, in, out)
-			in = adopt(in, out)
+			requireValidPlan(t, in, out)
+			in = applyPlan(in, out)
 			again := plan.Make(in)
 			require.Zero(t, again.Moves, "seed %d round %d", seed, round)
 			for i := range in.Models {
@@ -138,38 +137,38 @@
 	}
 }
 
-// TestAgainstExhaustiveSearch compares, on small scenes, the demand that the
-// plan lets be served in time with the best of all placements.
-func TestAgainstExhaustiveSearch(t *testing.T) {
-	worst, sum, n := 1.0, 0.0, 0
+// On small inputs, the demand that the plan can serve in time is compared with the best of
+// all placements.
+func TestPlanNearOptimum(t *testing.T) {
+	worst, sum, inputs := 1.0, 0.0, 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		in := scene(rng, 3, 4, 45)
+		in := randomInput(rng, 3, 4, 45)
 		out := plan.Make(in)
 		if len(out.Unplaced) > 0 {
 			continue
 		}
-		best := exhaustive(in)
-		ratio := served(in, out.Holds) / best
-		worst, sum, n = min(worst, ratio), sum+ratio, n+1
+		optimum := bestPlacement(in)
+		ratio := maxServed(in, out.Holds) / optimum
+		worst, sum, inputs = min(worst, ratio), sum+ratio, inputs+1
 	}
-	t.Logf("of the best placement: mean %.3f, worst %.3f of %d scenes", sum/float64(n), worst, n)
-	require.Greater(t, n, 30)
-	require.Greater(t, sum/float64(n), 0.95)
-	// The planner does not move an only copy to make room for another; where
-	// that would be needed it stays behind the best.
+	t.Logf("share of the optimum: mean %.3f, worst %.3f over %d inputs", sum/float64(inputs), worst, inputs)
+	require.Greater(t, inputs, 30)
+	require.Greater(t, sum/float64(inputs), 0.95)
+	// The planner does not move the only replica of a model to free memory for another, so
+	// it falls short of the optimum where that is required.
 	require.Greater(t, worst, 0.7)
 }
 
-// exhaustive tries every placement that fits and leaves no model out.
-func exhaustive(in plan.Input) float64 {
+// bestPlacement tries every placement that fits and includes all models.
+func bestPlacement(in plan.Input) float64 {
 	best := 0.0
 	holds := make(map[string][]string)
 	var fill func(server int)
 	fill = func(server int) {
 		if server == len(in.Servers) {
-			if len(missing(in, holds)) == 0 {
-				best = max(best, served(in, holds))
+			if len(unplacedModels(in, holds)) == 0 {
+				best = max(best, maxServed(in, holds))
 			}
 			return
 		}
@@ -193,7 +192,7 @@
 	return best
 }
 
-func missing(in plan.Input, holds map[string][]string) []string {
+func unplacedModels(in plan.Input, holds map[string][]string) []string {
 	var names []string
 	for _, m := range in.Models {
 		found := false
@@ -207,12 +206,12 @@
 	return names
 }
 
-func TestWeightTradesMovesForAttainment(t *testing.T) {
+func TestAttainmentWeight(t *testing.T) {
 	moves := func(weight float64) int {
 		total := 0
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			in := adopt(scene(rng, 6, 8, 64), plan.Make(scene(rand.New(rand.NewPCG(seed, 3)), 6, 8, 64)))
+			in := applyPlan(randomInput(rng, 6, 8, 64), plan.Make(randomInput(rand.New(rand.NewPCG(seed, 3)), 6, 8, 64)))
 			for i := range in.Models {
 				in.Models[i].Demand = rng.Float64() * 30 * float64(rng.IntN(2))
 				in.Models[i].Weight = weight
@@ -232,25 +231,25 @@
 		now = now.Add(100 * time.Millisecond)
 		d.Observe(now, map[string]float64{"m": 50})
 	}
-	require.InDelta(t, 50, d.Of("m"), 5, "a flood is seen within seconds")
+	require.InDelta(t, 50, d.Of("m"), 5, "the estimate rises within seconds of a surge")
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
 		d.Observe(now, nil)
 	}
-	require.Greater(t, d.Of("m"), 35.0, "a gap between two bursts is not the end of the demand")
+	require.Greater(t, d.Of("m"), 35.0, "a gap between two bursts does not reset the estimate")
 	now = now.Add(time.Hour)
 	d.Observe(now, nil)
 	require.Zero(t, math.Round(d.Of("m")))
 }
 
-// BenchmarkMake gives the time of a plan at four sizes, up to that of 1,500
-// servers with 1,000 models; a domain's part of it is a fifteenth.
+// BenchmarkMake measures the planning time at four sizes, up to 1,500 servers with 1,000
+// models. The part of one failure domain is a fifteenth of that.
 func BenchmarkMake(b *testing.B) {
 	for _, size := range []struct{ servers, models int }{{12, 20}, {100, 70}, {400, 270}, {1500, 1000}} {
 		b.Run(fmt.Sprintf("%d servers %d models", size.servers, size.models), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			in := scene(rng, size.servers, size.models, 64)
-			in = adopt(in, plan.Make(in))
+			in := randomInput(rng, size.servers, size.models, 64)
+			in = applyPlan(in, plan.Make(in))
 			for i := range in.Models {
 				in.Models[i].Demand *= 1 + rng.Float64()
 			}
