--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 	now     func() time.Time
 	meter   *meter.Set
 	servers *backs.View
-	book    *pick.Book
+	book    *pick.Balancer
 	pool    *conns.Pool
 	gateway *pass.Gateway
 	control *steer.Controller
@@ -126,7 +126,7 @@
 	n := &Node{
 		config: c, now: c.Now, meter: meter.New(), servers: &backs.View{Heartbeat: s.Duration("servers", "heartbeat")}, pool: &conns.Pool{}, limits: &limit.Limits{},
 		log:     c.Log.With().Str("vm", s.Text("vm", "name")).Logger(),
-		book:    &pick.Book{Domain: s.Text("vm", "failure_domain"), Seed: xxhash.Sum64String(s.Text("vm", "name"))},
+		book:    &pick.Balancer{Domain: s.Text("vm", "failure_domain"), Seed: xxhash.Sum64String(s.Text("vm", "name"))},
 		budgets: make(map[string]*retry.Window), configured: make(chan struct{}), contact: make(map[string]time.Time),
 		failed: make(map[string]int),
 	}
@@ -134,7 +134,7 @@
 	n.config.Objects = c.Objects.Noting(func() { n.servers.Answered(n.now()) })
 	n.servers.Noted = n.noteMissing
 	n.poison = &poison.Tracker{CrashLimit: s.Int("poison", "crashes"), BlockDuration: s.Duration("poison", "block"), OnCrash: n.noteCrash, OnBlock: n.noteBlock}
-	n.book.Idle = n.pool.Idle
+	n.book.HasIdleConn = n.pool.Idle
 	n.lease = &peers.Lease{
 		Name: s.Text("vm", "name"), Address: s.Text("vm", "peer_listen"), Objects: n.config.Objects,
 		Weakness: weakness(s.Float("limits", "cpu")), Poison: n.poison,
@@ -280,7 +280,7 @@
 			continue
 		}
 		far++
-		if !n.book.Cut(now, e.Domain) {
+		if !n.book.DomainUnreachable(now, e.Domain) {
 			return false
 		}
 	}
--- a/node/probe.go
+++ b/node/probe.go
@@ -50,9 +50,9 @@
 	defer cancel()
 	conn, err := n.pool.Dial(ctx, e.ID, e.Address)
 	if err != nil {
-		n.book.Unreached(n.now(), e)
+		n.book.ConnectFailed(n.now(), e)
 		return
 	}
-	n.book.Reached(n.now(), e)
+	n.book.ConnectSucceeded(n.now(), e)
 	n.pool.Keep(n.now(), conn, 0)
 }
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -36,7 +36,7 @@
 	now := g.Now()
 	conn, err := g.connect(ctx, now, server, choice.Server.Address, !c.route.Repeatable())
 	if err != nil {
-		g.Book.Unreached(g.Now(), choice.Server)
+		g.Book.ConnectFailed(g.Now(), choice.Server)
 		g.noteConnectionRefused(choice.Server, err)
 		g.doubt(server)
 		g.note(c, choice, "not connected: "+err.Error())
@@ -73,7 +73,7 @@
 	c.choice = choice
 	ticket := g.Book.Begin(now, choice, c.work, g.tokenMemory(c))
 	t := &try{g: g, c: c, choice: choice, conn: conn, ticket: ticket}
-	ctx, span := spans.Start(ctx, "attempt", attribute.String("server", server), attribute.Int64("predicted_ms", choice.Predicted.Milliseconds()))
+	ctx, span := spans.Start(ctx, "attempt", attribute.String("server", server), attribute.Int64("predicted_ms", choice.PredictedTime.Milliseconds()))
 	defer func() { spans.End(span, t.failure) }()
 	stop := context.AfterFunc(ctx, conn.Close)
 	done := t.run(ctx, w, now)
@@ -104,7 +104,7 @@
 func (g *Gateway) note(c *call, choice pick.Choice, reason string) {
 	c.reason = reason
 	g.Log.Info().Str("request", c.id).Str("fingerprint", string(c.fingerprint)).Str("server", choice.Server.ID).Str("address", choice.Server.Address).
-		Dur("predicted", choice.Predicted).Int("running", choice.Load.Running).
+		Dur("predicted", choice.PredictedTime).Int("running", choice.Load.Running).
 		Bool("may_have_run", c.uncertain).Str("reason", reason).Msg("try failed")
 }
 
@@ -114,13 +114,13 @@
 	c        *call
 	choice   pick.Choice
 	conn     *conns.Conn
-	ticket   *pick.Ticket
+	ticket   *pick.Attempt
 	sent     time.Time
 	exchange *conns.Exchange
 	resp     *http.Response
 	// whole is set when the answer was read to its end.
 	whole   bool
-	verdict pick.Verdict
+	verdict pick.Result
 	// failure is why the try did not answer.
 	failure error
 }
@@ -141,13 +141,13 @@
 // failed notes a try that may have run.
 func (t *try) failed(ctx context.Context, reason string) bool {
 	t.c.uncertain = true
-	t.verdict = pick.Bad
+	t.verdict = pick.Failed
 	if ctx.Err() != nil {
 		// The caller left or its time ran out; silence until then counts, an
 		// answer on its way does not.
 		t.verdict = pick.Neutral
 		if t.c.request.Context().Err() == nil && t.resp == nil {
-			t.verdict = pick.Bad
+			t.verdict = pick.Failed
 		}
 	}
 	return t.gaveUp(reason)
@@ -209,7 +209,7 @@
 	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.Attempts || t.c.route.Objective == 0 {
 		return 0
 	}
-	return max(patientObjectives*t.c.route.Objective, 2*t.choice.Predicted+t.c.route.Objective)
+	return max(patientObjectives*t.c.route.Objective, 2*t.choice.PredictedTime+t.c.route.Objective)
 }
 
 // stall returns how long to wait for the next event, 0 for as long as the
@@ -234,14 +234,14 @@
 	}
 	c.avoid = append(c.avoid, t.choice.Server.ID)
 	choice, ok := g.pick(now, c, g.Servers.Serving(now, c.service.Name))
-	if ok = ok && choice.HasRoom() && c.takeRetry(now); ok {
+	if ok = ok && choice.HasCapacity() && c.takeRetry(now); ok {
 		c.reserved = true
 	} else {
 		c.avoid = c.avoid[:len(c.avoid)-1]
 	}
 	g.Meter.Count("pass.silent", 1)
 	g.Log.Info().Str("request", c.id).Str("server", t.choice.Server.ID).Bool("started", c.started).Bool("given_up", ok).
-		Str("instead", choice.Server.ID).Dur("predicted", choice.Predicted).Int("running", choice.Load.Running).Msg("server silent")
+		Str("instead", choice.Server.ID).Dur("predicted", choice.PredictedTime).Int("running", choice.Load.Running).Msg("server silent")
 	return ok
 }
 
@@ -312,9 +312,9 @@
 		return t.connectionLost(ctx, err.Error(), err)
 	}
 	t.whole = true
-	t.verdict = pick.Good
+	t.verdict = pick.Succeeded
 	if t.resp.StatusCode >= http.StatusInternalServerError {
-		t.verdict = pick.Bad
+		t.verdict = pick.Failed
 		if t.c.route.Repeatable() && t.c.sends < t.c.route.Attempts && ctx.Err() == nil {
 			t.c.failed = &answer{status: t.resp.StatusCode, header: t.headers(), body: body}
 			return t.failed(ctx, "server failed with "+strconv.Itoa(t.resp.StatusCode))
--- a/pass/call.go
+++ b/pass/call.go
@@ -105,10 +105,10 @@
 	c.urgent = route.Priority <= t.First(c.service.Name)
 	if c.service.Engine != nil {
 		c.work.Model, c.work.Adapter = n.ParseModel(r.Header.Get(n.Model))
-		c.work.Route, c.work.Size = route.Name, c.service.Engine.Size(c.work.Model)
-		c.work.Slots, c.work.Stride = c.service.Engine.Slots, c.service.Engine.StrideTokens
-		c.work.Prompt, c.work.Output = n.ParseUsage(r.Header.Get(n.Usage))
-		c.work.Parts = n.ParsePrefix(r.Header.Get(n.Prefix))
+		c.work.Route, c.work.RelativeModelSize = route.Name, c.service.Engine.Size(c.work.Model)
+		c.work.Slots, c.work.TokensPerEvent = c.service.Engine.Slots, c.service.Engine.StrideTokens
+		c.work.PromptTokens, c.work.MaxOutputTokens = n.ParseUsage(r.Header.Get(n.Usage))
+		c.work.PromptParts = n.ParsePrefix(r.Header.Get(n.Prefix))
 	}
 	return c
 }
--- a/pass/call_test.go
+++ b/pass/call_test.go
@@ -21,7 +21,7 @@
 	Model: "Model", Usage: "Usage", Prefix: "Prefix", Priority: "Priority", Reserved: []string{"Pin"},
 	ParseModel:  func(s string) (string, string) { m, a, _ := strings.Cut(s, "/"); return m, a },
 	ParseUsage:  func(string) (int, int) { return 10, 20 },
-	ParsePrefix: func(string) []pick.Part { return nil },
+	ParsePrefix: func(string) []pick.PromptPart { return nil },
 }
 
 var now = time.Unix(1000, 0)
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -52,7 +52,7 @@
 	// Table returns the configuration in force, nil before one is known.
 	Table   func() *routes.Table
 	Servers *backs.View
-	Book    *pick.Book
+	Book    *pick.Balancer
 	Pool    *conns.Pool
 	// Poison tracks server crashes by request and blocks requests that cause them.
 	Poison *poison.Tracker
@@ -160,9 +160,9 @@
 		Str("service", c.service.Name).Str("model", c.work.Model).Str("adapter", c.work.Adapter).
 		Strs("servers", c.servers).Int("sends", c.sends).Int("status", c.status).
 		Bool("may_have_run", c.uncertain).Str("reason", c.reason).
-		Dur("objective", c.route.Objective).Dur("pause_limit", c.route.Gap).Int("prompt", c.work.Prompt).Int("output", c.work.Output).
-		Dur("predicted", c.choice.Predicted).Dur("queue", c.choice.Queue).Int("missing", c.choice.Missing).
-		Int("running", c.choice.Load.Running).Int("tokens", c.choice.Load.Tokens).
+		Dur("objective", c.route.Objective).Dur("pause_limit", c.route.Gap).Int("prompt", c.work.PromptTokens).Int("output", c.work.MaxOutputTokens).
+		Dur("predicted", c.choice.PredictedTime).Dur("queue", c.choice.QueueTime).Int("missing", c.choice.UncachedTokens).
+		Int("running", c.choice.Load.Running).Int("tokens", c.choice.Load.KVTokens).
 		Dur("first_event", c.firstEvent).Dur("longest_pause", c.longestPause).Int("events", c.events).Dur("held", c.waited).Dur("sought", c.sought).
 		Dur("took", g.Now().Sub(c.arrived)).Msg("request")
 }
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -53,7 +53,7 @@
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
 	budget := &retry.Window{}
 	return &Gateway{
-		Poison: &poison.Tracker{}, Limits: &limit.Limits{}, Names: testNames, Table: func() *routes.Table { return table }, Servers: view, Book: &pick.Book{Domain: "d"},
+		Poison: &poison.Tracker{}, Limits: &limit.Limits{}, Names: testNames, Table: func() *routes.Table { return table }, Servers: view, Book: &pick.Balancer{Domain: "d"},
 		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
 				return nil, errRefused
--- a/pass/hold.go
+++ b/pass/hold.go
@@ -17,14 +17,14 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	room := pick.Room{VMs: 1, Objective: c.work.Objective, Urgent: c.urgent}
+	room := pick.Admission{VMs: 1, Objective: c.work.Objective, Urgent: c.urgent}
 	if g.VMs != nil {
 		room.VMs = g.VMs()
 	}
 	if c.heldSince.IsZero() {
 		return room.Admit(choice, 0)
 	}
-	room.Held = g.held[heldKey(c)]
+	room.Waiting = g.held[heldKey(c)]
 	if !room.Admit(choice, g.random(now).Float64()) {
 		return false
 	}
@@ -44,13 +44,13 @@
 		g.held[heldKey(c)]++
 		g.Meter.Count("pass.held", 1)
 	}
-	c.comeBack = pick.ComeBack(choice.Queue)
-	spread := time.Duration(g.random(now).Int64N(int64(pick.RoomPause)))
+	c.comeBack = pick.RetryAfter(choice.QueueTime)
+	spread := time.Duration(g.random(now).Int64N(int64(pick.AdmissionCheckInterval)))
 	g.mu.Unlock()
-	if ctx.Err() != nil || now.Sub(c.heldSince) >= pick.RoomWait(c.work.Objective) {
+	if ctx.Err() != nil || now.Sub(c.heldSince) >= pick.MaxAdmissionWait(c.work.Objective) {
 		return false
 	}
-	pause.For(ctx, pick.RoomPause/2+spread)
+	pause.For(ctx, pick.AdmissionCheckInterval/2+spread)
 	return true
 }
 
--- a/pass/names.go
+++ b/pass/names.go
@@ -43,7 +43,7 @@
 	// ParseUsage and ParsePrefix read the values; a value that can not be read
 	// gives zeros.
 	ParseUsage  func(string) (prompt, output int)
-	ParsePrefix func(string) []pick.Part
+	ParsePrefix func(string) []pick.PromptPart
 	// ParseModel splits the model from the adapter.
 	ParseModel func(string) (model, adapter string)
 	// ParseLimit parses a rate in requests per second and reports whether it is valid.
--- a/pass/silence_test.go
+++ b/pass/silence_test.go
@@ -167,7 +167,7 @@
 	g := testGateway(server("a", "d", strings.TrimPrefix(s.URL, "http://")), crowded)
 	streamRoute(g)
 	g.Budget("s").Limit(0, 10, 10*time.Second)
-	g.Book.Begin(clock.Now(), pick.Choice{Server: crowded, Reading: time.Hour}, pick.Work{Model: "m"}, 0)
+	g.Book.Begin(clock.Now(), pick.Choice{Server: crowded, PrefillTime: time.Hour}, pick.Work{Model: "m"}, 0)
 	got := ask(g)
 	require.Equal(t, http.StatusOK, got.Code)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: b\n\n", got.Body.String())
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -28,7 +28,7 @@
 		n, err := t.resp.Body.Read(buffer)
 		if whole := events.take(buffer[:n]); len(whole) > 0 {
 			now := t.g.Now()
-			t.ticket.First(now)
+			t.ticket.FirstEvent(now)
 			t.c.sawEvents(now, last, whole)
 			if last = now; first.IsZero() {
 				first = now
@@ -41,7 +41,7 @@
 		}
 		if err == io.EOF {
 			if t.c.sends == 1 {
-				t.ticket.Streamed(t.c.events, last.Sub(first))
+				t.ticket.StreamCompleted(t.c.events, last.Sub(first))
 			}
 			return t.streamEnd(w, out, events)
 		}
@@ -90,6 +90,6 @@
 	}
 	t.conn.Watch(0, nil)
 	t.whole = true
-	t.verdict = pick.Good
+	t.verdict = pick.Succeeded
 	return true
 }
--- a/peers/frames.go
+++ b/peers/frames.go
@@ -89,7 +89,7 @@
 	list := make([]wire.ServerLoad, 0, len(loads))
 	for id, l := range loads {
 		if l.Running != 0 {
-			list = append(list, wire.ServerLoad{Server: id, Running: l.Running, ReadingUs: int(l.Reading.Microseconds()), Tokens: l.Tokens, Adapters: l.Adapters})
+			list = append(list, wire.ServerLoad{Server: id, Running: l.Running, ReadingUs: int(l.PrefillTime.Microseconds()), Tokens: l.KVTokens, Adapters: l.Adapters})
 		}
 	}
 	return list
@@ -98,7 +98,7 @@
 func loadsOf(list []wire.ServerLoad) map[string]pick.Load {
 	loads := make(map[string]pick.Load, len(list))
 	for _, l := range list {
-		loads[l.Server] = pick.Load{Running: l.Running, Reading: time.Duration(l.ReadingUs) * time.Microsecond, Tokens: l.Tokens, Adapters: l.Adapters}
+		loads[l.Server] = pick.Load{Running: l.Running, PrefillTime: time.Duration(l.ReadingUs) * time.Microsecond, KVTokens: l.Tokens, Adapters: l.Adapters}
 	}
 	return loads
 }
--- a/peers/left_test.go
+++ b/peers/left_test.go
@@ -98,7 +98,7 @@
 		p := silent(&now, "a")
 		p.Now = time.Now
 		p.Lease = &Lease{Name: "vm", Address: "vm:1", Objects: (&stand.Objects{}).Client(), Duration: time.Hour, Now: time.Now, Log: zerolog.Nop()}
-		p.Book = &pick.Book{}
+		p.Book = &pick.Balancer{}
 		p.Controller = &steer.Controller{Servers: p.Servers, Now: time.Now}
 		config := 1
 		p.Config = func() (int, []byte) { return config, nil }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -61,7 +61,7 @@
 	Lease      *Lease
 	Controller *steer.Controller
 	Servers    *backs.View
-	Book       *pick.Book
+	Book       *pick.Balancer
 	// Poison tracks server crashes by request and blocks requests that cause them.
 	Poison *poison.Tracker
 	// Limits holds the request rate limits that servers have announced.
@@ -304,14 +304,14 @@
 	for ctx.Err() == nil {
 		changed := p.Controller.Changed()
 		now := p.Now()
-		own := p.Book.Own()
+		own := p.Book.LocalLoads()
 		p.Controller.Report(now, p.Name, own, p.takeWants())
 		p.Controller.Doubt(p.takeDoubts())
 		// The controller's tracker already merges the reports of all VMs, so its own report is
 		// discarded.
 		p.Poison.TakeReport()
 		p.Limits.TakeReport()
-		p.Book.Others(now, pick.Minus(p.Controller.Loads(), own))
+		p.Book.SetRemoteLoads(now, pick.SubtractLoads(p.Controller.Loads(), own))
 		for _, s := range p.Controller.ShownSince(now, since) {
 			p.Servers.Hold(now, s.Server, s.Models)
 		}
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -224,7 +224,7 @@
 
 // inside returns what this VM and those linked to it have at the servers.
 func (p *Peers) inside() map[string]pick.Load {
-	sum := p.Book.Own()
+	sum := p.Book.LocalLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.branches {
@@ -237,7 +237,7 @@
 func addLoads(sums, loads map[string]pick.Load) {
 	for id, l := range loads {
 		s := sums[id]
-		joined := s.Plus(l)
+		joined := s.Add(l)
 		joined.Adapters = append(slices.Clone(s.Adapters), l.Adapters...)
 		slices.Sort(joined.Adapters)
 		joined.Adapters = slices.Compact(joined.Adapters)
@@ -256,7 +256,7 @@
 	sum := make(map[string]pick.Load, len(p.outside))
 	for _, part := range []map[string]pick.Load{inside, p.outside} {
 		for id, l := range part {
-			sum[id] = sum[id].Plus(l)
+			sum[id] = sum[id].Add(l)
 		}
 	}
 	return sum
@@ -264,7 +264,7 @@
 
 // shareInside gives the choice of servers the load of all other VMs.
 func (p *Peers) shareInside() {
-	p.Book.Others(p.Now(), pick.Minus(p.totals(), p.Book.Own()))
+	p.Book.SetRemoteLoads(p.Now(), pick.SubtractLoads(p.totals(), p.Book.LocalLoads()))
 }
 
 // branchReport takes in what a VM that is linked to this relay told. It goes on
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -80,7 +80,7 @@
 	lease := &Lease{Name: name, Objects: v.objects(o), Duration: 1200 * time.Millisecond, Now: clock.Now, Log: zerolog.Nop()}
 	v.Peers = &Peers{
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{},
-		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Book: &pick.Book{Domain: domain},
+		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Book: &pick.Balancer{Domain: domain},
 		Controller: &steer.Controller{
 			Name: name, Servers: view, Table: func() *routes.Table { return nil }, Fence: lease.Fence,
 			Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
@@ -281,7 +281,7 @@
 // A relay reports for its domain: the load of all, with the adapters in use, the
 // demand added up, and how many VMs it speaks for.
 func TestRelayReportsForItsDomain(t *testing.T) {
-	p := &Peers{Book: &pick.Book{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
+	p := &Peers{Book: &pick.Balancer{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
 	p.branchReport("a", &wire.VMReport{
 		Vms: 1, Doubts: []string{"s2"},
 		Loads: []wire.ServerLoad{{Server: "s1", Running: 2, Adapters: []string{"m/a1"}}},
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -251,7 +251,7 @@
 	p.Poison.MergeSuspects(now, suspectsOf(s.Suspects))
 	p.Limits.Merge(now, limitsOf(s.Limits))
 	p.mu.Lock()
-	p.outside = pick.Minus(loadsOf(s.Loads), up.lastTold())
+	p.outside = pick.SubtractLoads(loadsOf(s.Loads), up.lastTold())
 	p.pause = time.Duration(s.PauseMs) * time.Millisecond
 	p.mu.Unlock()
 	p.shareInside()
--- a/pick/book.go
+++ b/pick/book.go
@@ -65,25 +65,25 @@
 type Load struct {
 	// Running is the number of requests sent and not finished, Tokens the KV
 	// cache tokens that they need.
-	Running, Tokens int
-	// Reading is the prefill time of the requests without a first event.
-	Reading time.Duration
+	Running, KVTokens int
+	// PrefillTime is the prefill time of the requests without a first event.
+	PrefillTime time.Duration
 	// Adapters lists the adapters in use, as MODEL/ADAPTER. Sums omit them.
 	Adapters []string
 }
 
-// Plus returns the sum of two loads, without adapters.
-func (l Load) Plus(o Load) Load {
-	return Load{Running: l.Running + o.Running, Reading: l.Reading + o.Reading, Tokens: l.Tokens + o.Tokens}
+// Add returns the sum of two loads, without adapters.
+func (l Load) Add(o Load) Load {
+	return Load{Running: l.Running + o.Running, PrefillTime: l.PrefillTime + o.PrefillTime, KVTokens: l.KVTokens + o.KVTokens}
 }
 
-// Minus subtracts one VM's part from sums. The two can be of slightly different
+// SubtractLoads subtracts one VM's part from sums. The two can be of slightly different
 // age, so results below zero become zero.
-func Minus(sums, part map[string]Load) map[string]Load {
+func SubtractLoads(sums, part map[string]Load) map[string]Load {
 	rest := make(map[string]Load, len(sums))
 	for id, s := range sums {
 		p := part[id]
-		rest[id] = Load{Running: max(s.Running-p.Running, 0), Reading: max(s.Reading-p.Reading, 0), Tokens: max(s.Tokens-p.Tokens, 0)}
+		rest[id] = Load{Running: max(s.Running-p.Running, 0), PrefillTime: max(s.PrefillTime-p.PrefillTime, 0), KVTokens: max(s.KVTokens-p.KVTokens, 0)}
 	}
 	return rest
 }
@@ -111,16 +111,16 @@
 	}
 }
 
-// Book tracks the load and the measured performance of all servers and chooses
+// Balancer tracks the load and the measured performance of all servers and chooses
 // between them. Domain is the VM's failure domain; the zero value of the other
 // fields is usable. It is safe for use by several goroutines.
-type Book struct {
+type Balancer struct {
 	Domain string
 	// Seed makes the VM's random choices differ from those of other VMs.
 	Seed uint64
-	// Idle reports whether an idle connection to a server is open; nil means
+	// HasIdleConn reports whether an idle connection to a server is open; nil means
 	// always.
-	Idle func(id string) bool
+	HasIdleConn func(id string) bool
 
 	mu      sync.Mutex
 	servers map[string]*serverState
@@ -144,7 +144,7 @@
 	tokenTimes   map[string]time.Duration
 }
 
-func (b *Book) serverState(id string) *serverState {
+func (b *Balancer) serverState(id string) *serverState {
 	s := b.servers[id]
 	if s == nil {
 		if b.servers == nil {
@@ -158,25 +158,25 @@
 
 // Choice is the chosen server with the predicted time to its first event.
 type Choice struct {
-	Server    backs.Entry
-	Predicted time.Duration
-	// Queue is the part of Predicted before this request's prefill starts.
-	Queue time.Duration
-	// Missing is the number of prompt tokens predicted to miss the prefix cache,
+	Server        backs.Entry
+	PredictedTime time.Duration
+	// QueueTime is the part of Predicted before this request's prefill starts.
+	QueueTime time.Duration
+	// UncachedTokens is the number of prompt tokens predicted to miss the prefix cache,
 	// and Reading their prefill time.
-	Missing int
-	Reading time.Duration
+	UncachedTokens int
+	PrefillTime    time.Duration
 	// Load is the load of the server that the prediction assumed.
 	Load Load
 }
 
 // Choose returns the candidate with the lowest predicted cost, except those in
 // tried. kv is the size of a server's KV cache in tokens, 0 when unknown.
-func (b *Book) Choose(now time.Time, candidates []backs.Entry, w Work, kv int, tried []string) (Choice, bool) {
+func (b *Balancer) Choose(now time.Time, candidates []backs.Entry, w Work, kvTokens int, tried []string) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.Model != "" {
-		return b.chooseModel(now, candidates, w, kv, tried)
+		return b.chooseModel(now, candidates, w, kvTokens, tried)
 	}
 	var best Choice
 	var bestCost time.Duration
@@ -186,7 +186,7 @@
 			continue
 		}
 		c := b.predict(now, e, w, nil, false)
-		cost := c.Predicted + b.penalty(now, e, w, kv)
+		cost := c.PredictedTime + b.penalty(now, e, w, kvTokens)
 		if !found || cost < bestCost || cost == bestCost && e.ID < best.Server.ID {
 			best, bestCost, found = c, cost, true
 		}
@@ -195,7 +195,7 @@
 }
 
 // chooseModel distributes the requests for a model over the servers that hold it.
-func (b *Book) chooseModel(now time.Time, candidates []backs.Entry, w Work, kv int, tried []string) (Choice, bool) {
+func (b *Balancer) chooseModel(now time.Time, candidates []backs.Entry, w Work, kvTokens int, tried []string) (Choice, bool) {
 	prefixKeys := w.prefixKeys()
 	key, connCost := w.sharedPrefixKey(prefixKeys), time.Duration(0)
 	if sharedPrefixTokens(w) < minSharedPrefixTokens {
@@ -206,7 +206,7 @@
 		if slices.Contains(tried, e.ID) {
 			continue
 		}
-		c := candidate{server: e, queueTime: b.queueTime(now, e) + b.slotBacklog(e) + b.penalty(now, e, w, kv)}
+		c := candidate{server: e, queueTime: b.queueTime(now, e) + b.slotBacklog(e) + b.penalty(now, e, w, kvTokens)}
 		if !b.hasIdleConn(e) {
 			c.queueTime += connCost
 		}
@@ -221,10 +221,10 @@
 
 // queueTime returns the time that a server needs for its pending prefill. The
 // servers have processed part of the load of the other VMs since it was reported.
-func (b *Book) queueTime(now time.Time, e backs.Entry) time.Duration {
+func (b *Balancer) queueTime(now time.Time, e backs.Entry) time.Duration {
 	s := b.serverState(e.ID)
-	remotePrefill := max(s.remote.Reading-now.Sub(b.remoteLoadsAt), 0)
-	return s.local.Reading + remotePrefill + time.Duration(s.local.Running+s.remote.Running)*runningRequestCost
+	remotePrefill := max(s.remote.PrefillTime-now.Sub(b.remoteLoadsAt), 0)
+	return s.local.PrefillTime + remotePrefill + time.Duration(s.local.Running+s.remote.Running)*runningRequestCost
 }
 
 // slotBacklog returns the time that a server needs for the responses it is
@@ -232,7 +232,7 @@
 // prefill and decode together are balanced. With prefill alone, a server with
 // short prompts and no free slot would rank equal to an empty one, and requests
 // would wait there for a slot.
-func (b *Book) slotBacklog(e backs.Entry) time.Duration {
+func (b *Balancer) slotBacklog(e backs.Entry) time.Duration {
 	if e.Slots == 0 {
 		return 0
 	}
@@ -241,42 +241,42 @@
 }
 
 // modelResponseTime returns the average time of a complete response of a model server.
-func (b *Book) modelResponseTime(service string) time.Duration {
+func (b *Balancer) modelResponseTime(service string) time.Duration {
 	return cmp.Or(b.modelResponseTimes[service], defaultModelResponseTime)
 }
 
-func (b *Book) predict(now time.Time, e backs.Entry, w Work, prefixKeys []uint64, assumeShared bool) Choice {
+func (b *Balancer) predict(now time.Time, e backs.Entry, w Work, prefixKeys []uint64, assumeShared bool) Choice {
 	s := b.serverState(e.ID)
-	load := s.local.Plus(s.remote)
+	load := s.local.Add(s.remote)
 	if w.Model == "" {
-		return Choice{Server: e, Predicted: s.predictResponseTime(b.responseTimes[e.Service], load, e.Slots), Load: load}
+		return Choice{Server: e, PredictedTime: s.predictResponseTime(b.responseTimes[e.Service], load, e.Slots), Load: load}
 	}
 	cachedTokens := s.cache.hitTokens(w, prefixKeys)
 	if assumeShared {
 		cachedTokens = max(cachedTokens, int(assumedPrefixShare*float64(sharedPrefixTokens(w))))
 	}
-	uncached := max(w.Prompt-cachedTokens, 1)
+	uncached := max(w.PromptTokens-cachedTokens, 1)
 	prefill := time.Duration(float64(uncached) / b.prefillRate(w) * float64(time.Millisecond))
 	queueTime := b.queueTime(now, e)
-	return Choice{Server: e, Missing: uncached, Queue: queueTime, Reading: prefill, Load: load, Predicted: queueTime + prefill}
+	return Choice{Server: e, UncachedTokens: uncached, QueueTime: queueTime, PrefillTime: prefill, Load: load, PredictedTime: queueTime + prefill}
 }
 
 // prefillRate returns the prefill rate of the work's model in tokens per
 // millisecond. Without measurements, larger models are assumed to be slower in
 // proportion to their size.
-func (b *Book) prefillRate(w Work) float64 {
+func (b *Balancer) prefillRate(w Work) float64 {
 	if r, ok := b.prefillRates[w.Model]; ok {
 		return r
 	}
-	if w.Size > 0 {
-		return min(defaultPrefillTokensPerMs/w.Size, maxPrefillTokensPerMs)
+	if w.RelativeModelSize > 0 {
+		return min(defaultPrefillTokensPerMs/w.RelativeModelSize, maxPrefillTokensPerMs)
 	}
 	return defaultPrefillTokensPerMs
 }
 
 // learnPrefillRate adds a measurement: an idle server has prefilled a number of
 // prompt tokens of a model in a time.
-func (b *Book) learnPrefillRate(w Work, tokens int, took time.Duration) {
+func (b *Balancer) learnPrefillRate(w Work, tokens int, took time.Duration) {
 	if took -= firstEventOverhead; tokens < minPrefillSampleTokens || took <= 0 {
 		return
 	}
@@ -290,7 +290,7 @@
 
 func sharedPrefixTokens(w Work) int {
 	tokens := 0
-	for _, p := range w.Parts[:max(len(w.Parts)-1, 0)] {
+	for _, p := range w.PromptParts[:max(len(w.PromptParts)-1, 0)] {
 		tokens += p.Tokens
 	}
 	return tokens
@@ -313,13 +313,13 @@
 
 // penalty returns the cost of a server beside its response time: distance, recent
 // failures and a KV cache that is nearly full.
-func (b *Book) penalty(now time.Time, e backs.Entry, w Work, kv int) time.Duration {
+func (b *Balancer) penalty(now time.Time, e backs.Entry, w Work, kvTokens int) time.Duration {
 	s := b.serverState(e.ID)
 	cost := time.Duration(s.failures.current(now) * float64(failureCost))
 	if e.Domain != b.Domain {
 		cost += crossDomainCost + time.Duration(b.domainFailures[e.Domain].current(now)*float64(failureCost))
 	}
-	if kvNeed := s.local.Tokens + s.remote.Tokens + w.Prompt + w.Output; w.Model != "" && kv > 0 && float64(kvNeed) > kvPreemptionShare*float64(kv) {
+	if kvNeed := s.local.KVTokens + s.remote.KVTokens + w.PromptTokens + w.MaxOutputTokens; w.Model != "" && kvTokens > 0 && float64(kvNeed) > kvPreemptionShare*float64(kvTokens) {
 		cost += preemptionCost
 	}
 	if e.Cold > 0 {
@@ -332,10 +332,12 @@
 }
 
 // hasIdleConn reports whether an idle connection to a server is open.
-func (b *Book) hasIdleConn(e backs.Entry) bool { return b.Idle == nil || b.Idle(e.ID) }
+func (b *Balancer) hasIdleConn(e backs.Entry) bool {
+	return b.HasIdleConn == nil || b.HasIdleConn(e.ID)
+}
 
-// Others replaces the load of the other VMs on each server, as reported at now.
-func (b *Book) Others(now time.Time, loads map[string]Load) {
+// SetRemoteLoads replaces the load of the other VMs on each server, as reported at now.
+func (b *Balancer) SetRemoteLoads(now time.Time, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remoteLoadsAt = now
@@ -347,8 +349,8 @@
 	}
 }
 
-// Own returns the load of this VM on each server.
-func (b *Book) Own() map[string]Load {
+// LocalLoads returns the load of this VM on each server.
+func (b *Balancer) LocalLoads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := make(map[string]Load)
@@ -363,7 +365,7 @@
 }
 
 // Retain discards the state of servers that are not in the list and have no running requests.
-func (b *Book) Retain(known []backs.Entry) {
+func (b *Balancer) Retain(known []backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.servers {
--- a/pick/cache.go
+++ b/pick/cache.go
@@ -21,7 +21,7 @@
 		if _, ok := c.parts[key]; !ok {
 			break
 		}
-		tokens += w.Parts[i].Tokens
+		tokens += w.PromptParts[i].Tokens
 	}
 	return tokens
 }
@@ -33,9 +33,9 @@
 	}
 	for i, key := range keys {
 		if _, ok := c.parts[key]; !ok {
-			c.tokens += w.Parts[i].Tokens
+			c.tokens += w.PromptParts[i].Tokens
 		}
-		c.parts[key] = cachedPart{tokens: w.Parts[i].Tokens, lastUsed: now}
+		c.parts[key] = cachedPart{tokens: w.PromptParts[i].Tokens, lastUsed: now}
 	}
 	for c.tokens > capacity && len(c.parts) > 0 {
 		c.evictOldest()
--- a/pick/cost.go
+++ b/pick/cost.go
@@ -28,50 +28,50 @@
 )
 
 // Cost returns the share of a server's time that a request takes, as a duration.
-func (b *Book) Cost(w Work) time.Duration {
+func (b *Balancer) Cost(w Work) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	uncached := max(float64(w.Prompt)-assumedPrefixShare*float64(sharedPrefixTokens(w)), 1)
+	uncached := max(float64(w.PromptTokens)-assumedPrefixShare*float64(sharedPrefixTokens(w)), 1)
 	prefill := time.Duration(uncached / b.prefillRate(w) * float64(time.Millisecond))
 	return prefill + b.decodeTime(w)/time.Duration(max(w.Slots, 1))
 }
 
 // decodeTime returns the time to generate the response to a request on a server
 // without prefill work. b.mu is held.
-func (b *Book) decodeTime(w Work) time.Duration {
+func (b *Balancer) decodeTime(w Work) time.Duration {
 	return time.Duration(b.expectedOutputTokens(w) * float64(b.tokenTime(w)))
 }
 
 // expectedOutputTokens returns the expected length of a response in tokens. b.mu is held.
-func (b *Book) expectedOutputTokens(w Work) float64 {
+func (b *Balancer) expectedOutputTokens(w Work) float64 {
 	share, ok := b.outputShares[w.Route]
 	if !ok {
 		share = defaultOutputShare
 	}
-	return share * float64(w.Output)
+	return share * float64(w.MaxOutputTokens)
 }
 
 // tokenTime returns the decode time of a token of the work's model. b.mu is held.
-func (b *Book) tokenTime(w Work) time.Duration {
+func (b *Balancer) tokenTime(w Work) time.Duration {
 	if d, ok := b.tokenTimes[w.Model]; ok {
 		return d
 	}
-	if w.Size > 0 {
-		return time.Duration(w.Size * float64(defaultTokenTime))
+	if w.RelativeModelSize > 0 {
+		return time.Duration(w.RelativeModelSize * float64(defaultTokenTime))
 	}
 	return defaultTokenTime
 }
 
-// Streamed records a complete response: its number of events and the time from the
+// StreamCompleted records a complete response: its number of events and the time from the
 // first to the last one.
-func (t *Ticket) Streamed(events int, took time.Duration) {
-	t.balancer.mu.Lock()
-	defer t.balancer.mu.Unlock()
-	t.balancer.recordStream(t.work, events, took)
+func (a *Attempt) StreamCompleted(events int, took time.Duration) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	a.balancer.recordStream(a.work, events, took)
 }
 
-func (b *Book) recordStream(w Work, events int, took time.Duration) {
-	if w.Output <= 0 || w.Stride <= 0 || events <= 0 {
+func (b *Balancer) recordStream(w Work, events int, took time.Duration) {
+	if w.MaxOutputTokens <= 0 || w.TokensPerEvent <= 0 || events <= 0 {
 		return
 	}
 	if b.outputShares == nil {
@@ -81,11 +81,11 @@
 	if !ok {
 		share = defaultOutputShare
 	}
-	b.outputShares[w.Route] = share + outputShareWeight*(float64(events*w.Stride)/float64(w.Output)-share)
+	b.outputShares[w.Route] = share + outputShareWeight*(float64(events*w.TokensPerEvent)/float64(w.MaxOutputTokens)-share)
 	if events < 2 {
 		return
 	}
-	observed := took / time.Duration((events-1)*w.Stride)
+	observed := took / time.Duration((events-1)*w.TokensPerEvent)
 	weight := fasterTokenTimeWeight
 	if observed > b.tokenTime(w) {
 		weight = slowerTokenTimeWeight
--- a/pick/cost_test.go
+++ b/pick/cost_test.go
@@ -15,23 +15,23 @@
 // servers as the slow one. The cost of requests is learned from their responses, and more
 // from the fastest than from those that waited for other prompts.
 func TestCostLearning(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	entry := backs.Entry{ID: "a", Service: "s", Domain: "d", Slots: 48}
 	work := func(model string) pick.Work {
-		return pick.Work{Route: "r", Model: model, Size: 1, Prompt: 600, Output: 900, Slots: 48, Stride: 6}
+		return pick.Work{Route: "r", Model: model, RelativeModelSize: 1, PromptTokens: 600, MaxOutputTokens: 900, Slots: 48, TokensPerEvent: 6}
 	}
-	require.Equal(t, book.Cost(work("slow")), book.Cost(work("quick")))
+	require.Equal(t, balancer.Cost(work("slow")), balancer.Cost(work("quick")))
 	now := at(0)
 	answer := func(model string, reading, step time.Duration, events int) {
-		c, ok := book.Choose(now, []backs.Entry{entry}, work(model), 0, nil)
+		c, ok := balancer.Choose(now, []backs.Entry{entry}, work(model), 0, nil)
 		require.True(t, ok)
-		ticket := book.Begin(now, c, work(model), 0)
+		attempt := balancer.Begin(now, c, work(model), 0)
 		now = now.Add(reading)
-		ticket.First(now)
+		attempt.FirstEvent(now)
 		took := time.Duration(events-1) * 6 * step
 		now = now.Add(took)
-		ticket.Streamed(events, took)
-		ticket.End(now, pick.Good)
+		attempt.StreamCompleted(events, took)
+		attempt.End(now, pick.Succeeded)
 	}
 	for i := range 300 {
 		step := 5 * time.Millisecond
@@ -42,6 +42,6 @@
 		answer("quick", 11*time.Millisecond, 1500*time.Microsecond, 50)
 	}
 	// 600 tokens at 37.5 per ms, and 300 tokens of 5 ms with 47 concurrent requests.
-	require.InDelta(t, 16+31, book.Cost(work("slow")).Seconds()*1000, 8)
-	require.InDelta(t, 4+9.4, book.Cost(work("quick")).Seconds()*1000, 4)
+	require.InDelta(t, 16+31, balancer.Cost(work("slow")).Seconds()*1000, 8)
+	require.InDelta(t, 4+9.4, balancer.Cost(work("quick")).Seconds()*1000, 4)
 }
--- a/pick/failures.go
+++ b/pick/failures.go
@@ -29,15 +29,15 @@
 	return f.rate * math.Exp2(-current.Sub(f.updatedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-func (f *failureRate) record(now time.Time, result Verdict) {
+func (f *failureRate) record(now time.Time, result Result) {
 	rate := f.current(now)
 	switch result {
-	case Good:
+	case Succeeded:
 		rate -= successWeight * rate
 		f.lastSuccess, f.connectFailures = now, 0
 	case Refused:
 		rate += refusedWeight * (1 - rate)
-	case Bad:
+	case Failed:
 		rate += failureWeight * (1 - rate)
 	case Neutral:
 		return
@@ -45,23 +45,23 @@
 	f.rate, f.updatedAt = rate, now
 }
 
-// Unreached records that no connection to a server could be made. Failed
+// ConnectFailed records that no connection to a server could be made. Failed
 // connections to a domain indicate that the domain is unreachable, so its other
 // servers are avoided too.
-func (b *Book) Unreached(now time.Time, e backs.Entry) {
+func (b *Balancer) ConnectFailed(now time.Time, e backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.serverState(e.ID).failures.record(now, Bad)
+	b.serverState(e.ID).failures.record(now, Failed)
 	if e.Domain == b.Domain {
 		return
 	}
 	f := b.domainFailureRate(e.Domain)
-	f.record(now, Bad)
+	f.record(now, Failed)
 	f.connectFailures++
 }
 
 // domainFailureRate returns the failure rate of a failure domain. b.mu is held.
-func (b *Book) domainFailureRate(domain string) *failureRate {
+func (b *Balancer) domainFailureRate(domain string) *failureRate {
 	f := b.domainFailures[domain]
 	if f == nil {
 		if b.domainFailures == nil {
@@ -73,19 +73,19 @@
 	return f
 }
 
-// Reached records that a connection to a server could be made.
-func (b *Book) Reached(now time.Time, e backs.Entry) {
+// ConnectSucceeded records that a connection to a server could be made.
+func (b *Balancer) ConnectSucceeded(now time.Time, e backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.domainFailureRate(e.Domain).record(now, Good)
+	b.domainFailureRate(e.Domain).record(now, Succeeded)
 }
 
 // unreachableRate is the share of failed connections to a domain's servers from which
 // the domain counts as unreachable.
 const unreachableRate = 0.5
 
-// Cut reports whether a domain's servers are unreachable.
-func (b *Book) Cut(now time.Time, domain string) bool {
+// DomainUnreachable reports whether a domain's servers are unreachable.
+func (b *Balancer) DomainUnreachable(now time.Time, domain string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.domainFailures[domain].current(now) >= unreachableRate
@@ -103,7 +103,7 @@
 
 // Isolated reports whether all other failure domains are unreachable, which means that this
 // VM is the isolated one.
-func (b *Book) Isolated(now time.Time, servers []backs.Entry) bool {
+func (b *Balancer) Isolated(now time.Time, servers []backs.Entry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	others := false
--- a/pick/pick_test.go
+++ b/pick/pick_test.go
@@ -26,8 +26,8 @@
 
 func draftRequest(subject string, id int) pick.Work {
 	return pick.Work{
-		Model: "m", Prompt: 9190, Output: 52, Objective: 600 * time.Millisecond,
-		Parts: []pick.Part{{ID: "style", Tokens: 2520}, {ID: subject, Tokens: 3780}, {ID: fmt.Sprint(id), Tokens: 2890}},
+		Model: "m", PromptTokens: 9190, MaxOutputTokens: 52, Objective: 600 * time.Millisecond,
+		PromptParts: []pick.PromptPart{{ID: "style", Tokens: 2520}, {ID: subject, Tokens: 3780}, {ID: fmt.Sprint(id), Tokens: 2890}},
 	}
 }
 
@@ -37,19 +37,19 @@
 // of a draft takes 200 ms. If drafts went to any server, each server would prefill each
 // subject; instead the servers together should prefill a subject little more than once.
 func TestPrefixPartitioning(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(6)
 	rng := rand.New(rand.NewPCG(1, 1))
 	prefilled := 0
 	for i := range 400 {
 		now := at(float64(i) * 0.1)
 		w := draftRequest(fmt.Sprintf("subject-%d", rng.IntN(40)), i)
-		c, ok := book.Choose(now, list, w, kv, nil)
+		c, ok := balancer.Choose(now, list, w, kv, nil)
 		require.True(t, ok)
-		ticket := book.Begin(now, c, w, kv)
-		prefilled += c.Missing
-		ticket.First(now.Add(c.Reading))
-		ticket.End(now.Add(c.Reading), pick.Good)
+		attempt := balancer.Begin(now, c, w, kv)
+		prefilled += c.UncachedTokens
+		attempt.FirstEvent(now.Add(c.PrefillTime))
+		attempt.End(now.Add(c.PrefillTime), pick.Succeeded)
 	}
 	uncached := 400 * 9190
 	require.Less(t, prefilled, uncached/2)
@@ -58,14 +58,14 @@
 // Load pattern: a burst for one subject, whose server has a queue of prompts. The prefill
 // of the shared part on another server takes less time than the queue.
 func TestPrefixBurstOverflow(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(4)
 	used := map[string]int{}
 	for i := range 24 {
 		w := draftRequest("one", i)
-		c, ok := book.Choose(at(0), list, w, kv, nil)
+		c, ok := balancer.Choose(at(0), list, w, kv, nil)
 		require.True(t, ok)
-		book.Begin(at(0), c, w, kv)
+		balancer.Begin(at(0), c, w, kv)
 		used[c.Server.ID]++
 	}
 	require.Len(t, used, 4)
@@ -77,28 +77,28 @@
 // A server passes health checks and fails its requests. After a few failures nearly all
 // requests go to other servers; after its recovery it gets some again.
 func TestGreyFailureAvoidanceAndRetry(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(3)
 	w := pick.Work{Objective: 100 * time.Millisecond}
 	failed := 0
 	for i := range 200 {
 		now := at(float64(i) * 0.02)
-		c, _ := book.Choose(now, list, w, 0, nil)
-		ticket := book.Begin(now, c, w, 0)
-		result := pick.Good
+		c, _ := balancer.Choose(now, list, w, 0, nil)
+		attempt := balancer.Begin(now, c, w, 0)
+		result := pick.Succeeded
 		if c.Server.ID == "s0" {
-			result = pick.Bad
+			result = pick.Failed
 			failed++
 		}
-		ticket.End(now.Add(15*time.Millisecond), result)
+		attempt.End(now.Add(15*time.Millisecond), result)
 	}
 	require.Less(t, failed, 10)
 	later := at(120)
 	served := map[string]bool{}
 	for range 3 {
-		c, _ := book.Choose(later, list, w, 0, nil)
+		c, _ := balancer.Choose(later, list, w, 0, nil)
 		served[c.Server.ID] = true
-		book.Begin(later, c, w, 0)
+		balancer.Begin(later, c, w, 0)
 	}
 	require.True(t, served["s0"])
 }
@@ -106,69 +106,69 @@
 // A failure domain is unreachable: after the first connections fail, its other servers are
 // not tried one after the other.
 func TestUnreachableDomainAvoidance(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(2)
 	far := []backs.Entry{{ID: "f0", Domain: "far", Slots: 64}, {ID: "f1", Domain: "far", Slots: 64}}
 	for range 4 {
-		book.Unreached(at(0), far[0])
+		balancer.ConnectFailed(at(0), far[0])
 	}
-	require.True(t, book.Cut(at(0), "far"))
-	c, ok := book.Choose(at(0), append([]backs.Entry{far[1]}, list...), pick.Work{}, 0, nil)
+	require.True(t, balancer.DomainUnreachable(at(0), "far"))
+	c, ok := balancer.Choose(at(0), append([]backs.Entry{far[1]}, list...), pick.Work{}, 0, nil)
 	require.True(t, ok)
 	require.Equal(t, "d", c.Server.Domain)
-	require.False(t, book.Cut(at(60), "far"))
+	require.False(t, balancer.DomainUnreachable(at(60), "far"))
 }
 
 // A server whose KV cache is nearly full would preempt running streams.
 func TestFullKVCacheAvoidance(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(2)
-	book.Others(at(0), map[string]pick.Load{"s0": {Running: 1, Tokens: 240_000}, "s1": {Running: 30, Tokens: 100_000}})
-	c, ok := book.Choose(at(0), list, draftRequest("x", 1), kv, nil)
+	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 1, KVTokens: 240_000}, "s1": {Running: 30, KVTokens: 100_000}})
+	c, ok := balancer.Choose(at(0), list, draftRequest("x", 1), kv, nil)
 	require.True(t, ok)
 	require.Equal(t, "s1", c.Server.ID)
 }
 
 func TestTriedServersExcluded(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
-	_, ok := book.Choose(at(0), servers(1), pick.Work{}, 0, []string{"s0"})
+	balancer := &pick.Balancer{Domain: "d"}
+	_, ok := balancer.Choose(at(0), servers(1), pick.Work{}, 0, []string{"s0"})
 	require.False(t, ok)
 }
 
 // The prefill rate is learned from responses of idle servers, so that a model that is ten
 // times as fast as its size suggests is not avoided.
 func TestPrefillRateLearning(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(1)
-	w := pick.Work{Model: "fast", Size: 1, Prompt: 3200, Parts: []pick.Part{{ID: "p", Tokens: 3200}}}
-	first, _ := book.Choose(at(0), list, w, kv, nil)
+	w := pick.Work{Model: "fast", RelativeModelSize: 1, PromptTokens: 3200, PromptParts: []pick.PromptPart{{ID: "p", Tokens: 3200}}}
+	first, _ := balancer.Choose(at(0), list, w, kv, nil)
 	for i := range 60 {
-		w.Parts = []pick.Part{{ID: fmt.Sprint(i), Tokens: 3200}}
+		w.PromptParts = []pick.PromptPart{{ID: fmt.Sprint(i), Tokens: 3200}}
 		now := at(float64(i))
-		c, _ := book.Choose(now, list, w, kv, nil)
-		ticket := book.Begin(now, c, w, kv)
-		ticket.First(now.Add(10 * time.Millisecond))
-		ticket.End(now.Add(20*time.Millisecond), pick.Good)
+		c, _ := balancer.Choose(now, list, w, kv, nil)
+		attempt := balancer.Begin(now, c, w, kv)
+		attempt.FirstEvent(now.Add(10 * time.Millisecond))
+		attempt.End(now.Add(20*time.Millisecond), pick.Succeeded)
 	}
-	w.Parts = []pick.Part{{ID: "new", Tokens: 3200}}
-	last, _ := book.Choose(at(100), list, w, kv, nil)
-	require.Greater(t, first.Predicted, 80*time.Millisecond)
-	require.Less(t, last.Predicted, 15*time.Millisecond)
+	w.PromptParts = []pick.PromptPart{{ID: "new", Tokens: 3200}}
+	last, _ := balancer.Choose(at(100), list, w, kv, nil)
+	require.Greater(t, first.PredictedTime, 80*time.Millisecond)
+	require.Less(t, last.PredictedTime, 15*time.Millisecond)
 }
 
 func TestSubtractLoadsClampsAtZero(t *testing.T) {
-	rest := pick.Minus(map[string]pick.Load{"a": {Running: 1}}, map[string]pick.Load{"a": {Running: 3}, "b": {Running: 1}})
+	rest := pick.SubtractLoads(map[string]pick.Load{"a": {Running: 1}}, map[string]pick.Load{"a": {Running: 3}, "b": {Running: 1}})
 	require.Equal(t, map[string]pick.Load{"a": {}}, rest)
 }
 
 func TestLocalLoadsAdapters(t *testing.T) {
-	book := &pick.Book{}
+	balancer := &pick.Balancer{}
 	w := pick.Work{Model: "m", Adapter: "a1"}
-	c, _ := book.Choose(at(0), servers(1), w, kv, nil)
-	ticket := book.Begin(at(0), c, w, kv)
-	require.Equal(t, []string{"m/a1"}, book.Own()["s0"].Adapters)
-	ticket.End(at(1), pick.Good)
-	require.Empty(t, book.Own())
+	c, _ := balancer.Choose(at(0), servers(1), w, kv, nil)
+	attempt := balancer.Begin(at(0), c, w, kv)
+	require.Equal(t, []string{"m/a1"}, balancer.LocalLoads()["s0"].Adapters)
+	attempt.End(at(1), pick.Succeeded)
+	require.Empty(t, balancer.LocalLoads())
 }
 
 // Load pattern: eighty VMs send drafts for one model with six replicas and receive load
@@ -180,19 +180,19 @@
 	list := servers(6)
 	reported := map[string]pick.Load{}
 	for _, e := range list[1:] {
-		reported[e.ID] = pick.Load{Running: 8, Reading: 300 * time.Millisecond}
+		reported[e.ID] = pick.Load{Running: 8, PrefillTime: 300 * time.Millisecond}
 	}
 	sent := map[string]time.Duration{}
 	serversBySubject := map[string]map[string]bool{}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for vm := range 80 {
-		book := &pick.Book{Domain: "d", Seed: uint64(vm)}
-		book.Others(at(0), reported)
+		balancer := &pick.Balancer{Domain: "d", Seed: uint64(vm)}
+		balancer.SetRemoteLoads(at(0), reported)
 		w := draftRequest(fmt.Sprintf("subject-%d", rng.IntN(40)), vm)
-		c, ok := book.Choose(at(0.1), list, w, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, w, kv, nil)
 		require.True(t, ok)
-		sent[c.Server.ID] += c.Reading
-		subject := w.Parts[1].ID
+		sent[c.Server.ID] += c.PrefillTime
+		subject := w.PromptParts[1].ID
 		if serversBySubject[subject] == nil {
 			serversBySubject[subject] = map[string]bool{}
 		}
@@ -218,10 +218,10 @@
 func TestShortPromptsDistributedRandomly(t *testing.T) {
 	used := map[string]int{}
 	for vm := range 300 {
-		book := &pick.Book{Domain: "d", Seed: uint64(vm)}
-		book.Others(at(0), map[string]pick.Load{"s0": {Reading: 150 * time.Millisecond}, "s1": {Reading: time.Minute}})
-		w := pick.Work{Model: "m", Prompt: 826, Parts: []pick.Part{{ID: "style", Tokens: 198}, {ID: "own", Tokens: 628}}}
-		c, ok := book.Choose(at(0), servers(4), w, kv, nil)
+		balancer := &pick.Balancer{Domain: "d", Seed: uint64(vm)}
+		balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {PrefillTime: 150 * time.Millisecond}, "s1": {PrefillTime: time.Minute}})
+		w := pick.Work{Model: "m", PromptTokens: 826, PromptParts: []pick.PromptPart{{ID: "style", Tokens: 198}, {ID: "own", Tokens: 628}}}
+		c, ok := balancer.Choose(at(0), servers(4), w, kv, nil)
 		require.True(t, ok)
 		used[c.Server.ID]++
 	}
@@ -234,19 +234,19 @@
 // The servers have processed part of the reported load of other VMs since the report.
 // Without that correction, a server is avoided until the next report.
 func TestReportedQueuesDrain(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
-	book.Others(at(0), map[string]pick.Load{"s0": {Running: 1, Reading: time.Second}})
+	balancer := &pick.Balancer{Domain: "d"}
+	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 1, PrefillTime: time.Second}})
 	w := draftRequest("x", 1)
-	c, _ := book.Choose(at(0), servers(1), w, kv, nil)
-	later, _ := book.Choose(at(0.8), servers(1), w, kv, nil)
-	require.Equal(t, 800*time.Millisecond, c.Predicted-later.Predicted)
+	c, _ := balancer.Choose(at(0), servers(1), w, kv, nil)
+	later, _ := balancer.Choose(at(0.8), servers(1), w, kv, nil)
+	require.Equal(t, 800*time.Millisecond, c.PredictedTime-later.PredictedTime)
 }
 
 // Requests with a shared prefix go to the same server from all VMs, whatever connections a
 // VM has open; otherwise several servers prefill the prefix.
 func TestPrefixRoutingIgnoresConnections(t *testing.T) {
-	balancerWithConn := func(id string) *pick.Book {
-		return &pick.Book{Domain: "d", Idle: func(server string) bool { return server == id }}
+	balancerWithConn := func(id string) *pick.Balancer {
+		return &pick.Balancer{Domain: "d", HasIdleConn: func(server string) bool { return server == id }}
 	}
 	for i := range 50 {
 		w := draftRequest(fmt.Sprint("subject", i), i)
@@ -265,11 +265,11 @@
 	for i := range list {
 		list[i].Slots = 12
 	}
-	book := &pick.Book{Domain: "d"}
-	book.Others(at(0), map[string]pick.Load{"s0": {Running: 12}, "s1": {Running: 2}})
+	balancer := &pick.Balancer{Domain: "d"}
+	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 12}, "s1": {Running: 2}})
 	sent := map[string]int{}
 	for range 200 {
-		c, ok := book.Choose(at(0.1), list, pick.Work{Model: "m", Prompt: 300, Output: 300, Slots: 12}, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kv, nil)
 		require.True(t, ok)
 		sent[c.Server.ID]++
 	}
@@ -280,11 +280,11 @@
 func TestLoadRelativeToSlotCount(t *testing.T) {
 	list := servers(2)
 	list[0].Slots, list[1].Slots = 12, 24
-	book := &pick.Book{Domain: "d"}
-	book.Others(at(0), map[string]pick.Load{"s0": {Running: 6}, "s1": {Running: 6}})
+	balancer := &pick.Balancer{Domain: "d"}
+	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 6}, "s1": {Running: 6}})
 	sent := map[string]int{}
 	for range 400 {
-		c, ok := book.Choose(at(0.1), list, pick.Work{Model: "m", Prompt: 300, Output: 300, Slots: 12}, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kv, nil)
 		require.True(t, ok)
 		sent[c.Server.ID]++
 	}
@@ -297,19 +297,19 @@
 // whose models were being loaded on other servers. It is isolated only if those domains
 // have not responded for half a second.
 func TestCrashesNotTakenForIsolation(t *testing.T) {
-	book := &pick.Book{Domain: "d"}
+	balancer := &pick.Balancer{Domain: "d"}
 	servers := []backs.Entry{{ID: "a", Domain: "near"}, {ID: "b", Domain: "far"}}
 	for _, e := range servers {
-		book.Unreached(at(0), e)
-		book.Reached(at(0.1), e)
+		balancer.ConnectFailed(at(0), e)
+		balancer.ConnectSucceeded(at(0.1), e)
 		for range 4 {
-			book.Unreached(at(0.2), e)
+			balancer.ConnectFailed(at(0.2), e)
 		}
 	}
-	require.False(t, book.Isolated(at(0.3), servers))
-	require.True(t, book.Isolated(at(0.7), servers))
-	book.Reached(at(0.8), servers[0])
-	require.False(t, book.Isolated(at(2), servers))
+	require.False(t, balancer.Isolated(at(0.3), servers))
+	require.True(t, balancer.Isolated(at(0.7), servers))
+	balancer.ConnectSucceeded(at(0.8), servers[0])
+	require.False(t, balancer.Isolated(at(2), servers))
 }
 
 // First the servers of one domain are unreachable, then those of all other domains. Only
@@ -329,13 +329,13 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			book := &pick.Book{Domain: "d"}
+			balancer := &pick.Balancer{Domain: "d"}
 			for _, e := range tc.unreached {
 				for range 2 {
-					book.Unreached(at(0), e)
+					balancer.ConnectFailed(at(0), e)
 				}
 			}
-			require.Equal(t, tc.want, book.Isolated(at(0), tc.servers))
+			require.Equal(t, tc.want, balancer.Isolated(at(0), tc.servers))
 		})
 	}
 }
--- a/pick/room.go
+++ b/pick/room.go
@@ -28,15 +28,15 @@
 	// maxLateQueueTime is the queue up to which waiting requests are sent. Most of them
 	// miss their objective, and requests that can still meet theirs go first. It keeps a
 	// replica busy until the next check.
-	maxLateQueueTime = 2 * RoomPause
+	maxLateQueueTime = 2 * AdmissionCheckInterval
 	// objectiveShare is the share of the objective within which the first event must be
 	// predicted for a request to be sent at once; the rest covers network latency and
 	// the first decode step. With this and maxLateQueueTime, overload replays (9, 71 and
 	// 195 VMs, means of three seeds) score 0.873, 0.827 and 0.870 of the maximum, without
 	// them 0.864, 0.802 and 0.853. A value of 0.7 scores 0.851, 0.826 and 0.862.
 	objectiveShare = 0.9
-	// RoomPause is the interval between admission checks, equal to that of load reports.
-	RoomPause = 100 * time.Millisecond
+	// AdmissionCheckInterval is the interval between admission checks, equal to that of load reports.
+	AdmissionCheckInterval = 100 * time.Millisecond
 	// minAdmissionWait is the minimum time that a request waits for capacity.
 	minAdmissionWait = 300 * time.Millisecond
 )
@@ -61,11 +61,11 @@
 	maxRunningPerSlot = 1.3
 )
 
-// Room decides whether a request is sent or waits in its VM.
-type Room struct {
-	// Held is the number of requests for the model waiting in this VM, including this
+// Admission decides whether a request is sent or waits in its VM.
+type Admission struct {
+	// Waiting is the number of requests for the model waiting in this VM, including this
 	// one if it has waited before; VMs is the number of VMs.
-	Held, VMs int
+	Waiting, VMs int
 	// Objective is the target time to the first event, 0 for none.
 	Objective time.Duration
 	// Urgent is set if servers run the request before most others.
@@ -74,27 +74,27 @@
 
 // Admit reports whether a request may be sent to the server chosen for it. random
 // is a random number in the interval from 0 up to 1.
-func (r Room) Admit(c Choice, random float64) bool {
-	if !r.Urgent && !c.slotSoonFree() {
+func (a Admission) Admit(c Choice, random float64) bool {
+	if !a.Urgent && !c.slotSoonFree() {
 		return false
 	}
-	if r.Held <= 0 {
-		return c.Queue < r.queueLimit(c.Reading)
+	if a.Waiting <= 0 {
+		return c.QueueTime < a.queueLimit(c.PrefillTime)
 	}
-	spareTime := maxLateQueueTime - c.Queue
+	spareTime := maxLateQueueTime - c.QueueTime
 	if spareTime <= 0 {
 		return false
 	}
-	waitingPrefill := time.Duration(r.Held*max(r.VMs, 1)) * max(c.Reading, time.Millisecond)
+	waitingPrefill := time.Duration(a.Waiting*max(a.VMs, 1)) * max(c.PrefillTime, time.Millisecond)
 	return random < spareTime.Seconds()/waitingPrefill.Seconds()
 }
 
 // queueLimit returns the queue up to which a request with this prefill time is sent.
-func (r Room) queueLimit(prefill time.Duration) time.Duration {
-	if r.Objective <= 0 {
+func (a Admission) queueLimit(prefill time.Duration) time.Duration {
+	if a.Objective <= 0 {
 		return maxQueueTime
 	}
-	timely := time.Duration(objectiveShare*float64(r.Objective)) - prefill
+	timely := time.Duration(objectiveShare*float64(a.Objective)) - prefill
 	return min(max(timely, maxLateQueueTime), maxQueueTime)
 }
 
@@ -104,17 +104,17 @@
 	return c.Server.Slots == 0 || float64(c.Load.Running) < maxRunningPerSlot*float64(c.Server.Slots)
 }
 
-// HasRoom reports whether the server is expected to run the request without waiting for a
+// HasCapacity reports whether the server is expected to run the request without waiting for a
 // slot or a long queue.
-func (c Choice) HasRoom() bool {
-	return c.Queue < maxQueueTime && (c.Server.Slots == 0 || c.Load.Running < c.Server.Slots)
+func (c Choice) HasCapacity() bool {
+	return c.QueueTime < maxQueueTime && (c.Server.Slots == 0 || c.Load.Running < c.Server.Slots)
 }
 
-// RoomWait returns the maximum time that a request with an objective waits for capacity.
-func RoomWait(objective time.Duration) time.Duration { return max(objective, minAdmissionWait) }
+// MaxAdmissionWait returns the maximum time that a request with an objective waits for capacity.
+func MaxAdmissionWait(objective time.Duration) time.Duration { return max(objective, minAdmissionWait) }
 
-// ComeBack returns the delay after which a refused request should be retried: the time until
+// RetryAfter returns the delay after which a refused request should be retried: the time until
 // the queue of its server has capacity again.
-func ComeBack(queueTime time.Duration) time.Duration {
+func RetryAfter(queueTime time.Duration) time.Duration {
 	return max(queueTime-maxQueueTime/2, maxQueueTime/2)
 }
--- a/pick/room_test.go
+++ b/pick/room_test.go
@@ -54,30 +54,30 @@
 					best = i
 				}
 			}
-			return pick.Choice{Missing: best, Queue: reported[best], Reading: reading}
+			return pick.Choice{UncachedTokens: best, QueueTime: reported[best], PrefillTime: reading}
 		}
 		for vm := range vms {
 			stillWaiting := waiting[vm][:0]
 			for _, w := range waiting[vm] {
 				c := choose()
 				switch {
-				case now-w.arrived >= pick.RoomWait(objective):
+				case now-w.arrived >= pick.MaxAdmissionWait(objective):
 				case now < w.nextCheck:
 					stillWaiting = append(stillWaiting, w)
-				case (pick.Room{Held: len(waiting[vm]), VMs: vms, Objective: objective}).Admit(c, rng.Float64()):
-					send(now, w.arrived, c.Missing)
+				case (pick.Admission{Waiting: len(waiting[vm]), VMs: vms, Objective: objective}).Admit(c, rng.Float64()):
+					send(now, w.arrived, c.UncachedTokens)
 				default:
-					stillWaiting = append(stillWaiting, waitingRequest{w.arrived, now + pick.RoomPause})
+					stillWaiting = append(stillWaiting, waitingRequest{w.arrived, now + pick.AdmissionCheckInterval})
 				}
 			}
 			waiting[vm] = stillWaiting
 		}
 		if rng.Float64() < rate*step.Seconds() {
 			vm, c := rng.IntN(vms), choose()
-			if !withAdmission || (pick.Room{Objective: objective}).Admit(c, 0) {
-				send(now, now, c.Missing)
+			if !withAdmission || (pick.Admission{Objective: objective}).Admit(c, 0) {
+				send(now, now, c.UncachedTokens)
 			} else {
-				waiting[vm] = append(waiting[vm], waitingRequest{now, now + pick.RoomPause})
+				waiting[vm] = append(waiting[vm], waitingRequest{now, now + pick.AdmissionCheckInterval})
 			}
 		}
 	}
@@ -97,39 +97,39 @@
 
 func TestAdmit(t *testing.T) {
 	const reading = 100 * time.Millisecond
-	queue := func(d time.Duration) pick.Choice { return pick.Choice{Queue: d, Reading: reading} }
+	queue := func(d time.Duration) pick.Choice { return pick.Choice{QueueTime: d, PrefillTime: reading} }
 	short, middle, long := queue(100*time.Millisecond), queue(300*time.Millisecond), queue(2*time.Second)
-	objective := func(d time.Duration) pick.Room { return pick.Room{Objective: d} }
+	objective := func(d time.Duration) pick.Admission { return pick.Admission{Objective: d} }
 	slots := func(running int) pick.Choice {
 		return pick.Choice{Server: backs.Entry{Slots: 12}, Load: pick.Load{Running: running}}
 	}
 	tests := map[string]struct {
-		admission pick.Room
+		admission pick.Admission
 		choice    pick.Choice
 		random    float64
 		want      bool
 	}{
-		"first check, short queue":                       {pick.Room{}, short, 0.999, true},
-		"first check, long queue":                        {pick.Room{}, long, 0, false},
+		"first check, short queue":                       {pick.Admission{}, short, 0.999, true},
+		"first check, long queue":                        {pick.Admission{}, long, 0, false},
 		"first check, in time":                           {objective(500 * time.Millisecond), middle, 0.999, true},
 		"first check, late":                              {objective(400 * time.Millisecond), middle, 0, false},
 		"first check, late, short queue":                 {objective(150 * time.Millisecond), short, 0.999, true},
 		"first check, in time, long queue":               {objective(4 * time.Second), long, 0, false},
-		"only waiting request":                           {pick.Room{Held: 1, VMs: 1}, short, 0.9, true},
-		"only waiting request, queue above late limit":   {pick.Room{Held: 1, VMs: 1}, middle, 0, false},
-		"waiting in one of many VMs, low random number":  {pick.Room{Held: 1, VMs: 80}, short, 0.01, true},
-		"waiting in one of many VMs, high random number": {pick.Room{Held: 1, VMs: 80}, short, 0.5, false},
-		"a few requests above slots":                     {pick.Room{}, slots(15), 0.999, true},
-		"slots and queue full":                           {pick.Room{}, slots(16), 0, false},
-		"slots and queue full, urgent":                   {pick.Room{Urgent: true}, slots(30), 0.999, true},
-		"waiting, slots and queue full":                  {pick.Room{Held: 1, VMs: 1}, slots(16), 0, false},
-		"many waiting, long queue":                       {pick.Room{Held: 9, VMs: 80}, long, 0, false},
+		"only waiting request":                           {pick.Admission{Waiting: 1, VMs: 1}, short, 0.9, true},
+		"only waiting request, queue above late limit":   {pick.Admission{Waiting: 1, VMs: 1}, middle, 0, false},
+		"waiting in one of many VMs, low random number":  {pick.Admission{Waiting: 1, VMs: 80}, short, 0.01, true},
+		"waiting in one of many VMs, high random number": {pick.Admission{Waiting: 1, VMs: 80}, short, 0.5, false},
+		"a few requests above slots":                     {pick.Admission{}, slots(15), 0.999, true},
+		"slots and queue full":                           {pick.Admission{}, slots(16), 0, false},
+		"slots and queue full, urgent":                   {pick.Admission{Urgent: true}, slots(30), 0.999, true},
+		"waiting, slots and queue full":                  {pick.Admission{Waiting: 1, VMs: 1}, slots(16), 0, false},
+		"many waiting, long queue":                       {pick.Admission{Waiting: 9, VMs: 80}, long, 0, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, tc.want, tc.admission.Admit(tc.choice, tc.random))
 		})
 	}
-	require.Equal(t, 1500*time.Millisecond, pick.ComeBack(2*time.Second))
-	require.Positive(t, pick.ComeBack(0))
+	require.Equal(t, 1500*time.Millisecond, pick.RetryAfter(2*time.Second))
+	require.Positive(t, pick.RetryAfter(0))
 }
--- a/pick/spread.go
+++ b/pick/spread.go
@@ -83,7 +83,7 @@
 
 // randomKey returns a key for a request without a shared prefix to route by.
 // b.mu is held.
-func (b *Book) randomKey() uint64 {
+func (b *Balancer) randomKey() uint64 {
 	b.randomKeys++
 	return mixHash(b.Seed + b.randomKeys*0x9e3779b97f4a7c15)
 }
--- a/pick/ticket.go
+++ b/pick/ticket.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Ticket is one attempt of a request on a server.
-type Ticket struct {
-	balancer *Book
+// Attempt is one attempt of a request on a server.
+type Attempt struct {
+	balancer *Balancer
 	serverID string
 	domain   string
 	service  string
@@ -23,53 +23,53 @@
 const maxIdleRunning = 3
 
 // Begin adds a request to the load of the chosen server, whose KV cache has kv tokens.
-func (b *Book) Begin(now time.Time, c Choice, w Work, kv int) *Ticket {
+func (b *Balancer) Begin(now time.Time, c Choice, w Work, kvTokens int) *Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.serverState(c.Server.ID)
-	t := &Ticket{
-		balancer: b, serverID: c.Server.ID, domain: c.Server.Domain, service: c.Server.Service, work: w, started: now, uncachedTokens: c.Missing,
-		serverIdle: c.Load.Reading == 0 && c.Load.Running <= maxIdleRunning,
-		load:       Load{Running: 1, Reading: c.Reading, Tokens: w.Prompt + w.Output/2},
+	a := &Attempt{
+		balancer: b, serverID: c.Server.ID, domain: c.Server.Domain, service: c.Server.Service, work: w, started: now, uncachedTokens: c.UncachedTokens,
+		serverIdle: c.Load.PrefillTime == 0 && c.Load.Running <= maxIdleRunning,
+		load:       Load{Running: 1, PrefillTime: c.PrefillTime, KVTokens: w.PromptTokens + w.MaxOutputTokens/2},
 	}
-	s.local = s.local.Plus(t.load)
+	s.local = s.local.Add(a.load)
 	s.addAdapterUse(w, 1)
 	if w.Model != "" {
-		s.cache.add(now, w, w.prefixKeys(), int(prefixCacheShare*float64(kv)))
+		s.cache.add(now, w, w.prefixKeys(), int(prefixCacheShare*float64(kvTokens)))
 	}
-	return t
+	return a
 }
 
-// First records the first event: the prefill is complete.
-func (t *Ticket) First(now time.Time) {
-	t.balancer.mu.Lock()
-	defer t.balancer.mu.Unlock()
-	if t.serverIdle && !t.prefilled && !t.ended {
-		t.balancer.learnPrefillRate(t.work, t.uncachedTokens, now.Sub(t.started))
+// FirstEvent records the first event: the prefill is complete.
+func (a *Attempt) FirstEvent(now time.Time) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	if a.serverIdle && !a.prefilled && !a.ended {
+		a.balancer.learnPrefillRate(a.work, a.uncachedTokens, now.Sub(a.started))
 	}
-	t.endPrefill()
+	a.endPrefill()
 }
 
-func (t *Ticket) endPrefill() {
-	if !t.prefilled {
-		t.prefilled = true
-		t.balancer.serverState(t.serverID).local.Reading -= t.load.Reading
+func (a *Attempt) endPrefill() {
+	if !a.prefilled {
+		a.prefilled = true
+		a.balancer.serverState(a.serverID).local.PrefillTime -= a.load.PrefillTime
 	}
 }
 
-// Verdict is the result of an attempt, as evidence about the server.
-type Verdict int
+// Result is the result of an attempt, as evidence about the server.
+type Result int
 
 // Results of an attempt.
 const (
 	// Neutral is no evidence: the caller disconnected, or the server was shutting down.
-	Neutral Verdict = iota
-	// Good is a complete response.
-	Good
+	Neutral Result = iota
+	// Succeeded is a complete response.
+	Succeeded
 	// Refused is a refusal without execution: the server is full or restarting.
 	Refused
-	// Bad is an error, a truncated or invalid response, or a timeout.
-	Bad
+	// Failed is an error, a truncated or invalid response, or a timeout.
+	Failed
 )
 
 // Weights of a result in the moving average of failures: a server that fails a
@@ -82,38 +82,38 @@
 )
 
 // End removes the request from the load of the server and records its result.
-func (t *Ticket) End(now time.Time, v Verdict) {
-	t.balancer.mu.Lock()
-	defer t.balancer.mu.Unlock()
-	if t.ended {
+func (a *Attempt) End(now time.Time, result Result) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	if a.ended {
 		return
 	}
-	t.ended = true
-	t.endPrefill()
-	s := t.balancer.serverState(t.serverID)
-	s.addAdapterUse(t.work, -1)
+	a.ended = true
+	a.endPrefill()
+	s := a.balancer.serverState(a.serverID)
+	s.addAdapterUse(a.work, -1)
 	s.local.Running--
-	s.local.Tokens -= t.load.Tokens
-	s.failures.record(now, v)
+	s.local.KVTokens -= a.load.KVTokens
+	s.failures.record(now, result)
 	// A server's failure counts against its domain only while the domain has failed connections.
-	if f := t.balancer.domainFailureRate(t.domain); v == Good || f.rate > 0 {
-		f.record(now, v)
+	if f := a.balancer.domainFailureRate(a.domain); result == Succeeded || f.rate > 0 {
+		f.record(now, result)
 	}
-	if v == Good && t.work.Model != "" {
-		t.balancer.recordModelResponse(t.service, now.Sub(t.started))
+	if result == Succeeded && a.work.Model != "" {
+		a.balancer.recordModelResponse(a.service, now.Sub(a.started))
 	}
-	if v == Good {
-		took := now.Sub(t.started)
-		if t.balancer.responseTimes == nil {
-			t.balancer.responseTimes = make(map[string]time.Duration)
+	if result == Succeeded {
+		took := now.Sub(a.started)
+		if a.balancer.responseTimes == nil {
+			a.balancer.responseTimes = make(map[string]time.Duration)
 		}
 		s.responseTime = movingAverage(s.responseTime, took)
-		t.balancer.responseTimes[t.service] = movingAverage(t.balancer.responseTimes[t.service], took)
+		a.balancer.responseTimes[a.service] = movingAverage(a.balancer.responseTimes[a.service], took)
 	}
 }
 
 // recordModelResponse records the time of a complete response of a model server. b.mu is held.
-func (b *Book) recordModelResponse(service string, took time.Duration) {
+func (b *Balancer) recordModelResponse(service string, took time.Duration) {
 	if b.modelResponseTimes == nil {
 		b.modelResponseTimes = make(map[string]time.Duration)
 	}
--- a/pick/work.go
+++ b/pick/work.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is a section of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a section of a prompt that other requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -24,15 +24,15 @@
 	Model, Adapter string
 	// Slots is the number of requests that a server runs concurrently, Stride the
 	// number of tokens in an event of a stream.
-	Slots, Stride int
-	// Size is the model's size relative to the largest of the service, 0 when
+	Slots, TokensPerEvent int
+	// RelativeModelSize is the model's size relative to the largest of the service, 0 when
 	// unknown.
-	Size float64
-	// Parts are the sections of the prompt in order; the last one is specific to the
+	RelativeModelSize float64
+	// PromptParts are the sections of the prompt in order; the last one is specific to the
 	// request or its session.
-	Parts []Part
-	// Prompt is the number of prompt tokens, Output the maximum number of output tokens.
-	Prompt, Output int
+	PromptParts []PromptPart
+	// PromptTokens is the number of prompt tokens, Output the maximum number of output tokens.
+	PromptTokens, MaxOutputTokens int
 	// Objective is the target time to the first event or response.
 	Objective time.Duration
 }
@@ -41,9 +41,9 @@
 // only after the same preceding parts and for the same model and adapter, so the
 // key covers them all.
 func (w Work) prefixKeys() []uint64 {
-	keys := make([]uint64, len(w.Parts))
+	keys := make([]uint64, len(w.PromptParts))
 	seed := xxhash.Sum64String(w.Model + "/" + w.Adapter)
-	for i, p := range w.Parts {
+	for i, p := range w.PromptParts {
 		seed = mixHash(seed ^ xxhash.Sum64String(p.ID))
 		keys[i] = seed
 	}
--- a/replay/request.go
+++ b/replay/request.go
@@ -47,7 +47,7 @@
 	r      *request
 	server *server
 	run    *batch.Request
-	ticket *pick.Ticket
+	ticket *pick.Attempt
 	choice pick.Choice
 	over   bool
 }
@@ -59,7 +59,7 @@
 		if t.over {
 			return
 		}
-		t.ticket.First(w.time())
+		t.ticket.FirstEvent(w.time())
 		if r := t.r; !r.seen {
 			r.seen, r.began = true, w.now
 			w.tally.first(t)
@@ -77,8 +77,8 @@
 			return
 		}
 		t.over = true
-		t.ticket.Streamed((t.run.Output+t.r.work.Stride-1)/t.r.work.Stride, took)
-		t.ticket.End(w.time(), pick.Good)
+		t.ticket.StreamCompleted((t.run.Output+t.r.work.TokensPerEvent-1)/t.r.work.TokensPerEvent, took)
+		t.ticket.End(w.time(), pick.Succeeded)
 		t.r.pause = max(t.r.pause, pause)
 		t.r.vm.answered(t.r)
 	})
@@ -92,7 +92,7 @@
 			return
 		}
 		t.over = true
-		t.ticket.End(w.time(), pick.Bad)
+		t.ticket.End(w.time(), pick.Failed)
 		t.r.vm.lost(t.r, "its server crashed")
 	})
 }
--- a/replay/share.go
+++ b/replay/share.go
@@ -42,7 +42,7 @@
 	for _, v := range w.vms {
 		phase := time.Duration(w.rng.Int64N(int64(pause)))
 		w.every(start+phase, pause, until, func() {
-			v.told = v.book.Own()
+			v.told = v.book.LocalLoads()
 			w.report(v)
 		})
 	}
@@ -103,20 +103,20 @@
 	sum := w.inside(d)
 	for id, l := range w.shares.all {
 		own := w.shares.relays[d][id]
-		sum[id] = sum[id].Plus(pick.Load{
-			Running: max(l.Running-own.Running, 0), Reading: max(l.Reading-own.Reading, 0), Tokens: max(l.Tokens-own.Tokens, 0),
+		sum[id] = sum[id].Add(pick.Load{
+			Running: max(l.Running-own.Running, 0), PrefillTime: max(l.PrefillTime-own.PrefillTime, 0), KVTokens: max(l.KVTokens-own.KVTokens, 0),
 		})
 	}
 	if w.variant.Exact {
 		return
 	}
 	for _, v := range w.byZone[d] {
-		v.book.Others(now, pick.Minus(sum, v.told))
+		v.book.SetRemoteLoads(now, pick.SubtractLoads(sum, v.told))
 	}
 }
 
 func addLoads(sums, loads map[string]pick.Load) {
 	for id, l := range loads {
-		sums[id] = sums[id].Plus(l)
+		sums[id] = sums[id].Add(l)
 	}
 }
--- a/replay/tally.go
+++ b/replay/tally.go
@@ -73,14 +73,14 @@
 func (t *Tally) first(s *send) {
 	r := s.r
 	seen := r.began - r.arrived
-	if s.choice.Predicted > r.kind.Objective || r.sends > 1 {
+	if s.choice.PredictedTime > r.kind.Objective || r.sends > 1 {
 		return
 	}
 	t.predictedInTime++
 	if seen > r.kind.Objective {
 		t.predictedInTimeBad++
 	}
-	t.excess = append(t.excess, seen-s.choice.Predicted)
+	t.excess = append(t.excess, seen-s.choice.PredictedTime)
 }
 
 func (t *Tally) answered(_ time.Duration, r *request) {
--- a/replay/traffic.go
+++ b/replay/traffic.go
@@ -46,14 +46,14 @@
 	}
 	r.vm = w.vms[w.rng.IntN(len(w.vms))]
 	r.work = w.work(k, model)
-	r.work.Prompt = r.prompt
+	r.work.PromptTokens = r.prompt
 	if r.adapter > 0 {
 		r.work.Adapter = adapterName(r.adapter)
 	}
 	for _, p := range r.shared {
-		r.work.Parts = append(r.work.Parts, pick.Part{ID: partName(k, p.key), Tokens: p.tokens})
+		r.work.PromptParts = append(r.work.PromptParts, pick.PromptPart{ID: partName(k, p.key), Tokens: p.tokens})
 	}
-	r.work.Parts = append(r.work.Parts, pick.Part{ID: partName(k, w.rng.Uint64()), Tokens: max(r.prompt-sharedTokens(r), 1)})
+	r.work.PromptParts = append(r.work.PromptParts, pick.PromptPart{ID: partName(k, w.rng.Uint64()), Tokens: max(r.prompt-sharedTokens(r), 1)})
 	return r
 }
 
@@ -61,8 +61,8 @@
 func (w *world) work(k *Kind, model int) pick.Work {
 	s := w.p.Fleet.Server
 	return pick.Work{
-		Route: k.Name, Model: modelName(model), Slots: s.Slots, Stride: s.Stride,
-		Size: w.engine.Size(modelName(model)), Output: int(k.Output.Most), Objective: k.Objective,
+		Route: k.Name, Model: modelName(model), Slots: s.Slots, TokensPerEvent: s.Stride,
+		RelativeModelSize: w.engine.Size(modelName(model)), MaxOutputTokens: int(k.Output.Most), Objective: k.Objective,
 	}
 }
 
--- a/replay/variant.go
+++ b/replay/variant.go
@@ -73,11 +73,11 @@
 // meanWork is a request of a kind whose sizes are the means.
 func (w *world) meanWork(k *Kind, model int) pick.Work {
 	work := w.work(k, model)
-	work.Prompt = int(k.Own.Mean)
+	work.PromptTokens = int(k.Own.Mean)
 	for _, s := range k.Shared {
-		work.Prompt += int(s.Tokens.Mean)
-		work.Parts = append(work.Parts, pick.Part{Tokens: int(s.Tokens.Mean)})
+		work.PromptTokens += int(s.Tokens.Mean)
+		work.PromptParts = append(work.PromptParts, pick.PromptPart{Tokens: int(s.Tokens.Mean)})
 	}
-	work.Parts = append(work.Parts, pick.Part{Tokens: int(k.Own.Mean)})
+	work.PromptParts = append(work.PromptParts, pick.PromptPart{Tokens: int(k.Own.Mean)})
 	return work
 }
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -20,7 +20,7 @@
 	name   string
 	place  int
 	domain int
-	book   *pick.Book
+	book   *pick.Balancer
 	budget *retry.Window
 	rng    *rand.Rand
 	// waiting counts the requests for a model that wait for room.
@@ -137,11 +137,11 @@
 }
 
 func (v *vm) admit(r *request, choice pick.Choice) bool {
-	room := pick.Room{VMs: len(v.w.vms), Objective: r.work.Objective, Urgent: r.kind.Rank == v.w.p.firstRank()}
+	room := pick.Admission{VMs: len(v.w.vms), Objective: r.work.Objective, Urgent: r.kind.Rank == v.w.p.firstRank()}
 	if !r.held {
 		return room.Admit(choice, 0)
 	}
-	room.Held = v.waiting[r.work.Model]
+	room.Waiting = v.waiting[r.work.Model]
 	if !room.Admit(choice, v.rng.Float64()) {
 		return false
 	}
@@ -162,12 +162,12 @@
 		v.waiting[r.work.Model]++
 		v.w.tally.held++
 	}
-	r.comeBack = pick.ComeBack(choice.Queue)
-	if v.w.now-r.heldSince >= pick.RoomWait(r.work.Objective) {
+	r.comeBack = pick.RetryAfter(choice.QueueTime)
+	if v.w.now-r.heldSince >= pick.MaxAdmissionWait(r.work.Objective) {
 		v.refuse(r, "no room")
 		return
 	}
-	pause := pick.RoomPause/2 + time.Duration(v.rng.Int64N(int64(pick.RoomPause)))
+	pause := pick.AdmissionCheckInterval/2 + time.Duration(v.rng.Int64N(int64(pick.AdmissionCheckInterval)))
 	v.w.after(pause, func() { v.try(r) })
 }
 
@@ -184,7 +184,7 @@
 		// Refused at once: nothing listens there.
 		v.w.tally.dials++
 		v.w.after(2*way, func() {
-			v.book.Unreached(v.w.time(), choice.Server)
+			v.book.ConnectFailed(v.w.time(), choice.Server)
 			v.w.doubt(choice.Server.ID)
 			r.avoid = append(r.avoid, choice.Server.ID)
 			v.try(r)
--- a/replay/world.go
+++ b/replay/world.go
@@ -109,7 +109,7 @@
 			budget: &retry.Window{}, waiting: make(map[string]int), wants: make(map[string]*steer.Want), open: make(map[string]bool),
 			pending: make(map[*request]*send),
 		}
-		v.book = &pick.Book{Domain: domainName(d), Seed: seed*1e6 + uint64(i), Idle: func(id string) bool { return v.open[id] }}
+		v.book = &pick.Balancer{Domain: domainName(d), Seed: seed*1e6 + uint64(i), HasIdleConn: func(id string) bool { return v.open[id] }}
 		if w.variant.Exact && i > 0 {
 			v.book = w.vms[0].book
 		}
--- a/steer/told.go
+++ b/steer/told.go
@@ -41,13 +41,13 @@
 	}
 	for id, l := range old {
 		s := c.sums[id]
-		c.sums[id] = pick.Load{Running: s.Running - l.Running, Reading: s.Reading - l.Reading, Tokens: s.Tokens - l.Tokens}
+		c.sums[id] = pick.Load{Running: s.Running - l.Running, PrefillTime: s.PrefillTime - l.PrefillTime, KVTokens: s.KVTokens - l.KVTokens}
 		if c.sums[id].Running == 0 {
 			delete(c.sums, id)
 		}
 	}
 	for id, l := range next {
-		c.sums[id] = c.sums[id].Plus(l)
+		c.sums[id] = c.sums[id].Add(l)
 	}
 }
 
