--- a/entry/planning.go
+++ b/entry/planning.go
@@ -70,11 +70,11 @@
 // static returns the static even placement.
 func (c *controller) static(in plan.Input) plan.Output {
 	placement, _ := naive.Place(c.d.fleet.Servers(), c.d.demands(), staticCopies)
-	out := plan.Output{Holds: make(map[string][]string)}
+	out := plan.Output{Placement: make(map[string][]string)}
 	for _, s := range in.Servers {
 		for _, a := range placement[s.Name] {
 			if a.Adapter == "" {
-				out.Holds[s.Name] = append(out.Holds[s.Name], a.Model)
+				out.Placement[s.Name] = append(out.Placement[s.Name], a.Model)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 		}
 		models = append(models, plan.Model{
 			Name: m.model.Name, Pool: m.pool, Bytes: bytes, Artifacts: artifacts,
-			Priority: m.priority, Weight: m.weight, Demand: c.demand.Of(m.model.Name),
+			Priority: m.priority, AttainmentWeight: m.weight, Demand: c.demand.Estimate(m.model.Name),
 		})
 	}
 	return models
@@ -147,12 +147,12 @@
 			continue
 		}
 		report, _ := c.d.fleet.Report(doc.Name)
-		s := plan.Server{Name: doc.Name, Domain: doc.FailureDomain, Pool: doc.Pool, Memory: doc.MemoryBytes, Slots: report.Slots}
+		s := plan.Server{Name: doc.Name, Domain: doc.FailureDomain, Pool: doc.Pool, MemoryBytes: doc.MemoryBytes, Slots: report.Slots}
 		if b := own[doc.Name]; b != nil && b.Fence() != 0 {
-			s.Holds = b.Models()
-			s.Fresh = b.LoadedSince(c.d.now().Add(-leastStay))
+			s.Models = b.Models()
+			s.RecentlyLoaded = b.LoadedSince(c.d.now().Add(-leastStay))
 		} else {
-			s.Holds = residentModels(report)
+			s.Models = residentModels(report)
 		}
 		servers = append(servers, s)
 	}
@@ -215,7 +215,7 @@
 			if b.Complete(m.Artifacts) || b.HasBase(m.Name) && c.term.keepers.Keeps(copied) {
 				loaded = append(loaded, copied)
 			}
-			if b.HasBase(m.Name) && !slices.Contains(p.Holds[b.Server.Name], m.Name) {
+			if b.HasBase(m.Name) && !slices.Contains(p.Placement[b.Server.Name], m.Name) {
 				drop = append(drop, copied)
 			}
 		}
--- a/naive/swap.go
+++ b/naive/swap.go
@@ -34,8 +34,8 @@
 
 // Make returns the placement that follows from the uses.
 func (s *Swap) Make(now time.Time, in plan.Input) plan.Output {
-	first := plan.Make(plan.Input{Servers: in.Servers, Models: quiet(in.Models), Copies: 1})
-	holds := first.Holds
+	first := plan.Make(plan.Input{Servers: in.Servers, Models: quiet(in.Models), Replicas: 1})
+	holds := first.Placement
 	for _, m := range in.Models {
 		for domain, used := range s.used {
 			if at, ok := used[m.Name]; ok && now.Sub(at) < recent {
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	return plan.Output{Holds: holds, Unplaced: first.Unplaced}
+	return plan.Output{Placement: holds, Unplaced: first.Unplaced}
 }
 
 // quiet returns the models without demand, so that each just gets its one copy.
@@ -83,7 +83,7 @@
 	for _, other := range in.Models {
 		sizes[other.Name] = other.Bytes
 	}
-	free := server.Memory
+	free := server.MemoryBytes
 	for _, name := range holds[server.Name] {
 		free -= sizes[name]
 	}
--- a/plan/demand.go
+++ b/plan/demand.go
@@ -58,5 +58,5 @@
 	return 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
 
-// Of returns the estimate for a model.
-func (d *Demand) Of(model string) float64 { return d.models[model].value }
+// Estimate returns the estimate for a model.
+func (d *Demand) Estimate(model string) float64 { return d.models[model].value }
--- a/plan/overload.go
+++ b/plan/overload.go
@@ -61,7 +61,7 @@
 	p.distributeDemand()
 	moves := 1 + len(evicted)
 	relief := before - p.totalExcessLoad()
-	if relief >= minRelief && m.Weight*relief*p.in.Horizon > (1-m.Weight)*float64(moves)*p.in.MoveCost {
+	if relief >= minRelief && m.AttainmentWeight*relief*p.in.Horizon > (1-m.AttainmentWeight)*float64(moves)*p.in.MoveCost {
 		p.additions++
 		p.evictions += len(evicted)
 		return true
@@ -134,7 +134,7 @@
 		return nil
 	}
 	evictable := slices.DeleteFunc(slices.Clone(s.models), func(v *model) bool {
-		return len(v.replicas) < 2 || slices.Contains(s.Fresh, v.Name)
+		return len(v.replicas) < 2 || slices.Contains(s.RecentlyLoaded, v.Name)
 	})
 	slices.SortFunc(evictable, func(a, b *model) int {
 		return cmp.Or(cmp.Compare(demandPerReplica(a), demandPerReplica(b)), cmp.Compare(a.Name, b.Name))
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -22,8 +22,8 @@
 	Priority int
 	// Demand is the estimated offered load, in concurrent requests.
 	Demand float64
-	// Weight is the weight of attainment against moves, 0 to 1.
-	Weight float64
+	// AttainmentWeight is the weight of attainment against moves, 0 to 1.
+	AttainmentWeight float64
 }
 
 // Server is one backend server.
@@ -31,24 +31,24 @@
 	Name   string
 	Domain string
 	Pool   string
-	// Memory is the capacity for models and adapters, in bytes.
-	Memory int
+	// MemoryBytes is the capacity for models and adapters, in bytes.
+	MemoryBytes int
 	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// Holds lists the models that it holds or is loading.
-	Holds []string
-	// Fresh lists those of them that were loaded recently and are not dropped
+	// Placement lists the models that it holds or is loading.
+	Models []string
+	// RecentlyLoaded lists those of them that were loaded recently and are not dropped
 	// yet, so that the cost of the load is amortized.
-	Fresh []string
+	RecentlyLoaded []string
 }
 
 // Input is the input of a plan.
 type Input struct {
 	Servers []Server
 	Models  []Model
-	// Copies is the number of replicas of each model to keep where memory allows,
+	// Replicas is the number of replicas of each model to keep where memory allows,
 	// in case a server fails.
-	Copies int
+	Replicas int
 	// MoveCost is the cost of one move in requests: the number of requests that a
 	// server could serve during a load.
 	MoveCost float64
@@ -58,7 +58,7 @@
 
 // Defaults of an Input.
 const (
-	defaultCopies   = 2
+	defaultReplicas = 2
 	defaultMoveCost = 50
 	defaultHorizon  = 100
 	defaultSlots    = 32
@@ -69,8 +69,8 @@
 
 // Output is a plan.
 type Output struct {
-	// Holds lists the models that each server should hold.
-	Holds map[string][]string
+	// Placement lists the models that each server should hold.
+	Placement map[string][]string
 	// Unplaced lists the models that fit on no server.
 	Unplaced []string
 	// Moves is the number of loads and unloads from the current state to the plan.
@@ -81,7 +81,7 @@
 func (o Output) Artifacts(models []Model, server string) []ctrl.Artifact {
 	var all []ctrl.Artifact
 	for _, m := range models {
-		if slices.Contains(o.Holds[server], m.Name) {
+		if slices.Contains(o.Placement[server], m.Name) {
 			all = append(all, m.Artifacts...)
 		}
 	}
@@ -142,7 +142,7 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{in: in, modelsByName: make(map[string]*model)}
-	p.in.Copies = orDefault(in.Copies, defaultCopies)
+	p.in.Replicas = orDefault(in.Replicas, defaultReplicas)
 	p.in.MoveCost = orDefault(in.MoveCost, defaultMoveCost)
 	p.in.Horizon = orDefault(in.Horizon, defaultHorizon)
 	for _, m := range in.Models {
@@ -156,9 +156,9 @@
 	})
 	for _, s := range in.Servers {
 		s.Slots = orDefault(s.Slots, defaultSlots)
-		state := &server{Server: s, freeBytes: s.Memory}
+		state := &server{Server: s, freeBytes: s.MemoryBytes}
 		p.servers = append(p.servers, state)
-		for _, name := range s.Holds {
+		for _, name := range s.Models {
 			if m := p.modelsByName[s.Pool+"/"+name]; m != nil {
 				p.place(m, state)
 			}
@@ -251,7 +251,7 @@
 // Memory for the largest model stays free on one server of the pool, so that a replica
 // can always be added before another is dropped.
 func (p *planner) addSpareReplicas() {
-	for replicas := 1; replicas < p.in.Copies; replicas++ {
+	for replicas := 1; replicas < p.in.Replicas; replicas++ {
 		for _, m := range p.models {
 			if len(m.replicas) != replicas {
 				continue
@@ -311,14 +311,14 @@
 }
 
 func (p *planner) output() Output {
-	out := Output{Holds: make(map[string][]string), Moves: p.additions + p.evictions}
+	out := Output{Placement: make(map[string][]string), Moves: p.additions + p.evictions}
 	for _, s := range p.servers {
 		names := []string{}
 		for _, m := range s.models {
 			names = append(names, m.Name)
 		}
 		slices.Sort(names)
-		out.Holds[s.Name] = names
+		out.Placement[s.Name] = names
 	}
 	for _, m := range p.models {
 		if m.unplaced {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -19,11 +19,11 @@
 	var in plan.Input
 	for i := range servers {
 		in.Servers = append(in.Servers, plan.Server{
-			Name: fmt.Sprintf("s%04d", i), Domain: fmt.Sprint("d", i%4), Pool: "p", Memory: memory, Slots: 8,
+			Name: fmt.Sprintf("s%04d", i), Domain: fmt.Sprint("d", i%4), Pool: "p", MemoryBytes: memory, Slots: 8,
 		})
 	}
 	for i := range models {
-		m := plan.Model{Name: fmt.Sprintf("m%04d", i), Pool: "p", Bytes: 10 + rng.IntN(15), Priority: rng.IntN(3), Weight: 0.9}
+		m := plan.Model{Name: fmt.Sprintf("m%04d", i), Pool: "p", Bytes: 10 + rng.IntN(15), Priority: rng.IntN(3), AttainmentWeight: 0.9}
 		m.Demand = rng.Float64()
 		if rng.IntN(4) == 0 {
 			m.Demand = rng.Float64() * 20
@@ -37,20 +37,20 @@
 func applyPlan(in plan.Input, out plan.Output) plan.Input {
 	in.Servers = slices.Clone(in.Servers)
 	for i, s := range in.Servers {
-		in.Servers[i].Holds = out.Holds[s.Name]
+		in.Servers[i].Models = out.Placement[s.Name]
 	}
 	return in
 }
 
 // maxServed returns the demand that can be served in time with the best distribution over
 // the replicas: a maximum flow from models to servers, found with augmenting paths.
-func maxServed(in plan.Input, holds map[string][]string) float64 {
+func maxServed(in plan.Input, placement map[string][]string) float64 {
 	const maxUtilization = 0.8
 	capacity := make(map[string]float64)
 	serversOf := make(map[string][]string)
 	for _, s := range in.Servers {
 		capacity[s.Name] = maxUtilization * float64(s.Slots)
-		for _, m := range holds[s.Name] {
+		for _, m := range placement[s.Name] {
 			serversOf[m] = append(serversOf[m], s.Name)
 		}
 	}
@@ -104,12 +104,12 @@
 	replicas := make(map[string]int)
 	for _, s := range in.Servers {
 		used := 0
-		for i, name := range out.Holds[s.Name] {
+		for i, name := range out.Placement[s.Name] {
 			used += sizes[name]
 			replicas[name]++
-			require.NotContains(t, out.Holds[s.Name][:i], name)
+			require.NotContains(t, out.Placement[s.Name][:i], name)
 		}
-		require.LessOrEqual(t, used, s.Memory, "memory of %s", s.Name)
+		require.LessOrEqual(t, used, s.MemoryBytes, "memory of %s", s.Name)
 	}
 	for _, m := range in.Models {
 		if !slices.Contains(out.Unplaced, m.Name) {
@@ -149,7 +149,7 @@
 			continue
 		}
 		optimum := bestPlacement(in)
-		ratio := maxServed(in, out.Holds) / optimum
+		ratio := maxServed(in, out.Placement) / optimum
 		worst, sum, inputs = min(worst, ratio), sum+ratio, inputs+1
 	}
 	t.Logf("share of the optimum: mean %.3f, worst %.3f over %d inputs", sum/float64(inputs), worst, inputs)
@@ -163,12 +163,12 @@
 // bestPlacement tries every placement that fits and includes all models.
 func bestPlacement(in plan.Input) float64 {
 	best := 0.0
-	holds := make(map[string][]string)
+	placement := make(map[string][]string)
 	var fill func(server int)
 	fill = func(server int) {
 		if server == len(in.Servers) {
-			if len(unplacedModels(in, holds)) == 0 {
-				best = max(best, maxServed(in, holds))
+			if len(unplacedModels(in, placement)) == 0 {
+				best = max(best, maxServed(in, placement))
 			}
 			return
 		}
@@ -182,8 +182,8 @@
 					names = append(names, m.Name)
 				}
 			}
-			if used <= s.Memory {
-				holds[s.Name] = names
+			if used <= s.MemoryBytes {
+				placement[s.Name] = names
 				fill(server + 1)
 			}
 		}
@@ -192,11 +192,11 @@
 	return best
 }
 
-func unplacedModels(in plan.Input, holds map[string][]string) []string {
+func unplacedModels(in plan.Input, placement map[string][]string) []string {
 	var names []string
 	for _, m := range in.Models {
 		found := false
-		for _, held := range holds {
+		for _, held := range placement {
 			found = found || slices.Contains(held, m.Name)
 		}
 		if !found {
@@ -214,7 +214,7 @@
 			in := applyPlan(randomInput(rng, 6, 8, 64), plan.Make(randomInput(rand.New(rand.NewPCG(seed, 3)), 6, 8, 64)))
 			for i := range in.Models {
 				in.Models[i].Demand = rng.Float64() * 30 * float64(rng.IntN(2))
-				in.Models[i].Weight = weight
+				in.Models[i].AttainmentWeight = weight
 			}
 			total += plan.Make(in).Moves
 		}
@@ -231,15 +231,15 @@
 		now = now.Add(100 * time.Millisecond)
 		d.Observe(now, map[string]float64{"m": 50})
 	}
-	require.InDelta(t, 50, d.Of("m"), 5, "the estimate rises within seconds of a surge")
+	require.InDelta(t, 50, d.Estimate("m"), 5, "the estimate rises within seconds of a surge")
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
 		d.Observe(now, nil)
 	}
-	require.Greater(t, d.Of("m"), 35.0, "a gap between two bursts does not reset the estimate")
+	require.Greater(t, d.Estimate("m"), 35.0, "a gap between two bursts does not reset the estimate")
 	now = now.Add(time.Hour)
 	d.Observe(now, nil)
-	require.Zero(t, math.Round(d.Of("m")))
+	require.Zero(t, math.Round(d.Estimate("m")))
 }
 
 // BenchmarkMake measures the planning time at four sizes, up to 1,500 servers with 1,000
