--- a/pick/room.go
+++ b/pick/admission.go
@@ -35,7 +35,8 @@
 	// 195 VMs, means of three seeds) score 0.873, 0.827 and 0.870 of the maximum, without
 	// them 0.864, 0.802 and 0.853. A value of 0.7 scores 0.851, 0.826 and 0.862.
 	objectiveShare = 0.9
-	// AdmissionCheckInterval is the interval between admission checks, equal to that of load reports.
+	// AdmissionCheckInterval is the interval between admission checks, equal to that of
+	// load reports.
 	AdmissionCheckInterval = 100 * time.Millisecond
 	// minAdmissionWait is the minimum time that a request waits for capacity.
 	minAdmissionWait = 300 * time.Millisecond
--- a/pick/room_test.go
+++ b/pick/admission_test.go
@@ -18,7 +18,7 @@
 func simulateSurge(withAdmission bool) (inTime, late int) {
 	const (
 		vms, rate           = 40, 40
-		reading             = 150 * time.Millisecond
+		prefill             = 150 * time.Millisecond
 		step                = 10 * time.Millisecond
 		objective           = 800 * time.Millisecond
 		scaleUpAt, replicas = 2 * time.Second, 8
@@ -28,7 +28,7 @@
 	type waitingRequest struct{ arrived, nextCheck time.Duration }
 	waiting := make([][]waitingRequest, vms)
 	send := func(now, arrived time.Duration, server int) {
-		queues[server] += reading
+		queues[server] += prefill
 		switch took := now - arrived + queues[server]; {
 		case took <= objective:
 			inTime++
@@ -54,7 +54,7 @@
 					best = i
 				}
 			}
-			return pick.Choice{UncachedTokens: best, QueueTime: reported[best], PrefillTime: reading}
+			return pick.Choice{UncachedTokens: best, QueueTime: reported[best], PrefillTime: prefill}
 		}
 		for vm := range vms {
 			stillWaiting := waiting[vm][:0]
@@ -96,8 +96,8 @@
 }
 
 func TestAdmit(t *testing.T) {
-	const reading = 100 * time.Millisecond
-	queue := func(d time.Duration) pick.Choice { return pick.Choice{QueueTime: d, PrefillTime: reading} }
+	const prefill = 100 * time.Millisecond
+	queue := func(d time.Duration) pick.Choice { return pick.Choice{QueueTime: d, PrefillTime: prefill} }
 	short, middle, long := queue(100*time.Millisecond), queue(300*time.Millisecond), queue(2*time.Second)
 	objective := func(d time.Duration) pick.Admission { return pick.Admission{Objective: d} }
 	slots := func(running int) pick.Choice {
--- a/pick/ticket.go
+++ b/pick/attempt.go
@@ -22,7 +22,8 @@
 // of a prompt is nearly unaffected.
 const maxIdleRunning = 3
 
-// Begin adds a request to the load of the chosen server, whose KV cache has kv tokens.
+// Begin adds a request to the load of the chosen server, whose KV cache has kvTokens
+// tokens.
 func (b *Balancer) Begin(now time.Time, c Choice, w Work, kvTokens int) *Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,8 +73,8 @@
 	Failed
 )
 
-// Weights of a result in the moving average of failures: a server that fails a
-// third of its requests is avoided after two or three failures.
+// Weights of a sample in the moving averages of failures and response times. A server
+// that fails a third of its requests is avoided after two or three failures.
 const (
 	failureWeight      = 0.35
 	refusedWeight      = 0.1
--- a/pick/book.go
+++ b/pick/balancer.go
@@ -46,9 +46,8 @@
 	// prefixCacheShare is the share of a server's KV cache assumed to hold cached
 	// prompts; running requests use the rest.
 	prefixCacheShare = 0.7
-	// assumedPrefixShare is the share of a shared prefix that the server assigned
-	// to it is assumed to have cached before this VM has sent it there, because
-	// other VMs have.
+	// assumedPrefixShare is the share of a shared prefix that its server is
+	// assumed to have cached for other VMs before this VM has sent it there.
 	assumedPrefixShare = 0.6
 	// kvPreemptionShare is the KV cache usage above which a server preempts
 	// running streams. It leaves capacity for the tokens still to be generated.
@@ -63,8 +62,8 @@
 
 // Load is the load on a server from one or more VMs.
 type Load struct {
-	// Running is the number of requests sent and not finished, Tokens the KV
-	// cache tokens that they need.
+	// Running is the number of requests sent and not finished, KVTokens the
+	// KV cache tokens that they need.
 	Running, KVTokens int
 	// PrefillTime is the prefill time of the requests without a first event.
 	PrefillTime time.Duration
@@ -118,8 +117,8 @@
 	Domain string
 	// Seed makes the VM's random choices differ from those of other VMs.
 	Seed uint64
-	// HasIdleConn reports whether an idle connection to a server is open; nil means
-	// always.
+	// HasIdleConn reports whether an idle connection to a server is open; nil
+	// means always.
 	HasIdleConn func(id string) bool
 
 	mu      sync.Mutex
@@ -160,10 +159,10 @@
 type Choice struct {
 	Server        backs.Entry
 	PredictedTime time.Duration
-	// QueueTime is the part of Predicted before this request's prefill starts.
+	// QueueTime is the part of PredictedTime before this request's prefill starts.
 	QueueTime time.Duration
-	// UncachedTokens is the number of prompt tokens predicted to miss the prefix cache,
-	// and Reading their prefill time.
+	// UncachedTokens is the number of prompt tokens predicted to miss the prefix
+	// cache, and PrefillTime their prefill time.
 	UncachedTokens int
 	PrefillTime    time.Duration
 	// Load is the load of the server that the prediction assumed.
@@ -171,7 +170,7 @@
 }
 
 // Choose returns the candidate with the lowest predicted cost, except those in
-// tried. kv is the size of a server's KV cache in tokens, 0 when unknown.
+// tried. kvTokens is the size of a server's KV cache in tokens, 0 when unknown.
 func (b *Balancer) Choose(now time.Time, candidates []backs.Entry, w Work, kvTokens int, tried []string) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -315,9 +314,9 @@
 // failures and a KV cache that is nearly full.
 func (b *Balancer) penalty(now time.Time, e backs.Entry, w Work, kvTokens int) time.Duration {
 	s := b.serverState(e.ID)
-	cost := time.Duration(s.failures.current(now) * float64(failureCost))
+	cost := time.Duration(s.failures.now(now) * float64(failureCost))
 	if e.Domain != b.Domain {
-		cost += crossDomainCost + time.Duration(b.domainFailures[e.Domain].current(now)*float64(failureCost))
+		cost += crossDomainCost + time.Duration(b.domainFailures[e.Domain].now(now)*float64(failureCost))
 	}
 	if kvNeed := s.local.KVTokens + s.remote.KVTokens + w.PromptTokens + w.MaxOutputTokens; w.Model != "" && kvTokens > 0 && float64(kvNeed) > kvPreemptionShare*float64(kvTokens) {
 		cost += preemptionCost
@@ -353,15 +352,15 @@
 func (b *Balancer) LocalLoads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	own := make(map[string]Load)
+	local := make(map[string]Load)
 	for id, s := range b.servers {
 		if s.local.Running > 0 {
 			l := s.local
 			l.Adapters = slices.Collect(maps.Keys(s.adapters))
-			own[id] = l
+			local[id] = l
 		}
 	}
-	return own
+	return local
 }
 
 // Retain discards the state of servers that are not in the list and have no running requests.
--- a/pick/pick_test.go
+++ b/pick/balancer_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-const kv = 269_258
+const kvTokens = 269_258
 
 // Load pattern: drafts of forty subjects at a steady rate. The prefill of the shared part
 // of a draft takes 200 ms. If drafts went to any server, each server would prefill each
@@ -44,9 +44,9 @@
 	for i := range 400 {
 		now := at(float64(i) * 0.1)
 		w := draftRequest(fmt.Sprintf("subject-%d", rng.IntN(40)), i)
-		c, ok := balancer.Choose(now, list, w, kv, nil)
+		c, ok := balancer.Choose(now, list, w, kvTokens, nil)
 		require.True(t, ok)
-		attempt := balancer.Begin(now, c, w, kv)
+		attempt := balancer.Begin(now, c, w, kvTokens)
 		prefilled += c.UncachedTokens
 		attempt.FirstEvent(now.Add(c.PrefillTime))
 		attempt.End(now.Add(c.PrefillTime), pick.Succeeded)
@@ -63,9 +63,9 @@
 	used := map[string]int{}
 	for i := range 24 {
 		w := draftRequest("one", i)
-		c, ok := balancer.Choose(at(0), list, w, kv, nil)
+		c, ok := balancer.Choose(at(0), list, w, kvTokens, nil)
 		require.True(t, ok)
-		balancer.Begin(at(0), c, w, kv)
+		balancer.Begin(at(0), c, w, kvTokens)
 		used[c.Server.ID]++
 	}
 	require.Len(t, used, 4)
@@ -124,7 +124,7 @@
 	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(2)
 	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 1, KVTokens: 240_000}, "s1": {Running: 30, KVTokens: 100_000}})
-	c, ok := balancer.Choose(at(0), list, draftRequest("x", 1), kv, nil)
+	c, ok := balancer.Choose(at(0), list, draftRequest("x", 1), kvTokens, nil)
 	require.True(t, ok)
 	require.Equal(t, "s1", c.Server.ID)
 }
@@ -141,17 +141,17 @@
 	balancer := &pick.Balancer{Domain: "d"}
 	list := servers(1)
 	w := pick.Work{Model: "fast", RelativeModelSize: 1, PromptTokens: 3200, PromptParts: []pick.PromptPart{{ID: "p", Tokens: 3200}}}
-	first, _ := balancer.Choose(at(0), list, w, kv, nil)
+	first, _ := balancer.Choose(at(0), list, w, kvTokens, nil)
 	for i := range 60 {
 		w.PromptParts = []pick.PromptPart{{ID: fmt.Sprint(i), Tokens: 3200}}
 		now := at(float64(i))
-		c, _ := balancer.Choose(now, list, w, kv, nil)
-		attempt := balancer.Begin(now, c, w, kv)
+		c, _ := balancer.Choose(now, list, w, kvTokens, nil)
+		attempt := balancer.Begin(now, c, w, kvTokens)
 		attempt.FirstEvent(now.Add(10 * time.Millisecond))
 		attempt.End(now.Add(20*time.Millisecond), pick.Succeeded)
 	}
 	w.PromptParts = []pick.PromptPart{{ID: "new", Tokens: 3200}}
-	last, _ := balancer.Choose(at(100), list, w, kv, nil)
+	last, _ := balancer.Choose(at(100), list, w, kvTokens, nil)
 	require.Greater(t, first.PredictedTime, 80*time.Millisecond)
 	require.Less(t, last.PredictedTime, 15*time.Millisecond)
 }
@@ -164,8 +164,8 @@
 func TestLocalLoadsAdapters(t *testing.T) {
 	balancer := &pick.Balancer{}
 	w := pick.Work{Model: "m", Adapter: "a1"}
-	c, _ := balancer.Choose(at(0), servers(1), w, kv, nil)
-	attempt := balancer.Begin(at(0), c, w, kv)
+	c, _ := balancer.Choose(at(0), servers(1), w, kvTokens, nil)
+	attempt := balancer.Begin(at(0), c, w, kvTokens)
 	require.Equal(t, []string{"m/a1"}, balancer.LocalLoads()["s0"].Adapters)
 	attempt.End(at(1), pick.Succeeded)
 	require.Empty(t, balancer.LocalLoads())
@@ -189,7 +189,7 @@
 		balancer := &pick.Balancer{Domain: "d", Seed: uint64(vm)}
 		balancer.SetRemoteLoads(at(0), reported)
 		w := draftRequest(fmt.Sprintf("subject-%d", rng.IntN(40)), vm)
-		c, ok := balancer.Choose(at(0.1), list, w, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, w, kvTokens, nil)
 		require.True(t, ok)
 		sent[c.Server.ID] += c.PrefillTime
 		subject := w.PromptParts[1].ID
@@ -199,8 +199,8 @@
 		serversBySubject[subject][c.Server.ID] = true
 	}
 	total := time.Duration(0)
-	for _, reading := range sent {
-		total += reading
+	for _, prefill := range sent {
+		total += prefill
 	}
 	for _, e := range list[1:] {
 		require.NotZero(t, sent[e.ID], e.ID)
@@ -221,7 +221,7 @@
 		balancer := &pick.Balancer{Domain: "d", Seed: uint64(vm)}
 		balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {PrefillTime: 150 * time.Millisecond}, "s1": {PrefillTime: time.Minute}})
 		w := pick.Work{Model: "m", PromptTokens: 826, PromptParts: []pick.PromptPart{{ID: "style", Tokens: 198}, {ID: "own", Tokens: 628}}}
-		c, ok := balancer.Choose(at(0), servers(4), w, kv, nil)
+		c, ok := balancer.Choose(at(0), servers(4), w, kvTokens, nil)
 		require.True(t, ok)
 		used[c.Server.ID]++
 	}
@@ -237,8 +237,8 @@
 	balancer := &pick.Balancer{Domain: "d"}
 	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 1, PrefillTime: time.Second}})
 	w := draftRequest("x", 1)
-	c, _ := balancer.Choose(at(0), servers(1), w, kv, nil)
-	later, _ := balancer.Choose(at(0.8), servers(1), w, kv, nil)
+	c, _ := balancer.Choose(at(0), servers(1), w, kvTokens, nil)
+	later, _ := balancer.Choose(at(0.8), servers(1), w, kvTokens, nil)
 	require.Equal(t, 800*time.Millisecond, c.PredictedTime-later.PredictedTime)
 }
 
@@ -250,8 +250,8 @@
 	}
 	for i := range 50 {
 		w := draftRequest(fmt.Sprint("subject", i), i)
-		one, _ := balancerWithConn("s1").Choose(at(0), servers(4), w, kv, nil)
-		other, _ := balancerWithConn("s2").Choose(at(0), servers(4), w, kv, nil)
+		one, _ := balancerWithConn("s1").Choose(at(0), servers(4), w, kvTokens, nil)
+		other, _ := balancerWithConn("s2").Choose(at(0), servers(4), w, kvTokens, nil)
 		require.Equal(t, one.Server.ID, other.Server.ID)
 	}
 }
@@ -269,7 +269,7 @@
 	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 12}, "s1": {Running: 2}})
 	sent := map[string]int{}
 	for range 200 {
-		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kvTokens, nil)
 		require.True(t, ok)
 		sent[c.Server.ID]++
 	}
@@ -284,7 +284,7 @@
 	balancer.SetRemoteLoads(at(0), map[string]pick.Load{"s0": {Running: 6}, "s1": {Running: 6}})
 	sent := map[string]int{}
 	for range 400 {
-		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kv, nil)
+		c, ok := balancer.Choose(at(0.1), list, pick.Work{Model: "m", PromptTokens: 300, MaxOutputTokens: 300, Slots: 12}, kvTokens, nil)
 		require.True(t, ok)
 		sent[c.Server.ID]++
 	}
--- a/pick/cost.go
+++ b/pick/cost.go
@@ -27,7 +27,8 @@
 	firstEventOverhead = 7 * time.Millisecond
 )
 
-// Cost returns the share of a server's time that a request takes, as a duration.
+// Cost returns the server time that a request takes: its prefill time plus its decode time
+// divided by the number of slots.
 func (b *Balancer) Cost(w Work) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pick/failures.go
+++ b/pick/failures.go
@@ -21,16 +21,16 @@
 	connectFailures int
 }
 
-// current returns the rate after decay.
-func (f *failureRate) current(current time.Time) float64 {
+// now returns the rate after decay.
+func (f *failureRate) now(now time.Time) float64 {
 	if f == nil || f.rate == 0 {
 		return 0
 	}
-	return f.rate * math.Exp2(-current.Sub(f.updatedAt).Seconds()/failureHalfLife.Seconds())
+	return f.rate * math.Exp2(-now.Sub(f.updatedAt).Seconds()/failureHalfLife.Seconds())
 }
 
 func (f *failureRate) record(now time.Time, result Result) {
-	rate := f.current(now)
+	rate := f.now(now)
 	switch result {
 	case Succeeded:
 		rate -= successWeight * rate
@@ -88,7 +88,7 @@
 func (b *Balancer) DomainUnreachable(now time.Time, domain string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.domainFailures[domain].current(now) >= unreachableRate
+	return b.domainFailures[domain].now(now) >= unreachableRate
 }
 
 const (
--- a/pick/work.go
+++ b/pick/work.go
@@ -22,8 +22,8 @@
 	Route string
 	// Model is empty for services that run no models.
 	Model, Adapter string
-	// Slots is the number of requests that a server runs concurrently, Stride the
-	// number of tokens in an event of a stream.
+	// Slots is the number of requests that a server runs concurrently,
+	// TokensPerEvent the number of tokens in an event of a stream.
 	Slots, TokensPerEvent int
 	// RelativeModelSize is the model's size relative to the largest of the service, 0 when
 	// unknown.
@@ -31,7 +31,8 @@
 	// PromptParts are the sections of the prompt in order; the last one is specific to the
 	// request or its session.
 	PromptParts []PromptPart
-	// PromptTokens is the number of prompt tokens, Output the maximum number of output tokens.
+	// PromptTokens is the number of prompt tokens, MaxOutputTokens the maximum
+	// number of output tokens.
 	PromptTokens, MaxOutputTokens int
 	// Objective is the target time to the first event or response.
 	Objective time.Duration
