--- a/plan/demand.go
+++ b/plan/demand.go
@@ -25,8 +25,8 @@
 }
 
 type estimate struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 // Observe adds the offered load of each model at now; a model that is missing has
@@ -37,12 +37,12 @@
 	}
 	for model := range requests {
 		if _, known := d.models[model]; !known {
-			d.models[model] = estimate{at: now.Add(-riseTimeConstant)}
+			d.models[model] = estimate{updatedAt: now.Add(-riseTimeConstant)}
 		}
 	}
 	for model, e := range d.models {
-		e.value += (requests[model] - e.value) * smoothingFactor(now.Sub(e.at), requests[model] > e.value)
-		e.at = now
+		e.value += (requests[model] - e.value) * smoothingFactor(now.Sub(e.updatedAt), requests[model] > e.value)
+		e.updatedAt = now
 		d.models[model] = e
 		if e.value < minDemand && requests[model] == 0 {
 			delete(d.models, model)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -35,7 +35,7 @@
 	MemoryBytes int
 	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// Placement lists the models that it holds or is loading.
+	// Models lists the models that it holds or is loading.
 	Models []string
 	// RecentlyLoaded lists those of them that were loaded recently and are not dropped
 	// yet, so that the cost of the load is amortized.
@@ -96,7 +96,7 @@
 //  1. Each model without a replica gets one, in order of priority and demand.
 //  2. While a server has more load than it serves in time, its busiest model gets a
 //     replica on the server with the most spare capacity.
-//  3. Where memory is left, models with fewer than Copies replicas get another,
+//  3. Where memory is left, models with fewer than Replicas get another,
 //     preferably in another failure domain.
 func Make(in Input) Output {
 	p := newPlanner(in)
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -113,7 +113,7 @@
 	}
 	for _, m := range in.Models {
 		if !slices.Contains(out.Unplaced, m.Name) {
-			require.Positive(t, replicas[m.Name], "copies of %s", m.Name)
+			require.Positive(t, replicas[m.Name], "replicas of %s", m.Name)
 		}
 	}
 }
@@ -196,8 +196,8 @@
 	var names []string
 	for _, m := range in.Models {
 		found := false
-		for _, held := range placement {
-			found = found || slices.Contains(held, m.Name)
+		for _, models := range placement {
+			found = found || slices.Contains(models, m.Name)
 		}
 		if !found {
 			names = append(names, m.Name)
