--- a/pick/cost_test.go
+++ b/pick/cost_test.go
@@ -22,11 +22,11 @@
 	}
 	require.Equal(t, balancer.Cost(work("slow")), balancer.Cost(work("quick")))
 	now := at(0)
-	answer := func(model string, reading, step time.Duration, events int) {
+	answer := func(model string, prefill, step time.Duration, events int) {
 		c, ok := balancer.Choose(now, []backs.Entry{entry}, work(model), 0, nil)
 		require.True(t, ok)
 		attempt := balancer.Begin(now, c, work(model), 0)
-		now = now.Add(reading)
+		now = now.Add(prefill)
 		attempt.FirstEvent(now)
 		took := time.Duration(events-1) * 6 * step
 		now = now.Add(took)
