--- a/pick/attempt.go
+++ b/pick/attempt.go
@@ -69,7 +69,7 @@
 	Succeeded
 	// Refused is a refusal without execution: the server is full or restarting.
 	Refused
-	// Failed is an error, a truncated or invalid response, or a timeout.
+	// Failed is an error, a broken or forged response, or a timeout.
 	Failed
 )
 
