--- a/backs/entry.go
+++ b/backs/entry.go
@@ -1,6 +1,5 @@
-// Package backs is what a VM knows of the backend servers: which there are,
-// which are leaving, and which models they hold. It does no I/O and reads no
-// clock.
+// Package backs keeps a VM's view of the backend servers: which servers exist, which are
+// draining, and which models they have loaded. It does no I/O and reads no clock.
 package backs
 
 import (
@@ -10,7 +9,7 @@
 	"time"
 )
 
-// Held is a model that a server holds.
+// Held is a model that a server has loaded, with its loaded adapters.
 type Held struct {
 	Model    string
 	Version  int
@@ -21,44 +20,43 @@
 	return h.Model == o.Model && h.Version == o.Version && slices.Equal(h.Adapters, o.Adapters)
 }
 
-// Entry is a server as the platform lists it.
+// Entry describes a server as the platform lists it.
 type Entry struct {
-	// ID names one start of the server: what was known of an earlier start says
-	// nothing about this one.
+	// ID identifies one instance, that is, one process run of the server. Nothing observed
+	// of an earlier instance applies to it.
 	ID string
-	// Name is what the platform calls it, empty where that is the ID.
+	// Name is the server's name on the platform, empty where the ID is that name.
 	Name string
-	// Born is when it started, the zero time where the platform does not tell. A
-	// server may start again under its name.
+	// Born is when the instance started, the zero time where the platform does not report
+	// it. A server may restart under the same name.
 	Born    time.Time
 	Service string
 	Address string
 	Domain  string
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the server processes concurrently.
 	Slots    int
 	Draining bool
-	// Leaves is the time that a draining server has left, 0 when unknown.
+	// Leaves is the time until a draining server exits, 0 when unknown.
 	Leaves time.Duration
 	// Cold is how much longer the server is slow after its start.
 	Cold   time.Duration
 	Models []Held
 }
 
-// Called returns what the platform and the server itself call it; requests and
-// orders are addressed to that.
+// Called returns the name that the platform and the server itself use. Requests and orders
+// are addressed to it.
 func (e Entry) Called() string { return cmp.Or(e.Name, e.ID) }
 
-// StartID returns the ID of one start of a server: its name, where the platform
-// names each start anew, and the name with the time of the start otherwise.
-func StartID(name string, born time.Time) string {
-	if born.IsZero() {
+// StartID returns the ID of one instance of a server: its name where the platform names
+// each instance anew, otherwise the name with the start time.
+func StartID(name string, startedAt time.Time) string {
+	if startedAt.IsZero() {
 		return name
 	}
-	return name + "@" + strconv.FormatInt(born.UnixMilli(), 10)
+	return name + "@" + strconv.FormatInt(startedAt.UnixMilli(), 10)
 }
 
-// Holds reports whether the entry has a model, and the adapter when one is
-// named.
+// Holds reports whether the entry lists the model, and the adapter when one is named.
 func (e Entry) Holds(model, adapter string) bool {
 	for _, h := range e.Models {
 		if h.Model == model {
--- a/backs/start_test.go
+++ b/backs/instance_test.go
@@ -9,37 +9,37 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// started returns the entry of the start of a server at a time.
-func started(name string, born time.Time) backs.Entry {
-	return backs.Entry{ID: backs.StartID(name, born), Name: name, Born: born, Service: "s", Address: "127.0.0.1:1", Models: []backs.Held{{Model: "m"}}}
+// started returns the entry of a server instance that started at the given time.
+func started(name string, startedAt time.Time) backs.Entry {
+	return backs.Entry{ID: backs.StartID(name, startedAt), Name: name, Born: startedAt, Service: "s", Address: "127.0.0.1:1", Models: []backs.Held{{Model: "m"}}}
 }
 
-// A server leaves or crashes and starts again under its name. Taken for the one
-// before, it gets no work for good since that one was draining, or requests for models
-// that it does not hold any more. The new start is a server of its own, at once; a
-// heartbeat of the old one that comes late changes nothing.
-func TestAServerStartsAgainUnderItsName(t *testing.T) {
+// A server restarts under the same name after draining or a crash. If the view treats it as
+// the same instance, it gets no requests because the old one was draining, or requests for
+// models that are no longer loaded. The new instance must be usable at once, and a late
+// heartbeat of the old instance must change nothing.
+func TestRestartUnderSameName(t *testing.T) {
 	var v backs.View
 	before, after := started("a", at(-10)), started("a", at(3))
 	v.Replace(at(0), []backs.Entry{before})
-	leaving := before
-	leaving.Draining = true
-	v.Put(at(1), leaving)
+	draining := before
+	draining.Draining = true
+	v.Put(at(1), draining)
 	after.Models = nil
 	v.Put(at(4), after)
 	list := v.Serving(at(4), "s")
 	require.Len(t, list, 1)
-	require.Equal(t, after, list[0], "nothing of the start before")
+	require.Equal(t, after, list[0], "no data of the previous instance")
 	require.False(t, v.Usable(at(4), before.ID))
 	v.Put(at(5), before)
-	require.Equal(t, []backs.Entry{after}, v.Serving(at(5), "s"), "a late heartbeat of the start before")
+	require.Equal(t, []backs.Entry{after}, v.Serving(at(5), "s"), "a late heartbeat of the previous instance")
 	v.Remove(at(6), "a")
 	require.Empty(t, v.Serving(at(6), "s"))
 }
 
-// The controller finds by a report that a server has started again, before the new
-// entry comes; the VMs are told of both.
-func TestAnEndedStartIsToldToOthers(t *testing.T) {
+// The controller learns from a report that a server has restarted before the new entry
+// arrives. Other VMs must receive both the end of the old instance and the new entry.
+func TestEndedInstanceReachesOtherVMs(t *testing.T) {
 	var v, other backs.View
 	before, after := started("a", at(-10)), started("a", at(3))
 	v.Replace(at(0), []backs.Entry{before})
@@ -55,13 +55,13 @@
 	require.Equal(t, []backs.Entry{after}, other.Serving(at(5), "s"))
 	states[0].Entry = before
 	other.Adopt(at(6), backs.Word{States: states, Full: false})
-	require.Equal(t, []backs.Entry{after}, other.Serving(at(6), "s"), "told late of the start before")
+	require.Equal(t, []backs.Entry{after}, other.Serving(at(6), "s"), "a late update about the previous instance")
 }
 
-// Somebody else overwrites a server's entry with what names no server. Requests sent
-// by what it says reach nothing, or another service. The server gets no work until
-// its next heartbeat, then again at once; the other servers are not touched.
-func TestAnUnreadableEntryNamesNoServer(t *testing.T) {
+// A foreign write replaces a server's entry with invalid data. Requests that follow it
+// would reach no server or another service. The server must get no requests until its next
+// heartbeat rewrites the entry, and then at once. Other servers are unaffected.
+func TestUnreadableEntry(t *testing.T) {
 	var v, other backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	tests := map[string]func(now time.Time){
@@ -69,8 +69,8 @@
 		"listed":  func(now time.Time) { v.Replace(now, []backs.Entry{entry("b")}, "a", "never seen") },
 	}
 	now := at(1)
-	for name, harm := range tests {
-		harm(now)
+	for name, breakEntry := range tests {
+		breakEntry(now)
 		require.False(t, v.Usable(now, "a"), name)
 		require.True(t, v.Usable(now, "b"), name)
 		require.Len(t, v.Listed(now), 2, name)
--- a/backs/view.go
+++ b/backs/view.go
@@ -7,94 +7,93 @@
 )
 
 const (
-	// returnHold is how long an entry that lapsed while the store was away may
-	// still come back after its return: a live server writes its entry within
-	// about two seconds.
-	returnHold = 2 * time.Second
-	// lapseBeats is how many heartbeats long an outage of the store is in which entries can
-	// have lapsed. The store takes one away after three without a word of its server, the
-	// last of which may have been due right before the outage.
-	lapseBeats = 2
-	// defaultHeartbeat is the time between two heartbeats of a server where it is not set.
+	// expiryGrace is how long a server whose entry expired during a store outage is kept
+	// after the store recovers. A live server writes its entry within about two seconds.
+	expiryGrace = 2 * time.Second
+	// expiryHeartbeats is the shortest store outage, in heartbeats, in which entries can
+	// expire. The store removes an entry after three heartbeats without a write, and the
+	// last write may have been due just before the outage.
+	expiryHeartbeats = 2
+	// defaultHeartbeat is the interval between heartbeats of a server when none is set.
 	defaultHeartbeat = 1200 * time.Millisecond
-	// ghostHold is how long an entry that was removed and stands again must
-	// last before its server gets work. A late heartbeat of a server that left
-	// lapses again after three heartbeats.
-	ghostHold = 4 * time.Second
-	// toldOutweighs is how long what the controller told of models and adapters outweighs
-	// an entry, which can be a heartbeat old: adapters load in milliseconds, and a server
-	// lists a model that it drops until the last run of it has ended.
-	toldOutweighs = 2 * time.Second
-	// settleEvery bounds how often all entries are searched for lapsed and forgotten ones.
-	// Searched at each question about one server, 1,500 servers make a step of their placement
-	// take 95 ms in place of 12 (BenchmarkStep).
-	settleEvery = 10 * time.Millisecond
-	// forgetAfter bounds the memory of servers that are gone; the ID of a start is
-	// never used again, so it needs to outlive only late entries.
-	forgetAfter = 2 * time.Minute
+	// readmitDelay is how long an entry that reappeared after its removal must exist before
+	// the server gets requests. An entry written by a late heartbeat of a server that has
+	// exited expires after three heartbeats.
+	readmitDelay = 4 * time.Second
+	// controllerPrecedence is how long models and adapters reported by the controller take
+	// precedence over an entry. An entry can be a heartbeat old, while adapters load in
+	// milliseconds, and a server lists a model that it is unloading until the model's last
+	// run has ended.
+	controllerPrecedence = 2 * time.Second
+	// expiryScanInterval is the minimum interval between scans of all entries for expired
+	// ones. With a scan at each query, a placement step over 1,500 servers takes 95 ms
+	// instead of 12 ms (BenchmarkStep).
+	expiryScanInterval = 10 * time.Millisecond
+	// removedRetention is how long removed servers are kept. Instance IDs are never reused,
+	// so the record only needs to outlive late entries.
+	removedRetention = 2 * time.Minute
 )
 
-// record is an entry and what happened to it.
+// record is the state of one server instance.
 type record struct {
-	// entry is what requests go by; its models may be newer than what the store
-	// lists.
+	// entry is what requests are routed by. Its models may be newer than the stored ones.
 	entry Entry
-	// listed is the entry as it stands in the store since listedAt.
-	listed   Entry
-	listedAt time.Time
-	// drained stays set: a server returns from draining only by a new start, and an
-	// old heartbeat may say otherwise.
-	drained bool
-	// gone is when the entry was removed; zero while it stands.
-	gone time.Time
-	// lapsing is when the entry went missing while the store had been away.
-	lapsing time.Time
-	// risen is when it stood again after having been removed.
-	risen time.Time
-	// unreadable is set while what stands in the store names no server.
+	// stored is the entry in the store, received at receivedAt.
+	stored     Entry
+	receivedAt time.Time
+	// draining is never reset: a draining server is only replaced by a new instance, and a
+	// late heartbeat may report otherwise.
+	draining bool
+	// removedAt is when the entry was removed, zero while it exists.
+	removedAt time.Time
+	// missingSince is when the entry was found missing during or just after a store outage.
+	missingSince time.Time
+	// reappearedAt is when the entry reappeared after its removal.
+	reappearedAt time.Time
+	// unreadable is set while the stored entry describes no valid server.
 	unreadable bool
-	// heldAt is how new entry.Models is, toldAt when the controller told it
-	// last.
-	heldAt, toldAt time.Time
-	// revision is the view's when the record changed last.
+	// modelsAt is when entry.Models was observed, controllerAt when another VM or the
+	// controller last reported them.
+	modelsAt, controllerAt time.Time
+	// revision is the view's revision at the last change of the record.
 	revision int
 }
 
-// Missing is a server whose entry is not in the store any more.
+// Missing is a server whose entry is no longer in the store.
 type Missing struct {
-	// ID is that of the server's start.
+	// ID is the ID of the server instance.
 	ID string
-	// Kept says that it stays in use for now, as its entry may have lapsed.
+	// Kept is set when the server stays in use because its entry may only have expired.
 	Kept bool
 }
 
-// View is the servers known to a VM. The zero value works. It is safe for use
-// by several goroutines.
+// View is the set of servers known to a VM. The zero value is ready to use. It is safe for
+// concurrent use.
 type View struct {
-	// Noted is told of each server that goes missing, and again when one that was kept is
-	// given up; nil for nobody. It is called under the View's lock.
+	// Noted, if not nil, is called for each server that goes missing, and again when a kept
+	// server is removed. It is called with the View's lock held.
 	Noted func(Missing)
-	// Heartbeat is the time between two heartbeats of a server, 0 for the default.
+	// Heartbeat is the interval between heartbeats of a server; 0 selects the default.
 	Heartbeat time.Duration
 
 	mu      sync.Mutex
 	records map[string]*record
-	// starts has the ID of the newest start of each server by what it is called.
-	starts map[string]string
-	// away is set while the store can not be reached, back is when it could be
-	// again after an outage in which entries can have lapsed.
-	away bool
-	back time.Time
-	// heard is as of when what is known was current last, known since when all servers are.
-	heard, known time.Time
-	// contact is when the store was last there, by an answer to any call of this VM or by
-	// the word of another one.
-	contact time.Time
-	// settled is when lapsed and forgotten entries were searched for last, zero when a
-	// search is due.
-	settled time.Time
-	changed chan struct{}
-	caught  bool
+	// instanceIDs maps a server's platform name to the ID of its newest instance.
+	instanceIDs map[string]string
+	// storeDown is set while the store is unreachable. recoveredAt is when the last outage
+	// ended that was long enough for entries to expire.
+	storeDown   bool
+	recoveredAt time.Time
+	// currentAt is when the view was last confirmed as current, syncedAt when the first
+	// full list arrived.
+	currentAt, syncedAt time.Time
+	// contactAt is when the store was last known to be reachable, from an answer to any
+	// call of this VM or from another VM's update.
+	contactAt time.Time
+	// scannedAt is when entries were last scanned for expiry, zero when a scan is due.
+	scannedAt time.Time
+	changed   chan struct{}
+	synced    bool
 	// revision counts changes.
 	revision int
 }
@@ -116,71 +115,72 @@
 	}
 }
 
-// Away notes that the store does not answer calls of this VM.
+// Away records that the store does not answer calls of this VM.
 func (v *View) Away() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.away, v.settled = true, time.Time{}
+	v.storeDown, v.scannedAt = true, time.Time{}
 }
 
-// Answered notes that the store answered a call of this VM, whatever it was for.
+// Answered records that the store answered any call of this VM.
 func (v *View) Answered(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.met(now, now)
+	v.recordContact(now, now)
 }
 
-// Current notes that what is known of the servers is current.
+// Current records that the view is current at the given time.
 func (v *View) Current(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(now, now)
+	v.recordCurrent(now, now)
 }
 
-// hear notes at now that what is known was current as of a time.
-func (v *View) hear(now, asOf time.Time) {
-	if asOf.After(v.heard) {
-		v.heard = asOf
+// recordCurrent records at time now that the view was current at asOf.
+func (v *View) recordCurrent(now, asOf time.Time) {
+	if asOf.After(v.currentAt) {
+		v.currentAt = asOf
 	}
-	v.met(now, asOf)
+	v.recordContact(now, asOf)
 }
 
-// met notes at now that the store was there at a time. Calls of this VM may have failed since
-// the VM was slow, or cut off alone: entries have lapsed only where nobody told of the store
-// for long.
-func (v *View) met(now, at time.Time) {
-	if !at.After(v.contact) {
+// recordContact records at time now that the store was reachable at the given time. Failed
+// calls alone don't prove an outage, because this VM may have been slow or partitioned.
+// Entries can have expired only if no VM has reported contact with the store for long
+// enough.
+func (v *View) recordContact(now, at time.Time) {
+	if !at.After(v.contactAt) {
 		return
 	}
-	lost := now.Sub(v.contact)
-	v.contact = at
-	if !v.away {
+	outage := now.Sub(v.contactAt)
+	v.contactAt = at
+	if !v.storeDown {
 		return
 	}
-	v.away = false
-	if lost >= lapseBeats*cmp.Or(v.Heartbeat, defaultHeartbeat) {
-		v.back, v.settled = now, time.Time{}
+	v.storeDown = false
+	if outage >= expiryHeartbeats*cmp.Or(v.Heartbeat, defaultHeartbeat) {
+		v.recoveredAt, v.scannedAt = now, time.Time{}
 	}
 }
 
-// Known returns for how long all servers are known, 0 before they are.
+// Known returns the time since the first full list was received, 0 before that.
 func (v *View) Known(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.caught {
+	if !v.synced {
 		return 0
 	}
-	return now.Sub(v.known)
+	return now.Sub(v.syncedAt)
 }
 
-// Caught reports whether a whole list has been taken in.
+// Caught reports whether a full list has been received.
 func (v *View) Caught() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.caught
+	return v.synced
 }
 
-// Put takes in an entry that stands in the store.
+// Put applies an entry that is in the store.
 func (v *View) Put(now time.Time, e Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -190,9 +190,9 @@
 
 func (v *View) put(now time.Time, e Entry) {
 	if v.records == nil {
-		v.records, v.starts = make(map[string]*record), make(map[string]string)
+		v.records, v.instanceIDs = make(map[string]*record), make(map[string]string)
 	}
-	if !v.begin(now, e) {
+	if !v.acceptInstance(now, e) {
 		return
 	}
 	r := v.records[e.ID]
@@ -200,103 +200,102 @@
 		r = &record{}
 		v.records[e.ID] = r
 	}
-	if !r.gone.IsZero() {
-		r.gone, r.risen = time.Time{}, now
+	if !r.removedAt.IsZero() {
+		r.removedAt, r.reappearedAt = time.Time{}, now
 	}
-	r.lapsing, r.unreadable = time.Time{}, false
-	r.drained = r.drained || e.Draining
-	e.Draining = r.drained
-	r.listed, r.listedAt = e, now
-	if now.Sub(r.toldAt) < toldOutweighs {
-		e.Models = joinTold(e.Models, r.entry.Models)
+	r.missingSince, r.unreadable = time.Time{}, false
+	r.draining = r.draining || e.Draining
+	e.Draining = r.draining
+	r.stored, r.receivedAt = e, now
+	if now.Sub(r.controllerAt) < controllerPrecedence {
+		e.Models = mergeControllerModels(e.Models, r.entry.Models)
 	}
-	r.entry, r.heldAt = e, now
-	v.touch(r)
-}
-
-// begin takes in which start of a server an entry is of. It reports false for one of
-// an earlier start: a heartbeat that comes late, of a process that has ended. A new
-// start ends the one before, whose connections, prompts, models and orders are gone;
-// it need not wait as an entry does that rose again.
-func (v *View) begin(now time.Time, e Entry) bool {
-	before, ok := v.starts[e.Called()]
-	if !ok || before == e.ID {
-		v.starts[e.Called()] = e.ID
+	r.entry, r.modelsAt = e, now
+	v.bumpRevision(r)
+}
+
+// acceptInstance records which instance an entry belongs to. It reports false for an entry
+// of an earlier instance, from a late heartbeat of a process that has exited. A new
+// instance ends the previous one, whose connections, prompts, models and orders are lost.
+// It gets requests at once, without the delay for an entry that reappears.
+func (v *View) acceptInstance(now time.Time, e Entry) bool {
+	previousID, ok := v.instanceIDs[e.Called()]
+	if !ok || previousID == e.ID {
+		v.instanceIDs[e.Called()] = e.ID
 		return true
 	}
-	r := v.records[before]
+	r := v.records[previousID]
 	if r != nil && e.Born.Before(r.entry.Born) {
 		return false
 	}
-	v.starts[e.Called()] = e.ID
-	if r != nil && r.gone.IsZero() {
-		v.end(now, r)
+	v.instanceIDs[e.Called()] = e.ID
+	if r != nil && r.removedAt.IsZero() {
+		v.markRemoved(now, r)
 	}
 	return true
 }
 
-// Unreadable takes in that a server's entry can not be read, or names no server. It
-// gets no new work until its entry can be read again; the server's next heartbeat
-// writes that, so it is neither gone nor has it to wait then.
+// Unreadable records that a server's entry can't be parsed or describes no valid server.
+// The server gets no new requests until its next heartbeat rewrites the entry. It is not
+// removed, and gets requests at once after that.
 func (v *View) Unreadable(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.unreadable(name)
+	v.markUnreadable(name)
 	v.notify()
 }
 
-func (v *View) unreadable(name string) {
-	if r := v.records[v.starts[name]]; r != nil && r.gone.IsZero() && !r.unreadable {
-		r.unreadable, r.lapsing = true, time.Time{}
-		v.touch(r)
+func (v *View) markUnreadable(name string) {
+	if r := v.records[v.instanceIDs[name]]; r != nil && r.removedAt.IsZero() && !r.unreadable {
+		r.unreadable, r.missingSince = true, time.Time{}
+		v.bumpRevision(r)
 	}
 }
 
-func (v *View) touch(r *record) {
+func (v *View) bumpRevision(r *record) {
 	v.revision++
 	r.revision = v.revision
 }
 
-// Remove takes in that the entry of a server's name was removed. Right after the return of a
-// store that was away for long it is given time to come back.
+// Remove records that the entry of the named server was removed. Shortly after a long store
+// outage the server is kept for a grace period.
 func (v *View) Remove(now time.Time, name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.remove(now, v.starts[name])
+	v.remove(now, v.instanceIDs[name])
 	v.notify()
 }
 
 func (v *View) remove(now time.Time, id string) {
 	r := v.records[id]
-	if r == nil || !r.gone.IsZero() {
+	if r == nil || !r.removedAt.IsZero() {
 		return
 	}
-	lapsed := v.away || !v.back.IsZero() && now.Before(v.back.Add(returnHold))
-	if lapsed && !r.drained {
-		if r.lapsing.IsZero() {
-			r.lapsing, v.settled = now, time.Time{}
-			v.note(Missing{ID: id, Kept: true})
+	mayHaveExpired := v.storeDown || !v.recoveredAt.IsZero() && now.Before(v.recoveredAt.Add(expiryGrace))
+	if mayHaveExpired && !r.draining {
+		if r.missingSince.IsZero() {
+			r.missingSince, v.scannedAt = now, time.Time{}
+			v.reportMissing(Missing{ID: id, Kept: true})
 		}
 		return
 	}
-	v.end(now, r)
+	v.markRemoved(now, r)
 }
 
-// end takes a server for gone.
-func (v *View) end(now time.Time, r *record) {
-	r.gone, r.lapsing = now, time.Time{}
-	v.touch(r)
-	v.note(Missing{ID: r.entry.ID})
+// markRemoved removes a server from use.
+func (v *View) markRemoved(now time.Time, r *record) {
+	r.removedAt, r.missingSince = now, time.Time{}
+	v.bumpRevision(r)
+	v.reportMissing(Missing{ID: r.entry.ID})
 }
 
-func (v *View) note(m Missing) {
+func (v *View) reportMissing(m Missing) {
 	if v.Noted != nil {
 		v.Noted(m)
 	}
 }
 
-// Replace takes in a whole list, and the names of the entries in it that can not be
-// read.
+// Replace applies a full list, with the names of its unreadable entries.
 func (v *View) Replace(now time.Time, entries []Entry, unreadable ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -306,52 +305,52 @@
 		v.put(now, e)
 	}
 	for _, name := range unreadable {
-		listed[v.starts[name]] = true
-		v.unreadable(name)
+		listed[v.instanceIDs[name]] = true
+		v.markUnreadable(name)
 	}
 	for id := range v.records {
 		if !listed[id] {
 			v.remove(now, id)
 		}
 	}
-	v.hear(now, now)
-	v.catch(now)
-	v.settle(now)
+	v.recordCurrent(now, now)
+	v.markSynced(now)
+	v.expire(now)
 	v.notify()
 }
 
-// catch notes that a whole list has been taken in.
-func (v *View) catch(now time.Time) {
-	if !v.caught {
-		v.caught, v.known = true, now
+// markSynced records that a full list has been received.
+func (v *View) markSynced(now time.Time) {
+	if !v.synced {
+		v.synced, v.syncedAt = true, now
 	}
 }
 
-// settle ends the time given to lapsed entries and forgets old ones.
-func (v *View) settle(now time.Time) {
-	if since := now.Sub(v.settled); since >= 0 && since < settleEvery {
+// expire removes servers whose grace period is over and deletes old records.
+func (v *View) expire(now time.Time) {
+	if since := now.Sub(v.scannedAt); since >= 0 && since < expiryScanInterval {
 		return
 	}
-	v.settled = now
+	v.scannedAt = now
 	for id, r := range v.records {
-		if !r.lapsing.IsZero() && !v.away && !now.Before(v.back.Add(returnHold)) {
-			v.end(now, r)
+		if !r.missingSince.IsZero() && !v.storeDown && !now.Before(v.recoveredAt.Add(expiryGrace)) {
+			v.markRemoved(now, r)
 			v.notify()
 		}
-		if !r.gone.IsZero() && now.Sub(r.gone) > forgetAfter {
+		if !r.removedAt.IsZero() && now.Sub(r.removedAt) > removedRetention {
 			delete(v.records, id)
-			if v.starts[r.entry.Called()] == id {
-				delete(v.starts, r.entry.Called())
+			if v.instanceIDs[r.entry.Called()] == id {
+				delete(v.instanceIDs, r.entry.Called())
 			}
 		}
 	}
 }
 
-// Serving returns the servers of a service that may get new work.
+// Serving returns the servers of a service that may get new requests.
 func (v *View) Serving(now time.Time, service string) []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settle(now)
+	v.expire(now)
 	var list []Entry
 	for _, r := range v.records {
 		if r.entry.Service == service && r.usable(now) {
@@ -362,66 +361,65 @@
 }
 
 func (r *record) usable(now time.Time) bool {
-	if r.drained || r.unreadable || !r.gone.IsZero() {
+	if r.draining || r.unreadable || !r.removedAt.IsZero() {
 		return false
 	}
-	return r.risen.IsZero() || now.Sub(r.risen) >= ghostHold
+	return r.reappearedAt.IsZero() || now.Sub(r.reappearedAt) >= readmitDelay
 }
 
-// Listed is an entry as it stands in the store, and since when this VM knows it.
-// Unreadable says that it can not be read now; Entry is what could be read last.
+// Listed is an entry as stored, with the time at which this VM received it. Unreadable is
+// set when the stored entry can't be read now; Entry is then the last readable one.
 type Listed struct {
 	Entry
 	At         time.Time
 	Unreadable bool
 }
 
-// Listed returns every server whose entry stands, leaving ones too, as the
-// store lists them.
+// Listed returns the stored entry of every server that is not removed, including draining
+// ones.
 func (v *View) Listed(now time.Time) []Listed {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settle(now)
+	v.expire(now)
 	var list []Listed
 	for _, r := range v.records {
-		if r.gone.IsZero() {
-			list = append(list, Listed{Entry: r.listed, At: r.listedAt, Unreadable: r.unreadable})
+		if r.removedAt.IsZero() {
+			list = append(list, Listed{Entry: r.stored, At: r.receivedAt, Unreadable: r.unreadable})
 		}
 	}
 	return list
 }
 
-// All returns every server whose entry stands, with what it holds by the newest
-// word.
+// All returns every server that is not removed, with the newest information on its models.
 func (v *View) All(now time.Time) []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settle(now)
+	v.expire(now)
 	var list []Entry
 	for _, r := range v.records {
-		if r.gone.IsZero() {
+		if r.removedAt.IsZero() {
 			list = append(list, r.entry)
 		}
 	}
 	return list
 }
 
-// Ended takes in that a start of a server is over, as another one answers under its
+// Ended records that a server instance has ended because another instance answers under its
 // name.
 func (v *View) Ended(now time.Time, id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if r := v.records[id]; r != nil && r.gone.IsZero() {
-		v.end(now, r)
+	if r := v.records[id]; r != nil && r.removedAt.IsZero() {
+		v.markRemoved(now, r)
 		v.notify()
 	}
 }
 
-// Usable reports whether a server may get new work now.
+// Usable reports whether a server may get new requests now.
 func (v *View) Usable(now time.Time, id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settle(now)
+	v.expire(now)
 	r := v.records[id]
 	return r != nil && r.usable(now)
 }
--- a/backs/view_test.go
+++ b/backs/view_test.go
@@ -17,10 +17,10 @@
 	return backs.Entry{ID: id, Service: "s", Address: "127.0.0.1:1"}
 }
 
-// A server leaves; then a heartbeat from before arrives late and says that it
-// is ready. Callers sent there would be cut off when it exits. Draining is for
-// good, so the late heartbeat changes nothing.
-func TestDrainingIsForGood(t *testing.T) {
+// A heartbeat that a server sent before it began to drain arrives late and reports it as
+// ready. Requests sent there would be cut off when it exits. Draining must never be reset,
+// so the late heartbeat changes nothing.
+func TestLateHeartbeatAfterDraining(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a")})
 	require.True(t, v.Usable(at(0), "a"))
@@ -33,25 +33,25 @@
 	require.False(t, v.Usable(at(20), "a"))
 }
 
-// A server that never says that it drains has its entry removed, and a late
-// heartbeat makes it stand again for some seconds. Work sent there would be cut
-// off. An entry that rose again waits until it has outlived a late heartbeat.
-func TestRemovedServersWaitWhenTheyRise(t *testing.T) {
+// The entry of a server that never reports draining is removed, and a late heartbeat makes
+// it reappear for some seconds. Requests sent there would be cut off. The server must wait
+// until its entry has outlived a late heartbeat.
+func TestReappearedServerWaits(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a")})
 	v.Remove(at(1), "a")
 	require.False(t, v.Usable(at(1), "a"))
 	v.Put(at(2), entry("a"))
 	require.False(t, v.Usable(at(3), "a"))
-	require.True(t, v.Usable(at(6.1), "a"), "a server that was cut off and lives gets work again")
+	require.True(t, v.Usable(at(6.1), "a"), "a live server that was cut off gets requests again")
 }
 
-// The store is away, and the controller's process is started anew in that time. At
-// the store's return it lists the few servers whose entries stand again, and tells
-// a VM that these are all. That VM knew the others and must not take them for
-// gone: they rise again within two seconds, and one that rose gets no work for
+// The store is down and the controller's process restarts during the outage. When the store
+// recovers, the controller lists only the few servers whose entries have reappeared, and
+// sends this as the full list. A VM that knew the other servers must keep them: they
+// reappear within two seconds, and a removed server that reappears gets no requests for
 // four more.
-func TestListOfAControllerThatStartedInAnOutage(t *testing.T) {
+func TestFullListAfterControllerRestart(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b"), entry("c")})
 	v.Away()
@@ -59,15 +59,15 @@
 	require.Len(t, v.Serving(at(10), "s"), 3)
 	v.Adopt(at(11), backs.Word{States: []backs.State{{Entry: entry("b")}}, Full: false})
 	require.Len(t, v.Serving(at(11.9), "s"), 3)
-	require.Len(t, v.Serving(at(12.1), "s"), 2, "what is missing then is gone")
+	require.Len(t, v.Serving(at(12.1), "s"), 2, "servers still missing are removed")
 	v.Adopt(at(20), backs.Word{States: []backs.State{{Entry: entry("a")}}, Full: true})
-	require.Len(t, v.Serving(at(20), "s"), 1, "without an outage the list holds at once")
+	require.Len(t, v.Serving(at(20), "s"), 1, "without an outage the list applies at once")
 }
 
-// The store is away for longer than an entry lasts; at its return the list is
-// empty for a moment. If the servers were dropped at once, every request would
-// be refused. They are kept for two seconds; what is missing then is gone.
-func TestLapsedEntriesAreHeld(t *testing.T) {
+// The store is down for longer than an entry lasts, and its list is empty just after it
+// recovers. Removing the servers at once would make every request fail. They must be kept
+// for two seconds; those still missing are then removed.
+func TestExpiredEntriesAreKept(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	v.Away()
@@ -81,26 +81,26 @@
 	require.False(t, v.Usable(at(12.1), "b"))
 }
 
-// Requests reach a server that has left, and the log must tell why: whether its entry was
-// taken for one that may come back, and until when.
-func TestMissingServersAreNoted(t *testing.T) {
-	var noted []backs.Missing
-	v := backs.View{Noted: func(m backs.Missing) { noted = append(noted, m) }}
+// Requests reach a server that has exited. The log must show whether its entry was kept
+// because it may reappear, and until when.
+func TestMissingServersAreReported(t *testing.T) {
+	var reported []backs.Missing
+	v := backs.View{Noted: func(m backs.Missing) { reported = append(reported, m) }}
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	v.Remove(at(1), "a")
-	require.Equal(t, []backs.Missing{{ID: "a"}}, noted)
+	require.Equal(t, []backs.Missing{{ID: "a"}}, reported)
 	v.Away()
 	v.Current(at(10))
 	v.Replace(at(10), nil)
 	v.Replace(at(11), nil)
-	require.Equal(t, []backs.Missing{{ID: "a"}, {ID: "b", Kept: true}}, noted)
+	require.Equal(t, []backs.Missing{{ID: "a"}, {ID: "b", Kept: true}}, reported)
 	require.Empty(t, v.All(at(12.1)))
-	require.Equal(t, []backs.Missing{{ID: "a"}, {ID: "b", Kept: true}, {ID: "b"}}, noted)
+	require.Equal(t, []backs.Missing{{ID: "a"}, {ID: "b", Kept: true}, {ID: "b"}}, reported)
 }
 
-// A VM loses the store again right after it came back; a server that left was used for two
-// seconds from each return.
-func TestServerThatLeftIsUsedLongerByEachLossOfContact(t *testing.T) {
+// A VM loses contact with the store again right after it recovered. Restarting the grace
+// period at each recovery kept an exited server in use for two seconds from each one.
+func TestShortOutageKeepsGracePeriod(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	v.Away()
@@ -112,9 +112,9 @@
 	require.False(t, v.Usable(at(12.1), "a"))
 }
 
-// A draining server whose entry lapses with the store away must not be held: it
-// was leaving.
-func TestDrainingEntriesAreNotHeld(t *testing.T) {
+// A draining server whose entry expires during a store outage must not be kept, because it
+// was about to exit.
+func TestDrainingEntriesAreNotKept(t *testing.T) {
 	var v backs.View
 	e := entry("a")
 	e.Draining = true
@@ -125,7 +125,7 @@
 	require.Empty(t, v.All(at(5)))
 }
 
-func TestHoldTakesOnlyNewerObservations(t *testing.T) {
+func TestOlderModelsAreIgnored(t *testing.T) {
 	var v backs.View
 	v.Put(at(5), entry("a"))
 	v.Hold(at(4), "a", []backs.Held{{Model: "old"}})
@@ -136,40 +136,41 @@
 	require.False(t, got.Holds("m", "a2"))
 }
 
-func TestChangedIsClosedByAChange(t *testing.T) {
+func TestChangedChannel(t *testing.T) {
 	var v backs.View
 	changed := v.Changed()
 	select {
 	case <-changed:
-		require.Fail(t, "nothing has changed")
+		require.Fail(t, "closed without a change")
 	default:
 	}
 	v.Put(at(0), entry("a"))
 	<-changed
 }
 
-// The controller orders a model to be dropped, and tells the VMs. The server lists it until
-// the last run has ended, and writes its entry anew for another reason meanwhile. Requests
-// sent there for the model are refused.
-func TestAnEntryDoesNotBringBackAModelThatIsDropped(t *testing.T) {
+// The controller orders a model to be unloaded and informs the VMs. The server lists the
+// model until its last run has ended, and meanwhile rewrites its entry for another reason.
+// The rewritten entry must not make VMs send requests for the model, because the server
+// refuses them.
+func TestEntryListsUnloadingModel(t *testing.T) {
 	listed := entry("a")
 	listed.Models = []backs.Held{{Model: "m1", Version: 1}, {Model: "m2", Version: 1}}
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{listed})
-	told := []backs.Held{{Model: "m2", Adapters: []string{"a1"}}}
-	v.Hold(at(1), "a", told)
+	reported := []backs.Held{{Model: "m2", Adapters: []string{"a1"}}}
+	v.Hold(at(1), "a", reported)
 	v.Put(at(1.5), listed)
 	holds := func(now float64, model, adapter string) bool { return v.Serving(at(now), "s")[0].Holds(model, adapter) }
 	require.False(t, holds(1.5, "m1", ""))
 	require.True(t, holds(1.5, "m2", "a1"))
 
-	v.Hold(at(3), "a", told)
+	v.Hold(at(3), "a", reported)
 	_, revision := v.Since(at(3), 0)
-	v.Hold(at(3.1), "a", told)
+	v.Hold(at(3.1), "a", reported)
 	states, _ := v.Since(at(3.1), revision)
-	require.Empty(t, states, "the same word is not told again")
+	require.Empty(t, states, "an unchanged observation is not sent again")
 	v.Put(at(5), listed)
-	require.False(t, holds(5, "m1", ""), "it outweighs the entry all the while")
+	require.False(t, holds(5, "m1", ""), "a renewed observation takes precedence over the entry")
 	v.Put(at(8), listed)
-	require.True(t, holds(8, "m1", ""), "without a controller the entry counts")
+	require.True(t, holds(8, "m1", ""), "without newer observations the entry applies")
 }
