--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -7,15 +7,15 @@
 	"github.com/hibiscuscart/hibiscuscart/lease"
 )
 
-// A keeper takes a free lease, holds it and loses it when it does not renew.
+// A keeper acquires a free lease, holds it, and loses it when it does not renew.
 func ExampleKeeper() {
 	now := time.Unix(1_000_000, 0)
 	k := lease.Keeper{Name: "vm-1", Boot: "a", Duration: 3 * time.Second}
-	k.Observe(now, 0, lease.Record{}) // the platform has no such object
+	k.Observe(now, 0, lease.Record{}) // the object does not exist yet
 	if k.Next(now) == lease.Take {
 		record, version := k.Record()
 		fmt.Println("write on version", version)
-		k.Won(now, 1, record) // the conditional update won
+		k.Won(now, 1, record) // the conditional update succeeded
 	}
 	fmt.Println(k.Held(now.Add(time.Second)), k.Held(now.Add(3*time.Second)))
 	// Output:
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,12 +12,12 @@
 	"github.com/hibiscuscart/hibiscuscart/lease"
 )
 
-// The same cases in every run.
+// Run the same cases every time.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-const length = 3 * time.Second
+const leaseDuration = 3 * time.Second
 
-// object is the platform's object in the model: a version and a record.
+// object models the platform's object: a version and a record.
 type object struct {
 	version int
 	record  lease.Record
@@ -32,10 +32,9 @@
 	return o.version, true
 }
 
-// TestNeverTwoHolders runs three keepers whose clocks run up to 5% fast or
-// slow, whose updates are delayed, fail or lose their answers, and which are
-// paused for long. At no moment do two of them believe in the lease, as long as
-// a paused one looks at its clock before it believes anything.
+// TestNeverTwoHolders runs three keepers whose clocks run up to 5% fast or slow. Updates
+// are delayed, fail or lose their answers, and keepers pause for long. At no time may two
+// keepers report the lease as held, given that a keeper reads its clock after a pause.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o object
@@ -43,21 +42,21 @@
 		keepers := make([]*lease.Keeper, 3)
 		speeds := make([]float64, 3)
 		for i := range keepers {
-			keepers[i] = &lease.Keeper{Name: fmt.Sprint("vm-", i), Boot: "1", Duration: length}
+			keepers[i] = &lease.Keeper{Name: fmt.Sprint("vm-", i), Boot: "1", Duration: leaseDuration}
 			speeds[i] = rapid.Float64Range(0.95, 1.05).Draw(t, "speed")
 		}
-		local := func(i int) time.Time {
+		localTime := func(i int) time.Time {
 			return now.Add(time.Duration(float64(now.Sub(time.Unix(1_000_000, 0))) * (speeds[i] - 1)))
 		}
 		step := func(t *rapid.T, i int) {
 			k := keepers[i]
-			switch k.Next(local(i)) {
+			switch k.Next(localTime(i)) {
 			case lease.Wait:
-				if !k.Held(local(i)) {
-					k.Observe(local(i), o.version, o.record)
+				if !k.Held(localTime(i)) {
+					k.Observe(localTime(i), o.version, o.record)
 				}
 			default:
-				begun := local(i)
+				startedAt := localTime(i)
 				r, version := k.Record()
 				now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "delay ms")) * time.Millisecond)
 				next, ok := o.put(version, r)
@@ -65,18 +64,18 @@
 					k.Lost()
 					return
 				}
-				k.Won(begun, next, r)
+				k.Won(startedAt, next, r)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"step": func(t *rapid.T) { step(t, rapid.IntRange(0, 2).Draw(t, "keeper")) },
-			"pass": func(t *rapid.T) {
+			"pass time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"": func(t *rapid.T) {
 				held := 0
 				for i, k := range keepers {
-					if k.Held(local(i)) {
+					if k.Held(localTime(i)) {
 						held++
 					}
 				}
@@ -88,8 +87,8 @@
 
 func TestTakeover(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	a := &lease.Keeper{Name: "a", Boot: "1", Duration: length}
-	b := &lease.Keeper{Name: "b", Boot: "1", Duration: length}
+	a := &lease.Keeper{Name: "a", Boot: "1", Duration: leaseDuration}
+	b := &lease.Keeper{Name: "b", Boot: "1", Duration: leaseDuration}
 	a.Observe(now, 0, lease.Record{})
 	require.Equal(t, lease.Take, a.Next(now))
 	r, version := a.Record()
@@ -97,12 +96,12 @@
 	a.Won(now, 1, r)
 	require.True(t, a.Held(now))
 	b.Observe(now, 1, r)
-	require.Equal(t, lease.Wait, b.Next(now.Add(length)))
-	require.Equal(t, lease.Take, b.Next(now.Add(length+length/10)))
-	require.Equal(t, lease.Renew, a.Next(now.Add(length/3)))
-	require.False(t, a.Held(now.Add(length)))
+	require.Equal(t, lease.Wait, b.Next(now.Add(leaseDuration)))
+	require.Equal(t, lease.Take, b.Next(now.Add(leaseDuration+leaseDuration/10)))
+	require.Equal(t, lease.Renew, a.Next(now.Add(leaseDuration/3)))
+	require.False(t, a.Held(now.Add(leaseDuration)))
 
 	released, _ := a.Released()
 	b.Observe(now.Add(time.Second), 2, released)
-	require.Equal(t, lease.Take, b.Next(now.Add(time.Second)), "a lease that was given up can be taken at once")
+	require.Equal(t, lease.Take, b.Next(now.Add(time.Second)), "a released lease can be acquired at once")
 }
