--- a/relay/assembly.go
+++ b/relay/assembly.go
@@ -1,6 +1,5 @@
-// Package relay decides which frames of the attempts at a request belong to
-// the answer, so that the caller gets each token of its own answer once. It
-// does no I/O.
+// Package relay decides which frames of a request's attempts belong to the answer, so that
+// the caller gets each token exactly once. It does no I/O.
 package relay
 
 import (
@@ -10,115 +9,115 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Verdict says what to do with a frame.
+// Verdict is the decision on a frame.
 type Verdict int
 
 const (
-	// Deliver means that the text is new and goes to the caller.
+	// Deliver means that the text is new and is sent to the caller.
 	Deliver Verdict = iota
 	// DropForeign means that the frame belongs to another attempt.
 	DropForeign
-	// DropRepeated means that the frame was seen before.
+	// DropRepeated means that the frame was received before.
 	DropRepeated
 	// DropReplayed means that the frame repeats text of an earlier attempt.
 	DropReplayed
-	// Whole means that the end frame came and the answer is complete.
+	// Whole means that the end frame arrived and the answer is complete.
 	Whole
 )
 
 // Errors that end an attempt.
 var (
-	// ErrGap: a frame is missing; resume after Last.
-	ErrGap = errors.New("a frame is missing")
-	// ErrDiverged: a restarted run gave other text than the caller has already
-	// been given; the two can not be joined.
-	ErrDiverged = errors.New("the restarted run differs from what was delivered")
+	// ErrGap is returned when a frame is missing. The attempt is resumed after Last.
+	ErrGap = errors.New("frame sequence has a gap")
+	// ErrDiverged is returned when a restarted run generates text that differs from the
+	// text already sent to the caller. The two can't be joined.
+	ErrDiverged = errors.New("text of the restarted run differs from the delivered text")
 )
 
-// Assembly joins the frames of successive attempts to one answer. The zero
-// value waits for its first Restart.
+// Assembly joins the frames of successive attempts into one answer. Restart must be called
+// before the first frame.
 type Assembly struct {
-	attempt string
-	last    int
-	// delivered is the text given to the caller; replay is how much of it the
-	// current attempt still has to repeat.
-	delivered strings.Builder
-	replayed  int
-	tokens    int
-	finish    string
-	whole     bool
+	attempt      string
+	lastSequence int
+	// delivered is the text sent to the caller; replayed is how many bytes of it the
+	// current attempt has repeated.
+	delivered       strings.Builder
+	replayed        int
+	deliveredFrames int
+	finishReason    string
+	complete        bool
 }
 
-// Restart begins a new run under a new attempt identifier.
+// Restart begins a new run with the given attempt identifier.
 func (a *Assembly) Restart(attempt string) {
 	a.attempt = attempt
-	a.last = 0
+	a.lastSequence = 0
 	a.replayed = 0
 }
 
 // Last returns the sequence number after which the attempt is to be resumed.
-func (a *Assembly) Last() int { return a.last }
+func (a *Assembly) Last() int { return a.lastSequence }
 
 // Tokens returns how many frames were delivered.
-func (a *Assembly) Tokens() int { return a.tokens }
+func (a *Assembly) Tokens() int { return a.deliveredFrames }
 
 // Text returns the text delivered so far.
 func (a *Assembly) Text() string { return a.delivered.String() }
 
 // Finish returns the reason for which generation stopped.
-func (a *Assembly) Finish() string { return a.finish }
+func (a *Assembly) Finish() string { return a.finishReason }
 
-// IsWhole reports whether the end frame has come.
-func (a *Assembly) IsWhole() bool { return a.whole }
+// IsWhole reports whether the end frame has arrived.
+func (a *Assembly) IsWhole() bool { return a.complete }
 
-// Accept judges a frame. With Deliver it returns the text for the caller.
+// Accept decides on a frame. With Deliver it returns the text for the caller.
 //
-// The connection of the attempt vouches for the end frame, which carries no
-// identifier of its own; its sequence number still has to be the next.
+// The end frame carries no attempt identifier; the attempt's connection identifies it. Its
+// sequence number still has to be the next one.
 func (a *Assembly) Accept(f hibiscuscart.Frame) (Verdict, string, error) {
 	if !f.End && f.Attempt != a.attempt {
 		return DropForeign, "", nil
 	}
-	if f.Sequence <= a.last {
+	if f.Sequence <= a.lastSequence {
 		return DropRepeated, "", nil
 	}
-	if f.Sequence != a.last+1 {
+	if f.Sequence != a.lastSequence+1 {
 		return DropForeign, "", ErrGap
 	}
 	if f.End {
-		return a.end()
+		return a.acceptEnd()
 	}
-	a.last = f.Sequence
+	a.lastSequence = f.Sequence
 	if f.Finish != "" {
-		a.finish = f.Finish
+		a.finishReason = f.Finish
 	}
-	return a.take(f.Text)
+	return a.deliverNew(f.Text)
 }
 
-func (a *Assembly) end() (Verdict, string, error) {
-	if a.replayed < a.delivered.Len() && a.tokens > 0 {
+func (a *Assembly) acceptEnd() (Verdict, string, error) {
+	if a.replayed < a.delivered.Len() && a.deliveredFrames > 0 {
 		return DropReplayed, "", ErrDiverged
 	}
-	a.whole = true
+	a.complete = true
 	return Whole, "", nil
 }
 
-// take delivers text, less what repeats an earlier attempt.
-func (a *Assembly) take(text string) (Verdict, string, error) {
-	missing := a.delivered.String()[a.replayed:]
-	if len(text) <= len(missing) {
-		if !strings.HasPrefix(missing, text) {
+// deliverNew delivers the part of text that does not repeat an earlier attempt.
+func (a *Assembly) deliverNew(text string) (Verdict, string, error) {
+	unreplayed := a.delivered.String()[a.replayed:]
+	if len(text) <= len(unreplayed) {
+		if !strings.HasPrefix(unreplayed, text) {
 			return DropReplayed, "", ErrDiverged
 		}
 		a.replayed += len(text)
 		return DropReplayed, "", nil
 	}
-	if !strings.HasPrefix(text, missing) {
+	if !strings.HasPrefix(text, unreplayed) {
 		return DropReplayed, "", ErrDiverged
 	}
-	fresh := text[len(missing):]
-	a.delivered.WriteString(fresh)
+	newText := text[len(unreplayed):]
+	a.delivered.WriteString(newText)
 	a.replayed = a.delivered.Len()
-	a.tokens++
-	return Deliver, fresh, nil
+	a.deliveredFrames++
+	return Deliver, newText, nil
 }
--- a/relay/assembly_test.go
+++ b/relay/assembly_test.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuscart/hibiscuscart/relay"
 )
 
-// The same cases in every run.
+// Run the same cases every time.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func text(attempt string, seq int, s string) hibiscuscart.Frame {
@@ -30,23 +30,23 @@
 		whole    bool
 		err      error
 	}{
-		"whole": {
+		"complete": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("a", 2, "y"), end(3)},
 			verdicts: []relay.Verdict{relay.Deliver, relay.Deliver, relay.Whole}, text: "xy", whole: true,
 		},
-		"crossed": {
+		"frame of another attempt": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("b", 2, "no"), text("a", 2, "y")},
 			verdicts: []relay.Verdict{relay.Deliver, relay.DropForeign, relay.Deliver}, text: "xy",
 		},
-		"repeated": {
+		"repeated frame": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("a", 1, "x"), text("a", 2, "y")},
 			verdicts: []relay.Verdict{relay.Deliver, relay.DropRepeated, relay.Deliver}, text: "xy",
 		},
-		"gap": {
+		"missing frame": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("a", 3, "z")},
 			verdicts: []relay.Verdict{relay.Deliver, relay.DropForeign}, text: "x", err: relay.ErrGap,
 		},
-		"end after a gap": {
+		"end frame after a missing frame": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), end(5)},
 			verdicts: []relay.Verdict{relay.Deliver, relay.DropForeign}, text: "x", err: relay.ErrGap,
 		},
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRestartThatDiffers(t *testing.T) {
+func TestDivergedRestart(t *testing.T) {
 	var a relay.Assembly
 	a.Restart("a.1")
 	_, _, err := a.Accept(text("a.1", 1, "peanut "))
@@ -79,12 +79,12 @@
 
 	a.Restart("a.3")
 	_, _, err = a.Accept(end(1))
-	require.ErrorIs(t, err, relay.ErrDiverged, "an answer shorter than what was delivered")
+	require.ErrorIs(t, err, relay.ErrDiverged, "an answer shorter than the delivered text")
 }
 
-// TestEachTokenOnce breaks runs at random places, resumes and restarts them,
-// cuts the text into other frames at each restart, and mixes in repeated and
-// foreign frames: what is delivered is always the answer, once.
+// TestEachTokenOnce breaks runs at random points, resumes and restarts them, splits the
+// text into other frames at each restart, and adds repeated and foreign frames. The
+// delivered text must always be the answer, exactly once.
 func TestEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,4} `), 1, 12).Draw(t, "words")
@@ -94,13 +94,13 @@
 		for run := 1; !a.IsWhole(); run++ {
 			attempt := fmt.Sprintf("a.%d", run)
 			a.Restart(attempt)
-			frames := cutUp(t, attempt, answer)
+			frames := splitFrames(t, attempt, answer)
 			stop := len(frames)
 			if run < 4 {
 				stop = rapid.IntRange(0, len(frames)).Draw(t, "stop")
 			}
 			for _, f := range frames[:stop] {
-				for _, sent := range disturb(t, f) {
+				for _, sent := range addStrayFrames(t, f) {
 					v, fresh, err := a.Accept(sent)
 					require.NoError(t, err)
 					if v == relay.Deliver {
@@ -113,7 +113,7 @@
 	})
 }
 
-func cutUp(t *rapid.T, attempt, answer string) []hibiscuscart.Frame {
+func splitFrames(t *rapid.T, attempt, answer string) []hibiscuscart.Frame {
 	var frames []hibiscuscart.Frame
 	for len(answer) > 0 {
 		n := rapid.IntRange(1, len(answer)).Draw(t, "cut")
@@ -123,7 +123,7 @@
 	return append(frames, end(len(frames)+1))
 }
 
-func disturb(t *rapid.T, f hibiscuscart.Frame) []hibiscuscart.Frame {
+func addStrayFrames(t *rapid.T, f hibiscuscart.Frame) []hibiscuscart.Frame {
 	sent := []hibiscuscart.Frame{f}
 	if rapid.Bool().Draw(t, "foreign") {
 		sent = append([]hibiscuscart.Frame{text("other", f.Sequence, "other ")}, sent...)
--- a/relay/example_test.go
+++ b/relay/example_test.go
@@ -7,8 +7,7 @@
 	"github.com/hibiscuscart/hibiscuscart/relay"
 )
 
-// A run that was started anew repeats what the caller has; only the rest is
-// delivered.
+// A restarted run repeats the text that the caller already has; only the rest is delivered.
 func ExampleAssembly() {
 	var a relay.Assembly
 	a.Restart("r.1")
@@ -16,7 +15,7 @@
 		_, text, _ := a.Accept(f)
 		fmt.Printf("%q\n", text)
 	}
-	a.Restart("r.2") // the stream broke
+	a.Restart("r.2") // after the stream broke
 	for _, f := range []hibiscuscart.Frame{
 		{Attempt: "r.2", Sequence: 1, Text: "sesame "},
 		{Attempt: "r.2", Sequence: 2, Text: "milk "},
