--- a/link/codec.go
+++ b/link/codec.go
@@ -1,6 +1,6 @@
-// Package link carries the frames between the system's own processes:
-// WebSocket messages that hold one CBOR value each, after a greeting on each
-// side. Peers and operators present a key when they connect.
+// Package link transports frames between the system's own processes as WebSocket messages
+// of one CBOR value each, after a handshake in which both sides send a greeting. Peers and
+// operators present a key when they connect.
 package link
 
 import (
@@ -12,13 +12,12 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Protocol is the version of the protocol spoken here. Frames are arrays without
-// the names of their fields, which would be most of a heartbeat: a change of the
-// schema is a new version.
+// Protocol is the version of the link protocol. Frames are encoded as arrays without field
+// names, which would make up most of a heartbeat. Any change of the schema therefore needs
+// a new version.
 const Protocol = 3
 
-// handle encodes in the canonical order, so that equal frames have equal
-// bytes.
+// handle encodes in canonical order, so that equal frames have equal bytes.
 var handle = newHandle()
 
 func newHandle() *codec.CborHandle {
@@ -28,7 +27,7 @@
 	return h
 }
 
-// Encode returns the CBOR of a frame.
+// Encode returns a frame in CBOR.
 func Encode(m *wire.Message) ([]byte, error) {
 	var data []byte
 	if err := codec.NewEncoderBytes(&data, handle).Encode(m); err != nil {
@@ -37,20 +36,20 @@
 	return data, nil
 }
 
-// Decode returns the frame of a CBOR value. A frame that does not have exactly
-// one known member is a trace.BadParameter error.
+// Decode parses a frame from CBOR. It returns a trace.BadParameter error for a frame that
+// does not have exactly one known member.
 func Decode(data []byte) (*wire.Message, error) {
 	m := new(wire.Message)
 	if err := codec.NewDecoderBytes(data, handle).Decode(m); err != nil {
 		return nil, trace.BadParameter("frame is not CBOR: %v", err)
 	}
-	if n := members(m); n != 1 {
+	if n := countMembers(m); n != 1 {
 		return nil, trace.BadParameter("frame has %d known members, not one", n)
 	}
 	return m, nil
 }
 
-func members(m *wire.Message) int {
+func countMembers(m *wire.Message) int {
 	n := 0
 	for _, set := range []bool{
 		m.Hello != nil, m.Gossip != nil, m.Offer != nil, m.Pull != nil, m.Push != nil,
--- a/link/conn.go
+++ b/link/conn.go
@@ -14,40 +14,40 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Path is where a VM takes links.
+// Path is the HTTP path on which a VM accepts links.
 const Path = "/link"
 
 const (
-	greetTimeout     = 3 * time.Second
-	defaultMaxFrame  = 1 << 20
-	maxRefusalReason = 100
-	// sendLimit bounds the write of one frame. Links carry some hundred kilobytes
-	// a second at most; a peer that takes no bytes for so long is stuck.
-	sendLimit = 2 * time.Second
+	handshakeTimeout      = 3 * time.Second
+	defaultMaxFrameBytes  = 1 << 20
+	maxRefusalReasonBytes = 100
+	// frameWriteTimeout bounds the write of one frame. Links carry at most some hundred
+	// kilobytes a second, so a peer that reads nothing for this long is stuck.
+	frameWriteTimeout = 2 * time.Second
 )
 
-// Conn is one link after its greeting. Send may be called from one goroutine
-// while another calls Receive.
+// Conn is a link after its handshake. Send may be called from one goroutine while another
+// calls Receive.
 type Conn struct {
-	ws    *websocket.Conn
-	peer  wire.Hello
-	role  Role
-	count func(sent, received int)
+	ws        *websocket.Conn
+	peerHello wire.Hello
+	role      Role
+	count     func(sent, received int)
 }
 
-func (c *Conn) counted(sent, received int) {
+func (c *Conn) countBytes(sent, received int) {
 	if c.count != nil {
 		c.count(sent, received)
 	}
 }
 
-// Peer returns the greeting of the other side.
-func (c *Conn) Peer() wire.Hello { return c.peer }
+// Peer returns the greeting that the other side sent.
+func (c *Conn) Peer() wire.Hello { return c.peerHello }
 
-// Role returns what the other side's key entitles it to.
+// Role returns the role granted by the other side's key.
 func (c *Conn) Role() Role { return c.role }
 
-// Close ends the link.
+// Close closes the link.
 func (c *Conn) Close() { _ = c.ws.CloseNow() }
 
 // Send writes one frame.
@@ -59,65 +59,65 @@
 	return c.SendEncoded(ctx, data)
 }
 
-// SendEncoded writes a frame that Encode returned, so that one that goes to
-// many VMs is encoded once. ctx counts until the write begins. Half a frame can
-// not be taken back, so ending it with ctx would end the link: one request whose
-// caller left, or that waited no longer, cut its VM off from all others.
+// SendEncoded writes a frame returned by Encode, so that a frame for many VMs is encoded
+// once. It ignores the end of ctx once the write has begun: a partly written frame can't be
+// undone, so canceling it would close the link. One request whose caller left or whose
+// timeout ended would then disconnect its VM from all others.
 func (c *Conn) SendEncoded(ctx context.Context, data []byte) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("send frame: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), frameWriteTimeout)
 	defer cancel()
 	if err := c.ws.Write(ctx, websocket.MessageBinary, data); err != nil {
 		return fmt.Errorf("send frame: %w", err)
 	}
-	c.counted(len(data), 0)
+	c.countBytes(len(data), 0)
 	return nil
 }
 
-// Receive reads one frame. After an error the link is of no more use. A frame
-// that is refused is a trace.BadParameter error; the other side is told.
+// Receive reads one frame. After an error the link can't be used any more. For a refused
+// frame it sends a refusal to the other side and returns a trace.BadParameter error.
 func (c *Conn) Receive(ctx context.Context) (*wire.Message, error) {
 	_, data, err := c.ws.Read(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("receive frame: %w", err)
 	}
-	c.counted(0, len(data))
+	c.countBytes(0, len(data))
 	m, err := Decode(data)
 	if err != nil {
-		c.refuse(ctx, err)
+		c.sendRefusal(ctx, err)
 		return nil, fmt.Errorf("refused frame: %w", err)
 	}
 	return m, nil
 }
 
-func (c *Conn) refuse(ctx context.Context, err error) {
+func (c *Conn) sendRefusal(ctx context.Context, err error) {
 	reason := err.Error()
-	if len(reason) > maxRefusalReason {
-		reason = reason[:maxRefusalReason]
+	if len(reason) > maxRefusalReasonBytes {
+		reason = reason[:maxRefusalReasonBytes]
 	}
 	_ = c.Send(ctx, &wire.Message{Refusal: &wire.Refusal{Reason: reason}})
 	c.Close()
 }
 
-// Dialer opens links. Hello and Key are what it presents.
+// Dialer opens links, presenting Hello and Key.
 type Dialer struct {
 	Hello func() wire.Hello
 	Key   string
 	// TLS, when set, is used instead of plain TCP.
 	TLS *tls.Config
-	// MaxFrame bounds a frame in bytes; 0 takes a megabyte.
+	// MaxFrame bounds a frame in bytes; 0 selects one megabyte.
 	MaxFrame int64
-	// Count, when set, is called with the bytes of each frame.
+	// Count, when set, is called with the size of each frame in bytes.
 	Count func(sent, received int)
-	// DialContext opens the connection; nil uses TCP. Tests cut links here.
+	// DialContext opens the connection; nil selects TCP. Tests use it to break links.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Dial opens a link to the VM at an address.
+// Dial opens a link to the VM at the given address.
 func (d *Dialer) Dial(ctx context.Context, address string) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	scheme := "ws"
 	if d.TLS != nil {
@@ -137,19 +137,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return greet(ctx, &Conn{ws: ws, role: RolePeer, count: d.Count}, d.Hello(), d.MaxFrame)
+	return handshake(ctx, &Conn{ws: ws, role: RolePeer, count: d.Count}, d.Hello(), d.MaxFrame)
 }
 
-// Acceptor takes links.
+// Acceptor accepts links.
 type Acceptor struct {
 	Hello    func() wire.Hello
 	Keys     Keys
 	MaxFrame int64
-	// Count, when set, is called with the bytes of each frame.
+	// Count, when set, is called with the size of each frame in bytes.
 	Count func(sent, received int)
-	// Serve handles a link until it returns.
+	// Serve handles a link, which is closed when Serve returns.
 	Serve func(ctx context.Context, c *Conn)
-	// Refused, when set, is called for each wrong key or failed greeting.
+	// Refused, when set, is called for each wrong key or failed handshake.
 	Refused func(err error)
 }
 
@@ -157,52 +157,52 @@
 func (a *Acceptor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	role := a.Keys.Role(r)
 	if role == RoleNone {
-		a.refused(trace.AccessDenied("wrong key from %s", r.RemoteAddr))
+		a.reportRefused(trace.AccessDenied("wrong key from %s", r.RemoteAddr))
 		http.Error(w, "wrong key", http.StatusUnauthorized)
 		return
 	}
 	ws, err := websocket.Accept(w, r, nil)
 	if err != nil {
-		a.refused(fmt.Errorf("accept link: %w", err))
+		a.reportRefused(fmt.Errorf("accept link: %w", err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), greetTimeout)
-	conn, err := greet(ctx, &Conn{ws: ws, role: role, count: a.Count}, a.Hello(), a.MaxFrame)
+	ctx, cancel := context.WithTimeout(r.Context(), handshakeTimeout)
+	conn, err := handshake(ctx, &Conn{ws: ws, role: role, count: a.Count}, a.Hello(), a.MaxFrame)
 	cancel()
 	if err != nil {
-		a.refused(err)
+		a.reportRefused(err)
 		return
 	}
 	defer conn.Close()
 	a.Serve(r.Context(), conn)
 }
 
-func (a *Acceptor) refused(err error) {
+func (a *Acceptor) reportRefused(err error) {
 	if a.Refused != nil {
 		a.Refused(err)
 	}
 }
 
-// greet exchanges the greetings.
-func greet(ctx context.Context, c *Conn, hello wire.Hello, maxFrame int64) (*Conn, error) {
-	if maxFrame == 0 {
-		maxFrame = defaultMaxFrame
+// handshake exchanges the greetings.
+func handshake(ctx context.Context, c *Conn, hello wire.Hello, maxFrameBytes int64) (*Conn, error) {
+	if maxFrameBytes == 0 {
+		maxFrameBytes = defaultMaxFrameBytes
 	}
-	c.ws.SetReadLimit(maxFrame)
+	c.ws.SetReadLimit(maxFrameBytes)
 	if err := c.Send(ctx, &wire.Message{Hello: &hello}); err != nil {
 		c.Close()
-		return nil, fmt.Errorf("greet: %w", err)
+		return nil, fmt.Errorf("exchange greetings: %w", err)
 	}
 	m, err := c.Receive(ctx)
 	if err != nil {
 		c.Close()
-		return nil, fmt.Errorf("greet: %w", err)
+		return nil, fmt.Errorf("exchange greetings: %w", err)
 	}
 	if m.Hello == nil || m.Hello.Protocol != Protocol {
 		err := trace.BadParameter("the first frame is not a greeting in protocol %d", Protocol)
-		c.refuse(ctx, err)
-		return nil, fmt.Errorf("greet: %w", err)
+		c.sendRefusal(ctx, err)
+		return nil, fmt.Errorf("exchange greetings: %w", err)
 	}
-	c.peer = *m.Hello
+	c.peerHello = *m.Hello
 	return c, nil
 }
--- a/link/conn_test.go
+++ b/link/conn_test.go
@@ -22,7 +22,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// The same cases in every run.
+// Run the same cases every time.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const peerKey, operatorKey = "peer-key-0123456789", "operator-key-0123456789"
@@ -31,8 +31,8 @@
 	return func() wire.Hello { return wire.Hello{Protocol: protocol, Node: "n", Boot: "b"} }
 }
 
-// accept serves links that echo what they get; refusals and refused frames are
-// sent to the channels.
+// accept serves links that echo each frame. Failed handshakes are sent to refused, receive
+// errors to frames.
 func accept(t *testing.T) (address string, refused, frames chan error) {
 	t.Helper()
 	refused, frames = make(chan error, 8), make(chan error, 8)
@@ -54,7 +54,7 @@
 	return s.Listener.Addr().String(), refused, frames
 }
 
-func limit(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
@@ -66,13 +66,13 @@
 	for name, key := range map[string]string{"peer": peerKey, "operator": operatorKey} {
 		t.Run(name, func(t *testing.T) {
 			d := &link.Dialer{Hello: hello(link.Protocol), Key: key}
-			c, err := d.Dial(limit(t), address)
+			c, err := d.Dial(testContext(t), address)
 			require.NoError(t, err)
 			defer c.Close()
 			require.Equal(t, "n", c.Peer().Node)
 			sent := &wire.Message{Pull: &wire.Pull{Names: []string{"a", "b"}}}
-			require.NoError(t, c.Send(limit(t), sent))
-			got, err := c.Receive(limit(t))
+			require.NoError(t, c.Send(testContext(t), sent))
+			got, err := c.Receive(testContext(t))
 			require.NoError(t, err)
 			require.Equal(t, sent, got)
 		})
@@ -87,14 +87,14 @@
 	defer s.Close()
 	trusted := s.Client().Transport.(*http.Transport).TLSClientConfig
 	d := &link.Dialer{Hello: hello(link.Protocol), Key: peerKey, TLS: &tls.Config{RootCAs: trusted.RootCAs}}
-	c, err := d.Dial(limit(t), s.Listener.Addr().String())
+	c, err := d.Dial(testContext(t), s.Listener.Addr().String())
 	require.NoError(t, err)
 	c.Close()
 	d.TLS = &tls.Config{}
-	_, err = d.Dial(limit(t), s.Listener.Addr().String())
+	_, err = d.Dial(testContext(t), s.Listener.Addr().String())
 	require.ErrorContains(t, err, "certificate")
 	d.TLS = nil
-	_, err = d.Dial(limit(t), s.Listener.Addr().String())
+	_, err = d.Dial(testContext(t), s.Listener.Addr().String())
 	require.Error(t, err, "plain TCP against TLS")
 }
 
@@ -107,21 +107,21 @@
 	}
 	for name, d := range cases {
 		t.Run(name, func(t *testing.T) {
-			c, err := d.Dial(limit(t), address)
+			c, err := d.Dial(testContext(t), address)
 			if err == nil {
-				m, err := c.Receive(limit(t))
+				m, err := c.Receive(testContext(t))
 				require.True(t, err != nil || m.Refusal != nil)
 			}
 			require.Error(t, <-refused)
 		})
 	}
-	_, err := cases["wrong key"].Dial(limit(t), address)
+	_, err := cases["wrong key"].Dial(testContext(t), address)
 	require.True(t, trace.IsAccessDenied(err), "%v", err)
 }
 
-// A peer of a later version sends a member that is not known here, or a frame
-// that is too large or no frame at all: each ends the link, and each is told
-// apart from a broken connection.
+// A peer of a later version sends an unknown member, a frame that is too large, or data
+// that is no frame. Each must close the link with an error that differs from that of a
+// broken connection.
 func TestRefusedFrames(t *testing.T) {
 	encode := func(v any) []byte {
 		var data []byte
@@ -141,7 +141,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			address, _, frames := accept(t)
-			ws, resp, err := websocket.Dial(limit(t), "ws://"+address+link.Path, &websocket.DialOptions{
+			ws, resp, err := websocket.Dial(testContext(t), "ws://"+address+link.Path, &websocket.DialOptions{
 				HTTPHeader: http.Header{"Authorization": {"Bearer " + peerKey}},
 			})
 			require.NoError(t, err)
@@ -151,8 +151,8 @@
 			defer func() { _ = ws.CloseNow() }()
 			greeting, err := link.Encode(&wire.Message{Hello: &wire.Hello{Protocol: link.Protocol}})
 			require.NoError(t, err)
-			require.NoError(t, ws.Write(limit(t), websocket.MessageBinary, greeting))
-			require.NoError(t, ws.Write(limit(t), websocket.MessageBinary, c.data))
+			require.NoError(t, ws.Write(testContext(t), websocket.MessageBinary, greeting))
+			require.NoError(t, ws.Write(testContext(t), websocket.MessageBinary, c.data))
 			err = <-frames
 			require.Error(t, err)
 			require.Equal(t, c.badMessage, trace.IsBadParameter(err), "%v", err)
@@ -184,14 +184,14 @@
 	f.Fuzz(func(_ *testing.T, data []byte) { _, _ = link.Decode(data) })
 }
 
-// held is a connection whose writes wait while it is locked.
-type held struct {
+// blockedConn is a connection whose writes block while mu is locked.
+type blockedConn struct {
 	net.Conn
 	mu      sync.Mutex
 	writing chan struct{}
 }
 
-func (h *held) Write(p []byte) (int, error) {
+func (h *blockedConn) Write(p []byte) (int, error) {
 	select {
 	case h.writing <- struct{}{}:
 	default:
@@ -201,17 +201,17 @@
 	return h.Conn.Write(p)
 }
 
-// A request asks another VM over a link, and its caller leaves while the question
-// is being written. The link must stay: all requests of the VM use it.
-func TestCancelledSendKeepsTheLink(t *testing.T) {
+// The caller of a request leaves while the request's frame to another VM is being written.
+// The link must stay open, because all requests of the VM share it.
+func TestCanceledSendKeepsLink(t *testing.T) {
 	address, _, _ := accept(t)
-	var h *held
+	var h *blockedConn
 	d := &link.Dialer{Hello: hello(link.Protocol), Key: peerKey, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		h = &held{Conn: c, writing: make(chan struct{}, 1)}
+		h = &blockedConn{Conn: c, writing: make(chan struct{}, 1)}
 		return h, err
 	}}
-	c, err := d.Dial(limit(t), address)
+	c, err := d.Dial(testContext(t), address)
 	require.NoError(t, err)
 	defer c.Close()
 	select {
@@ -219,17 +219,17 @@
 	default:
 	}
 	h.mu.Lock()
-	ctx, leave := context.WithCancel(limit(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	sent := make(chan error, 1)
 	go func() { sent <- c.Send(ctx, &wire.Message{Pull: &wire.Pull{Names: []string{"first"}}}) }()
 	<-h.writing
-	leave()
+	cancel()
 	h.mu.Unlock()
 	require.NoError(t, <-sent)
 	require.Error(t, c.Send(ctx, &wire.Message{Pull: &wire.Pull{Names: []string{"never"}}}))
-	require.NoError(t, c.Send(limit(t), &wire.Message{Pull: &wire.Pull{Names: []string{"second"}}}))
+	require.NoError(t, c.Send(testContext(t), &wire.Message{Pull: &wire.Pull{Names: []string{"second"}}}))
 	for _, name := range []string{"first", "second"} {
-		got, err := c.Receive(limit(t))
+		got, err := c.Receive(testContext(t))
 		require.NoError(t, err)
 		require.Equal(t, []string{name}, got.Pull.Names)
 	}
--- a/link/keys.go
+++ b/link/keys.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Role is what a key entitles its holder to.
+// Role is the role that a key grants.
 type Role int
 
 const (
@@ -25,12 +25,12 @@
 	Operator string
 }
 
-// Role returns what the key of a request entitles to. The comparison takes the
-// same time whatever the key, so that a key can not be guessed byte by byte.
+// Role returns the role that the key of a request grants. The comparison takes constant
+// time, so that a key can't be guessed byte by byte.
 func (k Keys) Role(r *http.Request) Role {
 	given := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
-	peer := equal(given, k.Peer)
-	operator := equal(given, k.Operator)
+	peer := keysEqual(given, k.Peer)
+	operator := keysEqual(given, k.Operator)
 	switch {
 	case peer:
 		return RolePeer
@@ -40,7 +40,7 @@
 	return RoleNone
 }
 
-func equal(given, want string) bool {
+func keysEqual(given, want string) bool {
 	a, b := sha256.Sum256([]byte(given)), sha256.Sum256([]byte(want))
 	return subtle.ConstantTimeCompare(a[:], b[:]) == 1 && want != ""
 }
