--- a/fleet/server.go
+++ b/fleet/server.go
@@ -6,39 +6,39 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// server is what a VM knows of one backend server.
+// server is a VM's state for one backend server.
 type server struct {
-	doc       wire.Server
-	report    wire.LoadReport
-	reported  time.Time
-	inFlight  int
-	changes   []change
-	failures  int
-	ejections int
-	ejectedTo time.Time
-	// probing tells that a request is on its way to a server whose ejection is
-	// over: until it has ended no other is sent.
-	probing    bool
-	fullUntil  time.Time
-	leaving    bool
-	notLoaded  map[string]time.Time
-	prefixes   map[uint64]bool
-	cacheEvent int
+	doc                 wire.Server
+	report              wire.LoadReport
+	reportedAt          time.Time
+	inFlight            int
+	loadChanges         []loadChange
+	consecutiveFailures int
+	ejections           int
+	ejectedUntil        time.Time
+	// probing is set while a request is in progress on a server whose ejection is over. No
+	// other request is sent until it has ended.
+	probing        bool
+	fullUntil      time.Time
+	leaving        bool
+	notLoadedUntil map[string]time.Time
+	cachedPrefixes map[uint64]bool
+	lastCacheEvent int
 }
 
-// change is one own request begun (+1) or ended (-1), kept until a load report
-// must have counted it.
-type change struct {
-	at time.Time
-	by int
+// loadChange is the start (+1) or end (-1) of one of this VM's requests, kept until a load
+// report must include it.
+type loadChange struct {
+	at    time.Time
+	delta int
 }
 
-// load returns the reported load, corrected by the own requests that the
-// report can not have counted yet.
+// load returns the reported load, corrected by this VM's requests that the report can't
+// include yet.
 func (s *server) load(now time.Time) int {
 	n := s.report.Running + s.report.Queued
-	for _, c := range s.changes {
-		n += c.by
+	for _, c := range s.loadChanges {
+		n += c.delta
 	}
 	if now.Before(s.fullUntil) {
 		n = max(n, fullFactor*s.report.Slots)
@@ -46,43 +46,43 @@
 	return max(n, s.inFlight, 0)
 }
 
-func (s *server) note(now time.Time, by int) {
-	s.inFlight += by
-	s.changes = append(s.changes, change{at: now, by: by})
+func (s *server) recordChange(now time.Time, delta int) {
+	s.inFlight += delta
+	s.loadChanges = append(s.loadChanges, loadChange{at: now, delta: delta})
 }
 
-// forgetChanges drops what a report taken at the given time has counted.
-func (s *server) forgetChanges(taken time.Time) {
-	kept := s.changes[:0]
-	for _, c := range s.changes {
-		if c.at.After(taken) {
+// discardCounted discards the changes that a report taken at the given time includes.
+func (s *server) discardCounted(takenAt time.Time) {
+	kept := s.loadChanges[:0]
+	for _, c := range s.loadChanges {
+		if c.at.After(takenAt) {
 			kept = append(kept, c)
 		}
 	}
-	s.changes = kept
+	s.loadChanges = kept
 }
 
-// ejected reports whether the server is to be left alone: for the time of its
-// ejection, and then but for one request at a time, the probe.
+// ejected reports whether the server must get no requests. After the time of an ejection it
+// gets one request at a time, the probe.
 func (s *server) ejected(now time.Time) bool {
-	return now.Before(s.ejectedTo) || s.ejections > 0 && s.probing
+	return now.Before(s.ejectedUntil) || s.ejections > 0 && s.probing
 }
 
-// holds reports whether a model, and the adapter if one is named, is loaded.
-func (s *server) holds(model, adapter string) bool {
-	base, fit := false, adapter == ""
+// hasLoaded reports whether a model, and the adapter if one is named, is loaded.
+func (s *server) hasLoaded(model, adapter string) bool {
+	baseLoaded, adapterLoaded := false, adapter == ""
 	for _, r := range s.report.Residents {
 		if r.Model != model || r.State != wire.ResidentStateLoaded {
 			continue
 		}
 		if r.Adapter == "" {
-			base = true
+			baseLoaded = true
 		}
 		if r.Adapter == adapter {
-			fit = true
+			adapterLoaded = true
 		}
 	}
-	return base && fit
+	return baseLoaded && adapterLoaded
 }
 
-func holdingKey(model, adapter string) string { return model + "/" + adapter }
+func artifactKey(model, adapter string) string { return model + "/" + adapter }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -1,5 +1,5 @@
-// Package fleet is a VM's view of the backend servers: which there are, what
-// they hold, how loaded they are and which are healthy. Reports lag; the view
+// Package fleet keeps a VM's view of the backend servers: which servers exist, what they
+// have loaded, how loaded they are and which are healthy. Load reports lag, so the view
 // corrects them with the VM's own requests. It does no I/O and reads no clock.
 package fleet
 
@@ -14,32 +14,32 @@
 
 // Defaults of a View.
 const (
-	defaultReportLag = 200 * time.Millisecond
-	defaultSilence   = 3 * time.Second
-	defaultEjectFor  = time.Second
-	maxEjectFor      = 30 * time.Second
-	failuresToEject  = 3
-	missMemory       = 500 * time.Millisecond
-	fullMemory       = 100 * time.Millisecond
-	// fullFactor is the load, in slots, that a server which refused for lack of
-	// room is taken to have.
+	defaultReportLag      = 200 * time.Millisecond
+	defaultSilenceTimeout = 3 * time.Second
+	initialEjection       = time.Second
+	maxEjection           = 30 * time.Second
+	failuresToEject       = 3
+	notLoadedTTL          = 500 * time.Millisecond
+	fullTTL               = 100 * time.Millisecond
+	// fullFactor is the load, in multiples of the slots, that is assumed for a server which
+	// refused a request for lack of capacity.
 	fullFactor = 2
 )
 
-// View is the view. The zero value works. Its methods may be called at once
-// from several goroutines.
+// View is a VM's view of the backend servers. The zero value is ready to use. It is safe
+// for concurrent use.
 type View struct {
-	// ReportLag is how old a report may be when it arrives; 0 takes 200 ms.
+	// ReportLag is the maximum age of a report when it arrives; 0 selects 200 ms.
 	ReportLag time.Duration
-	// Silence is how long a server may go unreported before it counts as
-	// silent; 0 takes 3 s.
+	// Silence is the time without a report after which a server counts as silent; 0 selects
+	// 3 s.
 	Silence time.Duration
 
 	mu      sync.Mutex
 	servers map[string]*server
 }
 
-// Need is what a request needs of a server.
+// Need is what a request requires of a server.
 type Need struct {
 	Pool    string
 	Model   string
@@ -48,26 +48,25 @@
 	Prefix  uint64
 }
 
-// Candidate is a server that can serve a request, as it looked when asked.
+// Candidate is a server that can serve a request, with its state at the time of the query.
 type Candidate struct {
 	Name    string
 	Address string
 	Domain  string
-	// Load is the reported load, corrected by the VM's own requests; Reported
-	// is as it was reported.
+	// Load is the reported load, corrected by the VM's own requests. Reported is the load
+	// as reported.
 	Load     int
 	Reported int
 	Slots    int
-	// Cached tells that the server reported the prompt's prefix in its cache.
+	// Cached is set when the server reported the prompt's prefix as cached.
 	Cached bool
 	// Healthy is false for an ejected or silent server.
 	Healthy bool
 
-	prefills bool
+	prefillOnly bool
 }
 
-// SetServers replaces the list of servers. What is known of those that stay is
-// kept.
+// SetServers replaces the list of servers. The state of servers that remain is kept.
 func (v *View) SetServers(docs []wire.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -75,7 +74,7 @@
 	for _, doc := range docs {
 		s := v.servers[doc.Name]
 		if s == nil || s.doc.Address != doc.Address {
-			s = &server{notLoaded: make(map[string]time.Time), prefixes: make(map[uint64]bool)}
+			s = &server{notLoadedUntil: make(map[string]time.Time), cachedPrefixes: make(map[uint64]bool)}
 		}
 		s.doc = doc
 		s.leaving = doc.Leaving
@@ -96,7 +95,7 @@
 	return docs
 }
 
-// SetReport takes in a load report that arrived now.
+// SetReport records a load report that arrived now.
 func (v *View) SetReport(now time.Time, name string, report wire.LoadReport) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -108,24 +107,24 @@
 	if lag == 0 {
 		lag = defaultReportLag
 	}
-	s.report, s.reported = report, now
+	s.report, s.reportedAt = report, now
 	s.leaving = s.doc.Leaving || report.Draining
-	s.forgetChanges(now.Add(-lag))
+	s.discardCounted(now.Add(-lag))
 }
 
-// Report returns the last load report of a server and when it arrived; the
-// zero time when none has.
+// Report returns the last load report of a server and its arrival time, which is zero when
+// no report has arrived.
 func (v *View) Report(name string) (wire.LoadReport, time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
-		return s.report, s.reported
+		return s.report, s.reportedAt
 	}
 	return wire.LoadReport{}, time.Time{}
 }
 
-// AddCacheEvents takes in cache events and returns the last sequence number.
-// The events are hints: some are missing and all are late.
+// AddCacheEvents applies cache events and returns the last sequence number. The events are
+// hints: some are missing and all are late.
 func (v *View) AddCacheEvents(name string, events []wire.CacheEvent, parse func(string) (uint64, error)) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -134,42 +133,43 @@
 		return 0
 	}
 	for _, e := range events {
-		s.cacheEvent = max(s.cacheEvent, e.Sequence)
+		s.lastCacheEvent = max(s.lastCacheEvent, e.Sequence)
 		prefix, err := parse(e.Prefix)
 		if err != nil {
 			continue
 		}
 		if e.Evicted {
-			delete(s.prefixes, prefix)
+			delete(s.cachedPrefixes, prefix)
 			continue
 		}
-		s.prefixes[prefix] = true
+		s.cachedPrefixes[prefix] = true
 	}
-	return s.cacheEvent
+	return s.lastCacheEvent
 }
 
-// CacheEvent returns the sequence number of the last cache event taken in.
+// CacheEvent returns the sequence number of the last cache event that was applied.
 func (v *View) CacheEvent(name string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
-		return s.cacheEvent
+		return s.lastCacheEvent
 	}
 	return 0
 }
 
-// Begin notes that a request is being sent to a server.
+// Begin records that a request is being sent to a server.
 func (v *View) Begin(now time.Time, name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
-		s.note(now, 1)
+		s.recordChange(now, 1)
 		s.probing = s.ejections > 0
 	}
 }
 
-// End notes that a request has ended, and how. Consecutive failures eject the
-// server for a while that doubles; the first request after it is the probe.
+// End records that a request has ended, and whether it succeeded. Consecutive failures
+// eject the server, each time for twice as long. The first request after an ejection is the
+// probe.
 func (v *View) End(now time.Time, name string, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -177,45 +177,45 @@
 	if s == nil {
 		return
 	}
-	s.note(now, -1)
+	s.recordChange(now, -1)
 	s.probing = false
 	if ok {
-		s.failures, s.ejections, s.ejectedTo = 0, 0, time.Time{}
+		s.consecutiveFailures, s.ejections, s.ejectedUntil = 0, 0, time.Time{}
 		return
 	}
-	s.failures++
-	if s.failures < failuresToEject || now.Before(s.ejectedTo) {
+	s.consecutiveFailures++
+	if s.consecutiveFailures < failuresToEject || now.Before(s.ejectedUntil) {
 		return
 	}
-	s.ejectedTo = now.Add(ejectFor(s.ejections))
+	s.ejectedUntil = now.Add(ejectionTime(s.ejections))
 	s.ejections++
 }
 
-func ejectFor(ejections int) time.Duration {
-	return min(defaultEjectFor<<min(ejections, 5), maxEjectFor)
+func ejectionTime(ejections int) time.Duration {
+	return min(initialEjection<<min(ejections, 5), maxEjection)
 }
 
-// Miss notes that a server refused a model that its report listed. It is not
-// asked again for a moment.
+// Miss records that a server refused a model that its report listed. The server is not a
+// candidate for that model for a short time.
 func (v *View) Miss(now time.Time, name, model, adapter string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
-		s.notLoaded[holdingKey(model, adapter)] = now.Add(missMemory)
+		s.notLoadedUntil[artifactKey(model, adapter)] = now.Add(notLoadedTTL)
 	}
 }
 
-// Full notes that a server refused a request for lack of room: it counts as
-// overfull for a moment. It still holds its models.
+// Full records that a server refused a request for lack of capacity. The server counts as
+// overloaded for a short time. Its models stay loaded.
 func (v *View) Full(now time.Time, name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
-		s.fullUntil = now.Add(fullMemory)
+		s.fullUntil = now.Add(fullTTL)
 	}
 }
 
-// SetLeaving notes that a server refused a request because it is leaving.
+// SetLeaving records that a server refused a request because it is leaving.
 func (v *View) SetLeaving(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -224,22 +224,22 @@
 	}
 }
 
-// Candidates returns the servers that hold what a request needs and are not
-// leaving, sorted by name. When none of them is healthy the unhealthy ones are
-// returned: ejecting the last copy would make the model unreachable.
+// Candidates returns the servers that meet the requirements and are not leaving, sorted by
+// name. When none of them is healthy it returns the unhealthy ones: ejecting the last copy
+// would make the model unreachable.
 func (v *View) Candidates(now time.Time, need Need) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all []Candidate
 	healthy := 0
 	for _, s := range v.servers {
-		if !v.fits(now, s, need) {
+		if !v.meets(now, s, need) {
 			continue
 		}
 		c := Candidate{
 			Name: s.doc.Name, Address: s.doc.Address, Domain: s.doc.FailureDomain,
-			Load: s.load(now), Reported: s.report.Running + s.report.Queued, Slots: s.report.Slots, Cached: s.prefixes[need.Prefix],
-			Healthy: !s.ejected(now) && !v.silent(now, s), prefills: s.report.Role == string(wire.OrderRolePrefill),
+			Load: s.load(now), Reported: s.report.Running + s.report.Queued, Slots: s.report.Slots, Cached: s.cachedPrefixes[need.Prefix],
+			Healthy: !s.ejected(now) && !v.silent(now, s), prefillOnly: s.report.Role == string(wire.OrderRolePrefill),
 		}
 		if c.Healthy {
 			healthy++
@@ -249,37 +249,37 @@
 	if healthy > 0 {
 		all = slices.DeleteFunc(all, func(c Candidate) bool { return !c.Healthy })
 	}
-	// A server in the role of prefilling hands its work to others; it is asked
-	// for a whole answer only when no other server holds the model.
-	if slices.ContainsFunc(all, func(c Candidate) bool { return !c.prefills }) {
-		all = slices.DeleteFunc(all, func(c Candidate) bool { return c.prefills })
+	// A server in the prefill role passes its work to other servers. It gets whole requests
+	// only when no other server has loaded the model.
+	if slices.ContainsFunc(all, func(c Candidate) bool { return !c.prefillOnly }) {
+		all = slices.DeleteFunc(all, func(c Candidate) bool { return c.prefillOnly })
 	}
 	slices.SortFunc(all, func(a, b Candidate) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
-func (v *View) fits(now time.Time, s *server, need Need) bool {
+func (v *View) meets(now time.Time, s *server, need Need) bool {
 	if s.leaving || s.doc.Pool != need.Pool {
 		return false
 	}
 	if need.Service {
 		return true
 	}
-	if now.Before(s.notLoaded[holdingKey(need.Model, need.Adapter)]) {
+	if now.Before(s.notLoadedUntil[artifactKey(need.Model, need.Adapter)]) {
 		return false
 	}
-	return s.holds(need.Model, need.Adapter)
+	return s.hasLoaded(need.Model, need.Adapter)
 }
 
 func (v *View) silent(now time.Time, s *server) bool {
 	silence := v.Silence
 	if silence == 0 {
-		silence = defaultSilence
+		silence = defaultSilenceTimeout
 	}
-	return !s.reported.IsZero() && now.Sub(s.reported) > silence
+	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) > silence
 }
 
-// Status returns what the VM sees of each server, sorted by name.
+// Status returns the status of each server in this view, sorted by name.
 func (v *View) Status(now time.Time) []wire.ServerStatus {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -300,7 +300,7 @@
 		return wire.ServerStatusStateLeaving
 	case s.ejected(now):
 		return wire.ServerStatusStateEjected
-	case s.reported.IsZero() || v.silent(now, s):
+	case s.reportedAt.IsZero() || v.silent(now, s):
 		return wire.ServerStatusStateSilent
 	}
 	return wire.ServerStatusStateHealthy
@@ -322,13 +322,13 @@
 	return names
 }
 
-// Free returns how many requests the healthy servers that hold what is needed
-// can take before their slots are full, and whether their slots are known.
+// Free returns the number of free slots on the healthy servers that meet the requirements,
+// and whether any of them reports its slots.
 func (v *View) Free(now time.Time, need Need) (free int, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
-		if !v.fits(now, s, need) || s.ejected(now) || v.silent(now, s) || s.report.Slots == 0 {
+		if !v.meets(now, s, need) || s.ejected(now) || v.silent(now, s) || s.report.Slots == 0 {
 			continue
 		}
 		known = true
@@ -337,7 +337,8 @@
 	return free, known
 }
 
-// Holds reports whether a server that is healthy reports an artifact as loaded.
+// Holds reports whether a server that is neither leaving nor silent reports an artifact as
+// loaded.
 func (v *View) Holds(now time.Time, name, model, adapter string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -345,19 +346,18 @@
 	if s == nil || s.leaving || v.silent(now, s) {
 		return false
 	}
-	return s.holds(model, adapter)
+	return s.hasLoaded(model, adapter)
 }
 
-// Alive reports whether a server has reported lately and is not leaving.
+// Alive reports whether a server has reported recently and is not leaving.
 func (v *View) Alive(now time.Time, name string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.servers[name]
-	return s != nil && !s.leaving && !s.reported.IsZero() && !v.silent(now, s)
+	return s != nil && !s.leaving && !s.reportedAt.IsZero() && !v.silent(now, s)
 }
 
-// Loaded reports whether any server reports an artifact in this version as
-// loaded.
+// Loaded reports whether any server reports this version of an artifact as loaded.
 func (v *View) Loaded(model, adapter string, version int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -47,19 +47,19 @@
 		change func(*fleet.View)
 		want   []string
 	}{
-		"model":              {need: fleet.Need{Pool: "llm", Model: "m"}, want: []string{"a", "b"}},
-		"adapter":            {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "x"}, want: []string{"a", "b"}},
-		"missing adapter":    {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "y"}},
-		"still loading":      {need: fleet.Need{Pool: "llm", Model: "n"}},
-		"other pool":         {need: fleet.Need{Pool: "desk", Service: true}},
-		"leaving":            {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetLeaving("a") }, want: []string{"b"}},
-		"draining report":    {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetReport(start, "b", wire.LoadReport{Draining: true}) }, want: []string{"a"}},
-		"refused the model":  {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Miss(start, "a", "m", "") }, want: []string{"b"}},
-		"refused for room":   {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Full(start, "a") }, want: []string{"a", "b"}},
-		"ejected":            {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a") }, want: []string{"b"}},
-		"role of prefilling": {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a") }, want: []string{"b"}},
-		"all prefilling":     {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a"); prefill(v, "b") }, want: []string{"a", "b"}},
-		"last copy stays":    {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
+		"model":                {need: fleet.Need{Pool: "llm", Model: "m"}, want: []string{"a", "b"}},
+		"adapter":              {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "x"}, want: []string{"a", "b"}},
+		"missing adapter":      {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "y"}},
+		"still loading":        {need: fleet.Need{Pool: "llm", Model: "n"}},
+		"other pool":           {need: fleet.Need{Pool: "desk", Service: true}},
+		"leaving":              {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetLeaving("a") }, want: []string{"b"}},
+		"draining report":      {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetReport(start, "b", wire.LoadReport{Draining: true}) }, want: []string{"a"}},
+		"refused the model":    {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Miss(start, "a", "m", "") }, want: []string{"b"}},
+		"refused, at capacity": {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Full(start, "a") }, want: []string{"a", "b"}},
+		"ejected":              {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a") }, want: []string{"b"}},
+		"prefill role":         {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a") }, want: []string{"b"}},
+		"all in prefill role":  {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a"); prefill(v, "b") }, want: []string{"a", "b"}},
+		"last copy stays":      {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -104,8 +104,8 @@
 	require.Equal(t, []string{"a", "b"}, names(v.Candidates(later, need)))
 }
 
-// Load reports lag: a report that arrives now was taken before the VM's latest
-// requests began. They must be counted until a report can have seen them.
+// A report that arrives now was taken before the VM's latest requests began. The view must
+// add these requests to the load until a report can include them.
 func TestStaleReportIsCorrected(t *testing.T) {
 	v := view(t)
 	load := func(now time.Time) int { return v.Candidates(now, fleet.Need{Pool: "llm", Model: "m"})[0].Load }
@@ -117,7 +117,7 @@
 	require.Equal(t, 2, load(soon), "the report was taken before the requests began")
 	later := start.Add(400 * time.Millisecond)
 	v.SetReport(later, "a", report(5))
-	require.Equal(t, 5, load(later), "this one has counted them")
+	require.Equal(t, 5, load(later), "the report includes the requests")
 	v.End(later, "a", true)
 	require.Equal(t, 4, load(later))
 }
@@ -130,7 +130,7 @@
 	require.Equal(t, wire.ServerStatusStateSilent, v.Status(now)[0].State)
 }
 
-func TestServerListKeepsWhatIsKnown(t *testing.T) {
+func TestSetServersKeepsState(t *testing.T) {
 	v := view(t)
 	v.SetServers([]wire.Server{
 		{Name: "a", Pool: "llm", Address: "1"},
