--- a/member/list.go
+++ b/member/list.go
@@ -1,12 +1,12 @@
-// Package member decides which VMs are alive, from heartbeats that VMs pass on
-// to each other, and whom to pass them on to. It does no I/O, reads no clock and
-// takes its random source as an argument.
+// Package member decides which VMs are alive, from heartbeats that VMs forward to each
+// other, and to which VMs to forward them. It does no I/O, reads no clock and takes its
+// random source as an argument.
 //
-// It is gossip-style failure detection (van Renesse, Minsky and Hayden, 1998)
-// with the incarnations and the spreading of news of SWIM (Das, Gupta and
-// Motivala, 2002). A VM is heard directly or through any other, so that one
-// broken link makes nobody dead. VMs of a failure domain judge each other; the
-// others learn of a death as news.
+// It combines gossip-style failure detection (van Renesse, Minsky and Hayden, 1998) with
+// the incarnations and the dissemination of changes of SWIM (Das, Gupta and Motivala,
+// 2002). Heartbeats arrive directly or through any other VM, so that one broken link makes
+// no VM count as dead. VMs of a failure domain detect each other's failures; VMs of other
+// domains receive a failure as a state change.
 package member
 
 import (
@@ -24,33 +24,33 @@
 
 // Defaults of a List.
 const (
-	defaultFanout      = 2
-	defaultBridges     = 2
-	defaultSilence     = 8 * time.Second
-	defaultForgetAfter = time.Minute
-	// remoteFactor is how much longer a VM of another domain may be silent:
-	// its heartbeats take turns with those of all other domains, and its death
-	// comes as news from its own.
+	defaultFanout       = 2
+	defaultBridges      = 2
+	defaultDeadAfter    = 8 * time.Second
+	defaultDiscardAfter = time.Minute
+	// remoteFactor multiplies the silence allowed for a VM of another domain. Its
+	// heartbeats share the batches with those of all other domains, and its own domain
+	// announces its failure.
 	remoteFactor = 30
-	// newsFactor times log2 of the fleet is how often a change is passed on.
-	newsFactor = 3
+	// urgentFactor times log2 of the fleet size is how often a change is forwarded with
+	// priority.
+	urgentFactor = 3
 )
 
-// List is what a VM knows of the fleet. Name and Domain must be set. It is not
-// safe for use by several goroutines at once.
+// List is a VM's membership list of the fleet. Name and Domain must be set. It is not safe
+// for concurrent use.
 type List struct {
 	Name   string
 	Domain string
-	// Fanout is how many VMs of the own domain get each round's heartbeats.
+	// Fanout is the number of VMs of the own domain that get each round's heartbeats.
 	Fanout int
-	// Bridges is how many VMs of a domain pass heartbeats on to other domains,
-	// each to as many.
+	// Bridges is the number of VMs of a domain that forward heartbeats to other domains,
+	// and the number of VMs that each of them forwards to.
 	Bridges int
-	// Silence is how long a VM of the own domain may be unheard before it
-	// counts as dead.
+	// Silence is the time without a heartbeat after which a VM of the own domain counts as
+	// dead.
 	Silence time.Duration
-	// ForgetAfter is how long a dead VM that the platform does not list is
-	// remembered.
+	// ForgetAfter is how long a dead VM that the platform does not list is kept.
 	ForgetAfter time.Duration
 
 	self    wire.Heartbeat
@@ -58,16 +58,16 @@
 	round   int
 }
 
-// entry is what is known of one other VM.
+// entry is the state of one other VM.
 type entry struct {
-	beat wire.Heartbeat
-	// heard is when its sequence last rose.
-	heard time.Time
-	// news is how often the record is still to be passed on with priority.
-	news int
-	// sent is the round in which it was last passed on.
-	sent   int
-	listed bool
+	heartbeat wire.Heartbeat
+	// heardAt is when the heartbeat's sequence last increased.
+	heardAt time.Time
+	// urgentSends is how many more times the heartbeat is forwarded with priority.
+	urgentSends int
+	// sentRound is the round in which the heartbeat was last forwarded.
+	sentRound      int
+	inPlatformList bool
 }
 
 func (l *List) fanout() int  { return orDefault(l.Fanout, defaultFanout) }
@@ -80,44 +80,44 @@
 	return v
 }
 
-// Begin starts a round: the VM's own heartbeat, whose sequence rises, and the
-// judgement of those that have been silent too long.
+// Begin starts a round. It increments the sequence of the VM's own heartbeat and marks VMs
+// that have been silent for too long as dead.
 func (l *List) Begin(now time.Time, self wire.Heartbeat) {
 	self.Incarnation = max(self.Incarnation, l.self.Incarnation)
 	self.Sequence = l.self.Sequence + 1
 	l.self = self
 	l.round++
 	for _, e := range l.entries {
-		l.judge(now, e)
+		l.checkSilence(now, e)
 	}
 }
 
-// judge declares a VM of the own domain dead when it has been silent too long.
-func (l *List) judge(now time.Time, e *entry) {
-	if e.beat.State == wire.HeartbeatStateDead || e.beat.FailureDomain != l.Domain {
+// checkSilence marks a VM of the own domain as dead when it has been silent for too long.
+func (l *List) checkSilence(now time.Time, e *entry) {
+	if e.heartbeat.State == wire.HeartbeatStateDead || e.heartbeat.FailureDomain != l.Domain {
 		return
 	}
-	if now.Sub(e.heard) > l.silence(e) {
-		e.beat.State = wire.HeartbeatStateDead
-		e.news = l.newsCount()
+	if now.Sub(e.heardAt) > l.maxSilence(e) {
+		e.heartbeat.State = wire.HeartbeatStateDead
+		e.urgentSends = l.urgentSendCount()
 	}
 }
 
-func (l *List) silence(e *entry) time.Duration {
-	silence := orDefault(l.Silence, defaultSilence)
-	if e.beat.FailureDomain != l.Domain {
+func (l *List) maxSilence(e *entry) time.Duration {
+	silence := orDefault(l.Silence, defaultDeadAfter)
+	if e.heartbeat.FailureDomain != l.Domain {
 		silence *= remoteFactor
 	}
 	return silence
 }
 
-func (l *List) newsCount() int {
-	return newsFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+2))))
+func (l *List) urgentSendCount() int {
+	return urgentFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+2))))
 }
 
-// Merge takes in heartbeats that another VM has passed on.
-func (l *List) Merge(now time.Time, beats []wire.Heartbeat) {
-	for _, b := range beats {
+// Merge applies heartbeats that another VM forwarded.
+func (l *List) Merge(now time.Time, heartbeats []wire.Heartbeat) {
+	for _, b := range heartbeats {
 		if b.Node == l.Name {
 			l.refute(b)
 			continue
@@ -126,11 +126,11 @@
 	}
 }
 
-// refute answers the news of the VM's own death with a higher incarnation. So
-// does a VM that was restarted and meets the news of its former run.
-func (l *List) refute(b wire.Heartbeat) {
-	if b.State == wire.HeartbeatStateDead && b.Incarnation >= l.self.Incarnation {
-		l.self.Incarnation = b.Incarnation + 1
+// refute answers a report of the VM's own death with a higher incarnation. A restarted VM
+// does the same on a report about its earlier run.
+func (l *List) refute(report wire.Heartbeat) {
+	if report.State == wire.HeartbeatStateDead && report.Incarnation >= l.self.Incarnation {
+		l.self.Incarnation = report.Incarnation + 1
 	}
 }
 
@@ -141,22 +141,22 @@
 		return
 	}
 	switch {
-	case b.Incarnation > e.beat.Incarnation:
-		e.news = l.newsCount()
-	case b.Incarnation < e.beat.Incarnation || e.beat.State == wire.HeartbeatStateDead:
-		// Old news. A death is undone by a higher incarnation only: a late copy
-		// of a heartbeat from before it must not bring the VM back.
+	case b.Incarnation > e.heartbeat.Incarnation:
+		e.urgentSends = l.urgentSendCount()
+	case b.Incarnation < e.heartbeat.Incarnation || e.heartbeat.State == wire.HeartbeatStateDead:
+		// The heartbeat is outdated. Only a higher incarnation reverts a death: a late copy
+		// of an earlier heartbeat must not make the VM alive again.
 		return
 	case b.State == wire.HeartbeatStateDead:
-		e.news = l.newsCount()
-	case b.Sequence <= e.beat.Sequence:
+		e.urgentSends = l.urgentSendCount()
+	case b.Sequence <= e.heartbeat.Sequence:
 		return
-	case b.State != e.beat.State:
-		e.news = l.newsCount()
+	case b.State != e.heartbeat.State:
+		e.urgentSends = l.urgentSendCount()
 	}
-	e.beat = b
+	e.heartbeat = b
 	if b.State != wire.HeartbeatStateDead {
-		e.heard = now
+		e.heardAt = now
 	}
 }
 
@@ -164,16 +164,16 @@
 	if l.entries == nil {
 		l.entries = make(map[string]*entry)
 	}
-	e := &entry{beat: b, heard: now}
+	e := &entry{heartbeat: b, heardAt: now}
 	l.entries[b.Node] = e
-	e.news = l.newsCount()
+	e.urgentSends = l.urgentSendCount()
 }
 
-// Hint takes in the platform's list, which lags: VMs that are not known are
-// tried, and dead ones that it does not have any more are forgotten.
+// Hint applies the platform's list, which lags. It adds unknown VMs as gossip targets and
+// discards dead VMs that are no longer listed.
 func (l *List) Hint(now time.Time, vms []wire.VM) {
 	for _, e := range l.entries {
-		e.listed = false
+		e.inPlatformList = false
 	}
 	for _, vm := range vms {
 		if vm.Name == l.Name {
@@ -185,40 +185,40 @@
 				Node: vm.Name, FailureDomain: vm.FailureDomain, PeerAddress: vm.PeerAddress, State: wire.HeartbeatStateAlive,
 			})
 			e = l.entries[vm.Name]
-			e.news = 0
+			e.urgentSends = 0
 		}
-		// A VM that was replaced under the same name has another address; its
-		// own heartbeat will say so with a higher incarnation.
-		if e.beat.State == wire.HeartbeatStateDead || e.beat.Incarnation == 0 {
-			e.beat.PeerAddress = vm.PeerAddress
+		// A VM that was replaced under the same name has another address. Its own heartbeat
+		// announces the address with a higher incarnation.
+		if e.heartbeat.State == wire.HeartbeatStateDead || e.heartbeat.Incarnation == 0 {
+			e.heartbeat.PeerAddress = vm.PeerAddress
 		}
-		e.listed = true
+		e.inPlatformList = true
 	}
 	for name, e := range l.entries {
-		if !e.listed && now.Sub(e.heard) > l.silence(e)+orDefault(l.ForgetAfter, defaultForgetAfter) {
+		if !e.inPlatformList && now.Sub(e.heardAt) > l.maxSilence(e)+orDefault(l.ForgetAfter, defaultDiscardAfter) {
 			delete(l.entries, name)
 		}
 	}
 }
 
-// Alive reports whether a VM is taken to be alive; a leaving one is, too.
+// Alive reports whether a VM counts as alive, which includes a leaving VM.
 func (l *List) Alive(now time.Time, name string) bool {
 	if name == l.Name {
 		return true
 	}
 	e := l.entries[name]
-	return e != nil && e.beat.State != wire.HeartbeatStateDead && now.Sub(e.heard) <= l.silence(e) && e.beat.Incarnation > 0
+	return e != nil && e.heartbeat.State != wire.HeartbeatStateDead && now.Sub(e.heardAt) <= l.maxSilence(e) && e.heartbeat.Incarnation > 0
 }
 
-// Staying returns the VMs, this one too, that are alive and not leaving, sorted
-// by name; with a domain, only those in it.
+// Staying returns the VMs, including this one, that are alive and not leaving, sorted by
+// name. With a domain it returns only the VMs of that domain.
 func (l *List) Staying(now time.Time, domain string) []string {
 	var names []string
 	if l.self.State != wire.HeartbeatStateLeaving && (domain == "" || domain == l.Domain) {
 		names = append(names, l.Name)
 	}
 	for name, e := range l.entries {
-		if l.Alive(now, name) && e.beat.State == wire.HeartbeatStateAlive && (domain == "" || e.beat.FailureDomain == domain) {
+		if l.Alive(now, name) && e.heartbeat.State == wire.HeartbeatStateAlive && (domain == "" || e.heartbeat.FailureDomain == domain) {
 			names = append(names, name)
 		}
 	}
@@ -228,21 +228,21 @@
 
 // Beats returns the last heartbeats of the other VMs, sorted by name.
 func (l *List) Beats() []wire.Heartbeat {
-	var beats []wire.Heartbeat
+	var heartbeats []wire.Heartbeat
 	for _, e := range l.entries {
-		beats = append(beats, e.beat)
+		heartbeats = append(heartbeats, e.heartbeat)
 	}
-	slices.SortFunc(beats, func(a, b wire.Heartbeat) int { return strings.Compare(a.Node, b.Node) })
-	return beats
+	slices.SortFunc(heartbeats, func(a, b wire.Heartbeat) int { return strings.Compare(a.Node, b.Node) })
+	return heartbeats
 }
 
-// Elected reports whether this VM is among the count of its domain that do a
-// job: the staying VMs agree on them by rendezvous hashing, without a call.
+// Elected reports whether this VM is among the count VMs of its domain that do a job. The
+// active VMs agree on them by rendezvous hashing, without a call.
 func (l *List) Elected(now time.Time, job string, count int) bool {
-	return slices.Contains(elect(l.Staying(now, l.Domain), job, count), l.Name)
+	return slices.Contains(rendezvousTop(l.Staying(now, l.Domain), job, count), l.Name)
 }
 
-func elect(names []string, job string, count int) []string {
+func rendezvousTop(names []string, job string, count int) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
 		ha, hb := xxhash.Sum64String(job+"/"+a), xxhash.Sum64String(job+"/"+b)
@@ -257,126 +257,127 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// Targets returns the addresses to pass this round's heartbeats on to: some VMs
-// of the domain and, when this VM is a bridge, some of other domains. Dead and
-// unheard ones get a part of the tries, so that two halves of a fleet that have
-// taken each other for dead meet again.
+// Targets returns the addresses to which this round's heartbeats are forwarded: some VMs of
+// the domain and, when this VM is a bridge, some of other domains. Targets
+// include one VM of the domain, and for a bridge one of another domain, that is dead or was
+// never heard, so that two partitions which count each other as dead reconnect.
 func (l *List) Targets(now time.Time, rng *rand.Rand) []string {
-	targets, lost, farLost := l.targets(now, rng, l.fanout())
-	targets = append(targets, draw(rng, lost, 1)...)
-	// Those of other domains are the bridges' to try.
+	targets, ownSilent, otherSilent := l.targets(now, rng, l.fanout())
+	targets = append(targets, sample(rng, ownSilent, 1)...)
+	// Only bridges retry silent VMs of other domains.
 	if l.Elected(now, "bridge", l.bridges()) {
-		targets = append(targets, draw(rng, farLost, 1)...)
+		targets = append(targets, sample(rng, otherSilent, 1)...)
 	}
 	return targets
 }
 
-// spreadFanout is how many VMs of the domain a change is passed on to by each
-// that learns of it: with five, about one VM in a hundred is missed and hears of
-// it in the next rounds.
-const spreadFanout = 5
+// urgentFanout is the number of VMs of the domain to which each VM that receives a change
+// forwards it at once. With five, about one VM in a hundred is missed and receives the
+// change in the next rounds.
+const urgentFanout = 5
 
-// SpreadTargets returns the addresses to pass a change on to at once.
+// SpreadTargets returns the addresses to which a change is forwarded at once.
 func (l *List) SpreadTargets(now time.Time, rng *rand.Rand) []string {
-	targets, _, _ := l.targets(now, rng, spreadFanout)
+	targets, _, _ := l.targets(now, rng, urgentFanout)
 	return targets
 }
 
-// targets draws among the living, and returns the others of the own domain and
-// of other domains.
-func (l *List) targets(now time.Time, rng *rand.Rand, fanout int) (targets, lost, farLost []string) {
-	var near, far []string
+// targets samples the alive VMs, and returns all other VMs of the own domain and of other
+// domains.
+func (l *List) targets(now time.Time, rng *rand.Rand, fanout int) (targets, ownSilent, otherSilent []string) {
+	var ownAlive, otherAlive []string
 	for name, e := range l.entries {
-		alive, own := l.Alive(now, name), e.beat.FailureDomain == l.Domain
+		alive, own := l.Alive(now, name), e.heartbeat.FailureDomain == l.Domain
 		switch {
 		case alive && own:
-			near = append(near, e.beat.PeerAddress)
+			ownAlive = append(ownAlive, e.heartbeat.PeerAddress)
 		case alive:
-			far = append(far, e.beat.PeerAddress)
+			otherAlive = append(otherAlive, e.heartbeat.PeerAddress)
 		case own:
-			lost = append(lost, e.beat.PeerAddress)
+			ownSilent = append(ownSilent, e.heartbeat.PeerAddress)
 		default:
-			farLost = append(farLost, e.beat.PeerAddress)
+			otherSilent = append(otherSilent, e.heartbeat.PeerAddress)
 		}
 	}
-	targets = draw(rng, l.neighbors(near, max(fanout, neighborFactor*l.fanout())), fanout)
+	targets = sample(rng, l.neighbors(ownAlive, max(fanout, neighborFactor*l.fanout())), fanout)
 	if l.Elected(now, "bridge", l.bridges()) {
-		targets = append(targets, draw(rng, l.neighbors(far, neighborFactor*l.bridges()), l.bridges())...)
+		targets = append(targets, sample(rng, l.neighbors(otherAlive, neighborFactor*l.bridges()), l.bridges())...)
 	}
-	return targets, lost, farLost
+	return targets, ownSilent, otherSilent
 }
 
-// neighborFactor times the fanout is how many VMs a VM passes news on to over
-// some time: few, so that it keeps few links, and others after a while, so that
-// no part of the fleet stays apart.
+// neighborFactor times the fanout is the number of VMs to which a VM forwards heartbeats
+// for neighborRounds rounds. It is small, so that a VM keeps few links. The neighbors
+// change after that, so that no part of the fleet stays disconnected.
 const (
 	neighborFactor = 2
 	neighborRounds = 60
 )
 
-// neighbors returns the addresses that this VM keeps links to for now.
+// neighbors returns the addresses to which this VM currently keeps links.
 func (l *List) neighbors(from []string, n int) []string {
 	job := l.Name + "/" + strconv.Itoa(l.round/neighborRounds)
-	return elect(from, job, n)
+	return rendezvousTop(from, job, n)
 }
 
-func draw(rng *rand.Rand, from []string, n int) []string {
+func sample(rng *rand.Rand, from []string, n int) []string {
 	slices.Sort(from)
 	rng.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
 	return from[:min(n, len(from))]
 }
 
-// Batch returns the heartbeats to pass on, its own first, within a budget of
-// bytes: then news, then the others by how long ago they were passed on, those
-// of the own domain sooner.
+// Batch returns the heartbeats to forward within a budget of bytes: the VM's own, then
+// changes, then the others by the time since they were last forwarded, with a higher weight
+// for the own domain.
 func (l *List) Batch(budget int, size func(wire.Heartbeat) int) []wire.Heartbeat {
 	batch := []wire.Heartbeat{l.self}
 	budget -= size(l.self)
 	ranked := make([]*entry, 0, len(l.entries))
 	for _, e := range l.entries {
-		// One that is known from the platform's list only has said nothing yet.
-		if e.beat.Incarnation > 0 {
+		// A VM known only from the platform's list has sent no heartbeat yet.
+		if e.heartbeat.Incarnation > 0 {
 			ranked = append(ranked, e)
 		}
 	}
-	slices.SortFunc(ranked, func(a, b *entry) int { return l.compare(a, b) })
+	slices.SortFunc(ranked, func(a, b *entry) int { return l.comparePriority(a, b) })
 	for _, e := range ranked {
-		n := size(e.beat)
+		n := size(e.heartbeat)
 		if n > budget {
 			continue
 		}
 		budget -= n
-		batch = append(batch, e.beat)
-		e.sent = l.round
-		e.news = max(e.news-1, 0)
+		batch = append(batch, e.heartbeat)
+		e.sentRound = l.round
+		e.urgentSends = max(e.urgentSends-1, 0)
 	}
 	return batch
 }
 
-func (l *List) compare(a, b *entry) int {
-	if (a.news > 0) != (b.news > 0) {
-		return first(a.news > 0)
+func (l *List) comparePriority(a, b *entry) int {
+	if (a.urgentSends > 0) != (b.urgentSends > 0) {
+		return orderFirst(a.urgentSends > 0)
 	}
-	if ageA, ageB := l.age(a), l.age(b); ageA != ageB {
-		return first(ageA > ageB)
+	if ageA, ageB := l.weightedAge(a), l.weightedAge(b); ageA != ageB {
+		return orderFirst(ageA > ageB)
 	}
-	return strings.Compare(a.beat.Node, b.beat.Node)
+	return strings.Compare(a.heartbeat.Node, b.heartbeat.Node)
 }
 
-// ownFactor is how much more often heartbeats of the own domain are passed on.
-const ownFactor = 32
+// ownDomainWeight is how much more often heartbeats of the own domain are forwarded.
+const ownDomainWeight = 32
 
-// age is the rounds since a record was passed on, weighed.
-func (l *List) age(e *entry) int {
-	age := l.round - e.sent
-	if e.beat.FailureDomain == l.Domain {
-		age *= ownFactor
+// weightedAge returns the rounds since a heartbeat was last forwarded, times the domain's
+// weight.
+func (l *List) weightedAge(e *entry) int {
+	age := l.round - e.sentRound
+	if e.heartbeat.FailureDomain == l.Domain {
+		age *= ownDomainWeight
 	}
 	return age
 }
 
-func first(yes bool) int {
-	if yes {
+func orderFirst(isFirst bool) int {
+	if isFirst {
 		return -1
 	}
 	return 1
--- a/member/list_test.go
+++ b/member/list_test.go
@@ -22,35 +22,35 @@
 
 func size(b wire.Heartbeat) int { return 60 + len(b.Node) + len(b.FailureDomain) + len(b.PeerAddress) }
 
-// fleet runs the lists of several VMs over a network that loses, delays, doubles
-// and reorders what they send.
+// fleet runs the lists of several VMs over a network that loses, delays, duplicates and
+// reorders messages.
 type fleet struct {
 	rng   *rand.Rand
 	now   time.Time
 	vms   map[string]*vm
 	names []string
-	// cut tells that what goes from one VM to another is lost.
-	cut     func(from, to string) bool
-	faulty  bool
-	flights []flight
-	bytes   int
+	// blocked reports whether messages from one VM to another are lost.
+	blocked   func(from, to string) bool
+	faulty    bool
+	inTransit []delivery
+	bytes     int
 }
 
 type vm struct {
-	list  *member.List
-	beat  wire.Heartbeat
-	alive bool
+	list      *member.List
+	heartbeat wire.Heartbeat
+	running   bool
 }
 
-type flight struct {
-	at    time.Time
-	to    string
-	beats []wire.Heartbeat
+type delivery struct {
+	arrivesAt  time.Time
+	to         string
+	heartbeats []wire.Heartbeat
 }
 
 func newFleet(seed uint64, domains, perDomain int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 4)), now: start, vms: make(map[string]*vm), faulty: true}
-	f.cut = func(string, string) bool { return false }
+	f.blocked = func(string, string) bool { return false }
 	var docs []wire.VM
 	for d := range domains {
 		for i := range perDomain {
@@ -66,11 +66,11 @@
 	return f
 }
 
-// boot starts a VM, or starts it again.
+// boot starts or restarts a VM.
 func (f *fleet) boot(doc wire.VM, incarnation int) {
 	f.vms[doc.Name] = &vm{
-		list: &member.List{Name: doc.Name, Domain: doc.FailureDomain, Silence: silence}, alive: true,
-		beat: wire.Heartbeat{
+		list: &member.List{Name: doc.Name, Domain: doc.FailureDomain, Silence: silence}, running: true,
+		heartbeat: wire.Heartbeat{
 			Node: doc.Name, FailureDomain: doc.FailureDomain, PeerAddress: doc.PeerAddress,
 			Incarnation: incarnation, State: wire.HeartbeatStateAlive,
 		},
@@ -80,7 +80,7 @@
 func (f *fleet) round() {
 	f.now = f.now.Add(roundLength)
 	for _, name := range f.names {
-		if v := f.vms[name]; v.alive {
+		if v := f.vms[name]; v.running {
 			f.gossip(v)
 		}
 	}
@@ -88,19 +88,19 @@
 }
 
 func (f *fleet) gossip(v *vm) {
-	v.list.Begin(f.now, v.beat)
+	v.list.Begin(f.now, v.heartbeat)
 	targets := v.list.Targets(f.now, f.rng)
 	batch := v.list.Batch(budget, size)
 	for _, b := range batch {
 		f.bytes += size(b) * len(targets)
 	}
 	for _, to := range targets {
-		f.send(v.beat.Node, to, batch)
+		f.send(v.heartbeat.Node, to, batch)
 	}
 }
 
 func (f *fleet) send(from, to string, batch []wire.Heartbeat) {
-	if f.cut(from, to) || f.faulty && f.rng.IntN(10) < 2 {
+	if f.blocked(from, to) || f.faulty && f.rng.IntN(10) < 2 {
 		return
 	}
 	copies := 1
@@ -108,27 +108,27 @@
 		copies = 2
 	}
 	for range copies {
-		late := time.Duration(0)
+		delay := time.Duration(0)
 		if f.faulty {
-			late = time.Duration(f.rng.IntN(1500)) * time.Millisecond
+			delay = time.Duration(f.rng.IntN(1500)) * time.Millisecond
 		}
-		f.flights = append(f.flights, flight{at: f.now.Add(late), to: to, beats: batch})
+		f.inTransit = append(f.inTransit, delivery{arrivesAt: f.now.Add(delay), to: to, heartbeats: batch})
 	}
 }
 
 func (f *fleet) deliver() {
-	f.rng.Shuffle(len(f.flights), func(i, j int) { f.flights[i], f.flights[j] = f.flights[j], f.flights[i] })
-	kept := f.flights[:0]
-	for _, x := range f.flights {
-		if x.at.After(f.now) {
+	f.rng.Shuffle(len(f.inTransit), func(i, j int) { f.inTransit[i], f.inTransit[j] = f.inTransit[j], f.inTransit[i] })
+	kept := f.inTransit[:0]
+	for _, x := range f.inTransit {
+		if x.arrivesAt.After(f.now) {
 			kept = append(kept, x)
 			continue
 		}
-		if v := f.vms[x.to]; v.alive {
-			v.list.Merge(f.now, x.beats)
+		if v := f.vms[x.to]; v.running {
+			v.list.Merge(f.now, x.heartbeats)
 		}
 	}
-	f.flights = kept
+	f.inTransit = kept
 }
 
 func (f *fleet) rounds(n int) {
@@ -137,56 +137,56 @@
 	}
 }
 
-// agree checks that every living VM takes just the living for alive.
-func (f *fleet) agree(t *testing.T, msg string) {
+// requireAgreement checks that every running VM counts exactly the running VMs as alive.
+func (f *fleet) requireAgreement(t *testing.T, msg string) {
 	t.Helper()
 	for _, name := range f.names {
-		if !f.vms[name].alive {
+		if !f.vms[name].running {
 			continue
 		}
 		for _, other := range f.names {
-			require.Equal(t, f.vms[other].alive, f.vms[name].list.Alive(f.now, other), "%s: %s about %s", msg, name, other)
+			require.Equal(t, f.vms[other].running, f.vms[name].list.Alive(f.now, other), "%s: %s about %s", msg, name, other)
 		}
 	}
 }
 
 func (f *fleet) doc(name string) wire.VM {
-	b := f.vms[name].beat
+	b := f.vms[name].heartbeat
 	return wire.VM{Name: name, FailureDomain: b.FailureDomain, PeerAddress: name}
 }
 
-// VMs die and come back while a fifth of the messages is lost and the others
-// come late, doubled and in any order. Within a minute everybody agrees again;
-// late heartbeats of a dead VM do not bring it back.
-func TestDeathsAndRestarts(t *testing.T) {
+// VMs fail and restart while a fifth of the messages is lost and others are delayed,
+// duplicated and reordered. All VMs must agree again within a minute, and late heartbeats
+// of a dead VM must not make it alive again.
+func TestFailuresAndRestarts(t *testing.T) {
 	for seed := range uint64(30) {
 		f := newFleet(seed, 3, 4)
 		f.rounds(60)
-		f.agree(t, fmt.Sprint("seed ", seed, ": start"))
+		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": start"))
 		var dead []string
 		for _, i := range f.rng.Perm(len(f.names))[:3] {
-			f.vms[f.names[i]].alive = false
+			f.vms[f.names[i]].running = false
 			dead = append(dead, f.names[i])
 		}
 		f.rounds(160)
-		f.agree(t, fmt.Sprint("seed ", seed, ": deaths"))
+		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": failures"))
 		for _, name := range dead {
 			f.boot(f.doc(name), 2)
 			f.vms[name].list.Hint(f.now, []wire.VM{f.doc(f.names[0]), f.doc(f.names[11])})
 		}
 		f.rounds(120)
-		f.agree(t, fmt.Sprint("seed ", seed, ": restarts"))
+		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": restarts"))
 	}
 }
 
-// A domain is cut off from the others, so that they take each other for dead or
-// silent; within the domain nobody dies. When the links heal all are alive again,
-// though nobody was restarted.
+// A domain is partitioned from the others, so that the two sides count each other as dead
+// or silent. Within the domain no VM may count as dead. When the partition heals, all VMs
+// must be alive again without a restart.
 func TestPartitionHeals(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(seed, 3, 4)
 		f.rounds(60)
-		f.cut = func(from, to string) bool { return (from[:2] == "d2") != (to[:2] == "d2") }
+		f.blocked = func(from, to string) bool { return (from[:2] == "d2") != (to[:2] == "d2") }
 		f.rounds(500)
 		for _, name := range f.names {
 			for _, other := range f.names {
@@ -195,34 +195,34 @@
 				}
 			}
 		}
-		f.cut = func(string, string) bool { return false }
+		f.blocked = func(string, string) bool { return false }
 		f.rounds(200)
-		f.agree(t, fmt.Sprint("seed ", seed, ": healed"))
+		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": healed"))
 	}
 }
 
-// One link is broken for good, in one direction or both. The two VMs hear of
-// each other through the others, and neither is taken for dead.
+// One link is broken permanently, in one direction or both. Its two VMs receive each
+// other's heartbeats through other VMs, so neither may count as dead.
 func TestBrokenLink(t *testing.T) {
 	for name, both := range map[string]bool{"one way": false, "both ways": true} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(1, 1, 4)
 			f.faulty = false
-			f.cut = func(from, to string) bool {
+			f.blocked = func(from, to string) bool {
 				return from == "d0-0" && to == "d0-1" || both && from == "d0-1" && to == "d0-0"
 			}
-			f.rounds(10) // until all have been heard
+			f.rounds(10) // until each VM has heard all others
 			for range 200 {
 				f.round()
-				f.agree(t, "broken link")
+				f.requireAgreement(t, "broken link")
 			}
 		})
 	}
 }
 
-// A VM is falsely taken for dead, as one that was paused. When it goes on it
-// meets the news and refutes it with a higher incarnation. Without that it would
-// stay dead for the others: its heartbeats are no newer than the news.
+// A VM is wrongly declared dead while it is paused. When it resumes, it receives this
+// report and refutes it with a higher incarnation. Without the refutation it would stay
+// dead for the others, because its heartbeats have the incarnation that was declared dead.
 func TestFalseDeathIsRefuted(t *testing.T) {
 	for name, refutes := range map[string]bool{"refuted": true, "not refuted": false} {
 		t.Run(name, func(t *testing.T) {
@@ -230,13 +230,13 @@
 			f.faulty = false
 			f.rounds(20)
 			paused := f.vms["d0-0"]
-			paused.alive = false
+			paused.running = false
 			f.rounds(40)
 			require.False(t, f.vms["d0-1"].list.Alive(f.now, "d0-0"))
-			paused.alive = true
+			paused.running = true
 			if !refutes {
-				// It never hears the news of its death.
-				f.cut = func(_, to string) bool { return to == "d0-0" }
+				// The paused VM never receives the report of its death.
+				f.blocked = func(_, to string) bool { return to == "d0-0" }
 			}
 			f.rounds(40)
 			require.Equal(t, refutes, f.vms["d0-1"].list.Alive(f.now, "d0-0"))
@@ -266,7 +266,7 @@
 	f.rounds(20)
 	elected := func() (names []string) {
 		for _, name := range f.names {
-			if f.vms[name].alive && f.vms[name].list.Elected(f.now, "watch", 2) {
+			if f.vms[name].running && f.vms[name].list.Elected(f.now, "watch", 2) {
 				names = append(names, name)
 			}
 		}
@@ -274,29 +274,29 @@
 	}
 	first := elected()
 	require.Len(t, first, 2)
-	f.vms[first[0]].alive = false
+	f.vms[first[0]].running = false
 	f.rounds(60)
 	second := elected()
 	require.Len(t, second, 2)
-	require.Contains(t, second, first[1], "the other one stays")
+	require.Contains(t, second, first[1], "the remaining VM stays elected")
 }
 
-// In each domain one of the two VMs that the platform lists was never started.
-// The others must meet all the same, though each has a lost VM next to it.
-func TestDomainsMeetBesideLostVMs(t *testing.T) {
+// In each domain one of the two VMs that the platform lists was never started. The running
+// VMs must still connect across domains, although each has a silent VM in its domain.
+func TestDomainsConnectPastSilentVMs(t *testing.T) {
 	f := newFleet(1, 4, 2)
 	for d := range 4 {
-		f.vms[fmt.Sprintf("d%d-1", d)].alive = false
+		f.vms[fmt.Sprintf("d%d-1", d)].running = false
 	}
 	f.rounds(80)
-	f.agree(t, "half of the VMs never started")
+	f.requireAgreement(t, "half of the VMs never started")
 }
 
-func TestForgotten(t *testing.T) {
+func TestUnlistedDeadVMIsDiscarded(t *testing.T) {
 	f := newFleet(1, 1, 3)
 	f.faulty = false
 	f.rounds(10)
-	f.vms["d0-2"].alive = false
+	f.vms["d0-2"].running = false
 	f.rounds(300)
 	l := f.vms["d0-0"].list
 	require.Len(t, l.Beats(), 2)
@@ -304,7 +304,7 @@
 	require.Len(t, l.Beats(), 1)
 }
 
-func TestBudget(t *testing.T) {
+func TestBatchBudget(t *testing.T) {
 	f := newFleet(1, 3, 26)
 	f.rounds(20)
 	f.bytes = 0
