--- a/backs/entry.go
+++ b/backs/entry.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Held is a model that a server has loaded, with its loaded adapters.
-type Held struct {
+// LoadedModel is a model that a server has loaded, with its loaded adapters.
+type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
 }
 
-func (h Held) equal(o Held) bool {
+func (h LoadedModel) equal(o LoadedModel) bool {
 	return h.Model == o.Model && h.Version == o.Version && slices.Equal(h.Adapters, o.Adapters)
 }
 
@@ -27,37 +27,37 @@
 	ID string
 	// Name is the server's name on the platform, empty where the ID is that name.
 	Name string
-	// Born is when the instance started, the zero time where the platform does not report
-	// it. A server may restart under the same name.
-	Born    time.Time
-	Service string
-	Address string
-	Domain  string
+	// StartedAt is when the instance started, the zero time where the platform does not
+	// report it. A server may restart under the same name.
+	StartedAt time.Time
+	Service   string
+	Address   string
+	Domain    string
 	// Slots is how many requests the server processes concurrently.
 	Slots    int
 	Draining bool
-	// Leaves is the time until a draining server exits, 0 when unknown.
-	Leaves time.Duration
-	// Cold is how much longer the server is slow after its start.
-	Cold   time.Duration
-	Models []Held
+	// DrainRemaining is the time until a draining server exits, 0 when unknown.
+	DrainRemaining time.Duration
+	// WarmupRemaining is how much longer the server is slow after its start.
+	WarmupRemaining time.Duration
+	Models          []LoadedModel
 }
 
-// Called returns the name that the platform and the server itself use. Requests and orders
-// are addressed to it.
-func (e Entry) Called() string { return cmp.Or(e.Name, e.ID) }
+// PlatformName returns the name that the platform and the server itself use. Requests and
+// orders are addressed to it.
+func (e Entry) PlatformName() string { return cmp.Or(e.Name, e.ID) }
 
-// StartID returns the ID of one instance of a server: its name where the platform names
+// InstanceID returns the ID of one instance of a server: its name where the platform names
 // each instance anew, otherwise the name with the start time.
-func StartID(name string, startedAt time.Time) string {
+func InstanceID(name string, startedAt time.Time) string {
 	if startedAt.IsZero() {
 		return name
 	}
 	return name + "@" + strconv.FormatInt(startedAt.UnixMilli(), 10)
 }
 
-// Holds reports whether the entry lists the model, and the adapter when one is named.
-func (e Entry) Holds(model, adapter string) bool {
+// HasModel reports whether the entry lists the model, and the adapter when one is named.
+func (e Entry) HasModel(model, adapter string) bool {
 	for _, h := range e.Models {
 		if h.Model == model {
 			return adapter == "" || slices.Contains(h.Adapters, adapter)
--- a/backs/instance_test.go
+++ b/backs/instance_test.go
@@ -11,7 +11,7 @@
 
 // started returns the entry of a server instance that started at the given time.
 func started(name string, startedAt time.Time) backs.Entry {
-	return backs.Entry{ID: backs.StartID(name, startedAt), Name: name, Born: startedAt, Service: "s", Address: "127.0.0.1:1", Models: []backs.Held{{Model: "m"}}}
+	return backs.Entry{ID: backs.InstanceID(name, startedAt), Name: name, StartedAt: startedAt, Service: "s", Address: "127.0.0.1:1", Models: []backs.LoadedModel{{Model: "m"}}}
 }
 
 // A server restarts under the same name after draining or a crash. If the view treats it as
@@ -44,17 +44,17 @@
 	before, after := started("a", at(-10)), started("a", at(3))
 	v.Replace(at(0), []backs.Entry{before})
 	states, revision := v.Since(at(0), 0)
-	other.Adopt(at(0), backs.Word{States: states, Full: true})
-	v.Ended(at(4), before.ID)
+	other.Merge(at(0), backs.Update{States: states, Full: true})
+	v.MarkEnded(at(4), before.ID)
 	states, revision = v.Since(at(4), revision)
-	other.Adopt(at(4), backs.Word{States: states, Full: false})
+	other.Merge(at(4), backs.Update{States: states, Full: false})
 	require.Empty(t, other.Serving(at(4), "s"))
 	v.Put(at(5), after)
 	states, _ = v.Since(at(5), revision)
-	other.Adopt(at(5), backs.Word{States: states, Full: false})
+	other.Merge(at(5), backs.Update{States: states, Full: false})
 	require.Equal(t, []backs.Entry{after}, other.Serving(at(5), "s"))
 	states[0].Entry = before
-	other.Adopt(at(6), backs.Word{States: states, Full: false})
+	other.Merge(at(6), backs.Update{States: states, Full: false})
 	require.Equal(t, []backs.Entry{after}, other.Serving(at(6), "s"), "a late update about the previous instance")
 }
 
@@ -65,22 +65,22 @@
 	var v, other backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	tests := map[string]func(now time.Time){
-		"changed": func(time.Time) { v.Unreadable("a") },
-		"listed":  func(now time.Time) { v.Replace(now, []backs.Entry{entry("b")}, "a", "never seen") },
+		"single update": func(time.Time) { v.MarkUnreadable("a") },
+		"full list":     func(now time.Time) { v.Replace(now, []backs.Entry{entry("b")}, "a", "never seen") },
 	}
 	now := at(1)
 	for name, breakEntry := range tests {
 		breakEntry(now)
 		require.False(t, v.Usable(now, "a"), name)
 		require.True(t, v.Usable(now, "b"), name)
-		require.Len(t, v.Listed(now), 2, name)
+		require.Len(t, v.StoredEntries(now), 2, name)
 		states, _ := v.Since(now, 0)
-		other.Adopt(now, backs.Word{States: states, Full: true})
+		other.Merge(now, backs.Update{States: states, Full: true})
 		require.False(t, other.Usable(now, "a"), name)
 		v.Put(now, entry("a"))
 		require.True(t, v.Usable(now, "a"), name)
 		states, _ = v.Since(now, 0)
-		other.Adopt(now, backs.Word{States: states, Full: true})
+		other.Merge(now, backs.Update{States: states, Full: true})
 		require.True(t, other.Usable(now, "a"), name)
 		now = now.Add(time.Second)
 	}
--- a/backs/models.go
+++ b/backs/models.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Hold replaces the models of a server by a newer observation, made at the given time. An
-// unchanged observation only renews its precedence over the server's entry.
-func (v *View) Hold(at time.Time, id string, models []Held) {
+// SetModels replaces the models of a server with a newer observation, made at the given
+// time. An unchanged observation only renews its precedence over the server's entry.
+func (v *View) SetModels(at time.Time, id string, models []LoadedModel) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := v.records[id]
 	if r == nil || at.Before(r.modelsAt) {
 		return
 	}
-	same := slices.EqualFunc(r.entry.Models, models, Held.equal)
+	same := slices.EqualFunc(r.entry.Models, models, LoadedModel.equal)
 	r.entry.Models, r.modelsAt, r.controllerAt = models, at, at
 	if same {
 		return
@@ -23,37 +23,37 @@
 	v.notify()
 }
 
-// Learn adds a model and adapter that the controller reports as loaded on a server.
-func (v *View) Learn(now time.Time, id, model, adapter string) {
+// AddModel adds a model and adapter that the controller reports as loaded on a server.
+func (v *View) AddModel(now time.Time, id, model, adapter string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := v.records[id]
-	if r == nil || r.entry.Holds(model, adapter) {
+	if r == nil || r.entry.HasModel(model, adapter) {
 		return
 	}
-	added := []Held{{Model: model}}
+	added := []LoadedModel{{Model: model}}
 	if adapter != "" {
 		added[0].Adapters = []string{adapter}
 	}
 	models := slices.Clone(r.entry.Models)
-	if !r.entry.Holds(model, "") {
-		models = append(models, Held{Model: model})
+	if !r.entry.HasModel(model, "") {
+		models = append(models, LoadedModel{Model: model})
 	}
 	r.entry.Models, r.controllerAt = mergeAdapters(models, added), now
 	v.bumpRevision(r)
 	v.notify()
 }
 
-// Unlearn removes an adapter, or a model when no adapter is named, that a server refused as
-// not loaded. The next update from the store or the controller can add it again.
-func (v *View) Unlearn(id, model, adapter string) {
+// RemoveModel removes an adapter, or a model when no adapter is named, that a server
+// refused as not loaded. The next update from the store or the controller can add it again.
+func (v *View) RemoveModel(id, model, adapter string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	r := v.records[id]
 	if r == nil {
 		return
 	}
-	var kept []Held
+	var kept []LoadedModel
 	for _, h := range r.entry.Models {
 		if h.Model == model {
 			if adapter == "" {
@@ -72,16 +72,16 @@
 // unloading until the model's last run has ended. Without this filter, an entry written
 // meanwhile made all VMs send requests for that model again, and the server refused them
 // for two to four seconds.
-func mergeControllerModels(listed, reported []Held) []Held {
-	isReported := func(l Held) bool {
-		return slices.ContainsFunc(reported, func(t Held) bool { return t.Model == l.Model })
+func mergeControllerModels(listed, reported []LoadedModel) []LoadedModel {
+	isReported := func(l LoadedModel) bool {
+		return slices.ContainsFunc(reported, func(t LoadedModel) bool { return t.Model == l.Model })
 	}
-	return slices.DeleteFunc(mergeAdapters(listed, reported), func(l Held) bool { return !isReported(l) })
+	return slices.DeleteFunc(mergeAdapters(listed, reported), func(l LoadedModel) bool { return !isReported(l) })
 }
 
 // mergeAdapters returns the listed models with the adapters of both lists.
-func mergeAdapters(listed, reported []Held) []Held {
-	merged := make([]Held, 0, len(listed))
+func mergeAdapters(listed, reported []LoadedModel) []LoadedModel {
+	merged := make([]LoadedModel, 0, len(listed))
 	for _, l := range listed {
 		l.Adapters = slices.Clone(l.Adapters)
 		for _, t := range reported {
--- a/backs/update.go
+++ b/backs/update.go
@@ -5,10 +5,10 @@
 // State is the state of a server as VMs send it to each other.
 type State struct {
 	Entry
-	// Gone is set when the entry was removed.
-	Gone bool
-	// Hold is how long a server whose entry reappeared still gets no requests.
-	Hold time.Duration
+	// Removed is set when the entry was removed.
+	Removed bool
+	// ReadmitAfter is how long a server whose entry reappeared still gets no requests.
+	ReadmitAfter time.Duration
 	// Unreadable is set while the stored entry describes no valid server.
 	Unreadable bool
 }
@@ -24,47 +24,47 @@
 		if r.revision <= revision || revision == 0 && !r.removedAt.IsZero() {
 			continue
 		}
-		s := State{Entry: r.entry, Gone: !r.removedAt.IsZero(), Unreadable: r.unreadable}
+		s := State{Entry: r.entry, Removed: !r.removedAt.IsZero(), Unreadable: r.unreadable}
 		if !r.reappearedAt.IsZero() {
-			s.Hold = max(0, readmitDelay-now.Sub(r.reappearedAt))
+			s.ReadmitAfter = max(0, readmitDelay-now.Sub(r.reappearedAt))
 		}
 		list = append(list, s)
 	}
 	return list, v.revision
 }
 
-// Word is an update from another VM that watches the store.
-type Word struct {
+// Update is an update from another VM that watches the store.
+type Update struct {
 	States []State
 	// Full is set when States lists every existing server.
 	Full bool
 	// Age is the time since the store last confirmed that VM's state as current.
 	Age time.Duration
-	// Known is for how long that VM has had a complete server list.
-	Known time.Duration
+	// SyncedFor is for how long that VM has had a complete server list.
+	SyncedFor time.Duration
 }
 
-// Adopt merges an update from another VM. When a full list omits a server, the entry may
+// Merge merges an update from another VM. When a full list omits a server, the entry may
 // have expired during a store outage, and a sender that started during the outage lists
 // only the servers whose entries have reappeared. If the view was out of date for longer
 // than the sender has had a complete list, omitted servers are therefore treated as in
 // Remove. Otherwise they are removed at once: a sender with a complete list throughout
 // keeps servers with expired entries itself.
-func (v *View) Adopt(now time.Time, w Word) {
+func (v *View) Merge(now time.Time, update Update) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	senderWasSynced := !now.Add(-w.Known).After(v.currentAt)
-	v.recordCurrent(now, now.Add(-w.Age))
-	listed := make(map[string]bool, len(w.States))
-	for _, s := range w.States {
+	senderWasSynced := !now.Add(-update.SyncedFor).After(v.currentAt)
+	v.recordCurrent(now, now.Add(-update.Age))
+	listed := make(map[string]bool, len(update.States))
+	for _, s := range update.States {
 		listed[s.ID] = true
 		v.mergeState(now, s)
 	}
-	if w.Full {
+	if update.Full {
 		v.removeUnlisted(now, listed, senderWasSynced)
 		v.markSynced(now)
 	}
-	if len(w.States) > 0 || w.Full {
+	if len(update.States) > 0 || update.Full {
 		v.notify()
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 func (v *View) mergeState(now time.Time, s State) {
-	if s.Gone {
+	if s.Removed {
 		if r := v.records[s.ID]; r != nil && r.removedAt.IsZero() {
 			v.markRemoved(now, r)
 		}
@@ -99,7 +99,7 @@
 	r.unreadable = s.Unreadable
 	// The other VM's list of models is newer than the store's.
 	r.entry.Models, r.controllerAt = s.Models, now
-	if s.Hold > 0 {
-		r.reappearedAt = now.Add(s.Hold - readmitDelay)
+	if s.ReadmitAfter > 0 {
+		r.reappearedAt = now.Add(s.ReadmitAfter - readmitDelay)
 	}
 }
--- a/backs/view.go
+++ b/backs/view.go
@@ -70,9 +70,9 @@
 // View is the set of servers known to a VM. The zero value is ready to use. It is safe for
 // concurrent use.
 type View struct {
-	// Noted, if not nil, is called for each server that goes missing, and again when a kept
-	// server is removed. It is called with the View's lock held.
-	Noted func(Missing)
+	// OnMissing, if not nil, is called for each server that goes missing, and again when a
+	// kept server is removed. It is called with the View's lock held.
+	OnMissing func(Missing)
 	// Heartbeat is the interval between heartbeats of a server; 0 selects the default.
 	Heartbeat time.Duration
 
@@ -115,22 +115,22 @@
 	}
 }
 
-// Away records that the store does not answer calls of this VM.
-func (v *View) Away() {
+// MarkStoreDown records that the store does not answer calls of this VM.
+func (v *View) MarkStoreDown() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.storeDown, v.scannedAt = true, time.Time{}
 }
 
-// Answered records that the store answered any call of this VM.
-func (v *View) Answered(now time.Time) {
+// RecordStoreAnswer records that the store answered any call of this VM.
+func (v *View) RecordStoreAnswer(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.recordContact(now, now)
 }
 
-// Current records that the view is current at the given time.
-func (v *View) Current(now time.Time) {
+// MarkCurrent records that the view is current at the given time.
+func (v *View) MarkCurrent(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.recordCurrent(now, now)
@@ -163,8 +163,8 @@
 	}
 }
 
-// Known returns the time since the first full list was received, 0 before that.
-func (v *View) Known(now time.Time) time.Duration {
+// SyncedFor returns the time since the first full list was received, 0 before that.
+func (v *View) SyncedFor(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.synced {
@@ -173,8 +173,8 @@
 	return now.Sub(v.syncedAt)
 }
 
-// Caught reports whether a full list has been received.
-func (v *View) Caught() bool {
+// Synced reports whether a full list has been received.
+func (v *View) Synced() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.synced
@@ -219,26 +219,26 @@
 // instance ends the previous one, whose connections, prompts, models and orders are lost.
 // It gets requests at once, without the delay for an entry that reappears.
 func (v *View) acceptInstance(now time.Time, e Entry) bool {
-	previousID, ok := v.instanceIDs[e.Called()]
+	previousID, ok := v.instanceIDs[e.PlatformName()]
 	if !ok || previousID == e.ID {
-		v.instanceIDs[e.Called()] = e.ID
+		v.instanceIDs[e.PlatformName()] = e.ID
 		return true
 	}
 	r := v.records[previousID]
-	if r != nil && e.Born.Before(r.entry.Born) {
+	if r != nil && e.StartedAt.Before(r.entry.StartedAt) {
 		return false
 	}
-	v.instanceIDs[e.Called()] = e.ID
+	v.instanceIDs[e.PlatformName()] = e.ID
 	if r != nil && r.removedAt.IsZero() {
 		v.markRemoved(now, r)
 	}
 	return true
 }
 
-// Unreadable records that a server's entry can't be parsed or describes no valid server.
-// The server gets no new requests until its next heartbeat rewrites the entry. It is not
-// removed, and gets requests at once after that.
-func (v *View) Unreadable(name string) {
+// MarkUnreadable records that a server's entry can't be parsed or describes no valid
+// server. The server gets no new requests until its next heartbeat rewrites the entry. It
+// is not removed, and gets requests at once after that.
+func (v *View) MarkUnreadable(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.markUnreadable(name)
@@ -290,8 +290,8 @@
 }
 
 func (v *View) reportMissing(m Missing) {
-	if v.Noted != nil {
-		v.Noted(m)
+	if v.OnMissing != nil {
+		v.OnMissing(m)
 	}
 }
 
@@ -339,8 +339,8 @@
 		}
 		if !r.removedAt.IsZero() && now.Sub(r.removedAt) > removedRetention {
 			delete(v.records, id)
-			if v.instanceIDs[r.entry.Called()] == id {
-				delete(v.instanceIDs, r.entry.Called())
+			if v.instanceIDs[r.entry.PlatformName()] == id {
+				delete(v.instanceIDs, r.entry.PlatformName())
 			}
 		}
 	}
@@ -367,24 +367,24 @@
 	return r.reappearedAt.IsZero() || now.Sub(r.reappearedAt) >= readmitDelay
 }
 
-// Listed is an entry as stored, with the time at which this VM received it. Unreadable is
-// set when the stored entry can't be read now; Entry is then the last readable one.
-type Listed struct {
+// StoredEntry is an entry as stored, with the time at which this VM received it. Unreadable
+// is set when the stored entry can't be read now; Entry is then the last readable one.
+type StoredEntry struct {
 	Entry
-	At         time.Time
+	ReceivedAt time.Time
 	Unreadable bool
 }
 
-// Listed returns the stored entry of every server that is not removed, including draining
-// ones.
-func (v *View) Listed(now time.Time) []Listed {
+// StoredEntries returns the stored entry of every server that is not removed, including
+// draining ones.
+func (v *View) StoredEntries(now time.Time) []StoredEntry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.expire(now)
-	var list []Listed
+	var list []StoredEntry
 	for _, r := range v.records {
 		if r.removedAt.IsZero() {
-			list = append(list, Listed{Entry: r.stored, At: r.receivedAt, Unreadable: r.unreadable})
+			list = append(list, StoredEntry{Entry: r.stored, ReceivedAt: r.receivedAt, Unreadable: r.unreadable})
 		}
 	}
 	return list
@@ -404,9 +404,9 @@
 	return list
 }
 
-// Ended records that a server instance has ended because another instance answers under its
-// name.
-func (v *View) Ended(now time.Time, id string) {
+// MarkEnded records that a server instance has ended because another instance answers under
+// its name.
+func (v *View) MarkEnded(now time.Time, id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if r := v.records[id]; r != nil && r.removedAt.IsZero() {
--- a/backs/view_test.go
+++ b/backs/view_test.go
@@ -54,13 +54,13 @@
 func TestFullListAfterControllerRestart(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b"), entry("c")})
-	v.Away()
-	v.Adopt(at(10), backs.Word{States: []backs.State{{Entry: entry("a")}}, Full: true})
+	v.MarkStoreDown()
+	v.Merge(at(10), backs.Update{States: []backs.State{{Entry: entry("a")}}, Full: true})
 	require.Len(t, v.Serving(at(10), "s"), 3)
-	v.Adopt(at(11), backs.Word{States: []backs.State{{Entry: entry("b")}}, Full: false})
+	v.Merge(at(11), backs.Update{States: []backs.State{{Entry: entry("b")}}, Full: false})
 	require.Len(t, v.Serving(at(11.9), "s"), 3)
 	require.Len(t, v.Serving(at(12.1), "s"), 2, "servers still missing are removed")
-	v.Adopt(at(20), backs.Word{States: []backs.State{{Entry: entry("a")}}, Full: true})
+	v.Merge(at(20), backs.Update{States: []backs.State{{Entry: entry("a")}}, Full: true})
 	require.Len(t, v.Serving(at(20), "s"), 1, "without an outage the list applies at once")
 }
 
@@ -70,8 +70,8 @@
 func TestExpiredEntriesAreKept(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
-	v.Away()
-	v.Current(at(10))
+	v.MarkStoreDown()
+	v.MarkCurrent(at(10))
 	v.Replace(at(10), nil)
 	require.Len(t, v.Serving(at(10.1), "s"), 2)
 	v.Put(at(11), entry("a"))
@@ -85,12 +85,12 @@
 // because it may reappear, and until when.
 func TestMissingServersAreReported(t *testing.T) {
 	var reported []backs.Missing
-	v := backs.View{Noted: func(m backs.Missing) { reported = append(reported, m) }}
+	v := backs.View{OnMissing: func(m backs.Missing) { reported = append(reported, m) }}
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	v.Remove(at(1), "a")
 	require.Equal(t, []backs.Missing{{ID: "a"}}, reported)
-	v.Away()
-	v.Current(at(10))
+	v.MarkStoreDown()
+	v.MarkCurrent(at(10))
 	v.Replace(at(10), nil)
 	v.Replace(at(11), nil)
 	require.Equal(t, []backs.Missing{{ID: "a"}, {ID: "b", Kept: true}}, reported)
@@ -103,11 +103,11 @@
 func TestShortOutageKeepsGracePeriod(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
-	v.Away()
-	v.Current(at(10))
+	v.MarkStoreDown()
+	v.MarkCurrent(at(10))
 	v.Remove(at(10.5), "a")
-	v.Away()
-	v.Current(at(11.9))
+	v.MarkStoreDown()
+	v.MarkCurrent(at(11.9))
 	require.True(t, v.Usable(at(11.9), "a"))
 	require.False(t, v.Usable(at(12.1), "a"))
 }
@@ -119,8 +119,8 @@
 	e := entry("a")
 	e.Draining = true
 	v.Replace(at(0), []backs.Entry{e})
-	v.Away()
-	v.Current(at(5))
+	v.MarkStoreDown()
+	v.MarkCurrent(at(5))
 	v.Replace(at(5), nil)
 	require.Empty(t, v.All(at(5)))
 }
@@ -128,12 +128,12 @@
 func TestOlderModelsAreIgnored(t *testing.T) {
 	var v backs.View
 	v.Put(at(5), entry("a"))
-	v.Hold(at(4), "a", []backs.Held{{Model: "old"}})
-	require.False(t, v.All(at(5))[0].Holds("old", ""))
-	v.Hold(at(6), "a", []backs.Held{{Model: "m", Adapters: []string{"a1"}}})
+	v.SetModels(at(4), "a", []backs.LoadedModel{{Model: "old"}})
+	require.False(t, v.All(at(5))[0].HasModel("old", ""))
+	v.SetModels(at(6), "a", []backs.LoadedModel{{Model: "m", Adapters: []string{"a1"}}})
 	got := v.All(at(6))[0]
-	require.True(t, got.Holds("m", "a1"))
-	require.False(t, got.Holds("m", "a2"))
+	require.True(t, got.HasModel("m", "a1"))
+	require.False(t, got.HasModel("m", "a2"))
 }
 
 func TestChangedChannel(t *testing.T) {
@@ -154,19 +154,21 @@
 // refuses them.
 func TestEntryListsUnloadingModel(t *testing.T) {
 	listed := entry("a")
-	listed.Models = []backs.Held{{Model: "m1", Version: 1}, {Model: "m2", Version: 1}}
+	listed.Models = []backs.LoadedModel{{Model: "m1", Version: 1}, {Model: "m2", Version: 1}}
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{listed})
-	reported := []backs.Held{{Model: "m2", Adapters: []string{"a1"}}}
-	v.Hold(at(1), "a", reported)
+	reported := []backs.LoadedModel{{Model: "m2", Adapters: []string{"a1"}}}
+	v.SetModels(at(1), "a", reported)
 	v.Put(at(1.5), listed)
-	holds := func(now float64, model, adapter string) bool { return v.Serving(at(now), "s")[0].Holds(model, adapter) }
+	holds := func(now float64, model, adapter string) bool {
+		return v.Serving(at(now), "s")[0].HasModel(model, adapter)
+	}
 	require.False(t, holds(1.5, "m1", ""))
 	require.True(t, holds(1.5, "m2", "a1"))
 
-	v.Hold(at(3), "a", reported)
+	v.SetModels(at(3), "a", reported)
 	_, revision := v.Since(at(3), 0)
-	v.Hold(at(3.1), "a", reported)
+	v.SetModels(at(3.1), "a", reported)
 	states, _ := v.Since(at(3.1), revision)
 	require.Empty(t, states, "an unchanged observation is not sent again")
 	v.Put(at(5), listed)
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -164,7 +164,7 @@
 func holders(s *demo.Site, model string) int {
 	n := 0
 	for _, b := range s.Backends(demo.SiteModel) {
-		if b.Entry().Holds(model, "") {
+		if b.Entry().HasModel(model, "") {
 			n++
 		}
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -104,7 +104,7 @@
 		if failures == awayTries {
 			n.log.Warn().Str("kind", w.kind).Int("version", from).Err(err).Msg("store lost")
 		}
-		n.servers.Away()
+		n.servers.MarkStoreDown()
 		pause.For(ctx, time.Duration(n.peers.Slow()*float64(storeAgain/2+rand.N(storeAgain))))
 	}
 }
@@ -295,7 +295,7 @@
 			n.servers.Replace(now, entries, unreadable...)
 		},
 		changed: n.serverChanged,
-		current: n.servers.Current,
+		current: n.servers.MarkCurrent,
 	}
 }
 
@@ -340,7 +340,7 @@
 	}
 	e, ok := n.entry(c.Object)
 	if !ok {
-		n.servers.Unreadable(c.Object.Name)
+		n.servers.MarkUnreadable(c.Object.Name)
 		return
 	}
 	n.servers.Put(now, e)
--- a/node/node.go
+++ b/node/node.go
@@ -131,8 +131,8 @@
 		failed: make(map[string]int),
 	}
 	n.active.Store(s)
-	n.config.Objects = c.Objects.Noting(func() { n.servers.Answered(n.now()) })
-	n.servers.Noted = n.noteMissing
+	n.config.Objects = c.Objects.Noting(func() { n.servers.RecordStoreAnswer(n.now()) })
+	n.servers.OnMissing = n.noteMissing
 	n.poison = &poison.Tracker{CrashLimit: s.Int("poison", "crashes"), BlockDuration: s.Duration("poison", "block"), OnCrash: n.noteCrash, OnBlock: n.noteBlock}
 	n.book.Idle = n.pool.Idle
 	n.lease = &peers.Lease{
@@ -261,7 +261,7 @@
 // Ready reports whether the VM may get requests: it knows the configuration and
 // the servers, is not stopping, and is not cut off from most servers.
 func (n *Node) Ready() bool {
-	return n.table.Load() != nil && n.servers.Caught() && !n.stopping.Load() && !n.cutOff(n.now())
+	return n.table.Load() != nil && n.servers.Synced() && !n.stopping.Load() && !n.cutOff(n.now())
 }
 
 // cutOff reports whether the VM reaches neither the controller nor the servers
--- a/node/probe.go
+++ b/node/probe.go
@@ -24,7 +24,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, probeEvery)
 		now := n.now()
-		if !n.servers.Caught() || n.peers.Covered(now) || n.peers.Leading() {
+		if !n.servers.Synced() || n.peers.Covered(now) || n.peers.Leading() {
 			continue
 		}
 		for _, e := range n.oneOfEachDomain(now) {
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -176,7 +176,7 @@
 	}
 	t.sent = now
 	var err error
-	t.exchange, err = t.conn.Send(c.request.Method, c.head(g.Names, t.choice.Server.Called(), c.remaining(now)), c.body)
+	t.exchange, err = t.conn.Send(c.request.Method, c.head(g.Names, t.choice.Server.PlatformName(), c.remaining(now)), c.body)
 	if err != nil {
 		return t.connectionLost(ctx, "send: "+err.Error(), err)
 	}
@@ -283,7 +283,7 @@
 	if t.resp.StatusCode == http.StatusMisdirectedRequest {
 		// It does not hold the model or adapter, or another server has its
 		// address: what was believed of it is wrong.
-		t.g.Servers.Unlearn(t.choice.Server.ID, t.c.work.Model, t.c.work.Adapter)
+		t.g.Servers.RemoveModel(t.choice.Server.ID, t.c.work.Model, t.c.work.Adapter)
 		t.g.doubt(t.choice.Server.ID)
 	}
 	return t.refused("refused with " + strconv.Itoa(t.resp.StatusCode))
--- a/pass/choose.go
+++ b/pass/choose.go
@@ -123,7 +123,7 @@
 
 // mayHold reports whether a server holds the call's model, and was not found dead by it.
 func (c *call) mayHold(e backs.Entry) bool {
-	return e.Holds(c.work.Model, "") && !slices.Contains(c.unreached, e.ID)
+	return e.HasModel(c.work.Model, "") && !slices.Contains(c.unreached, e.ID)
 }
 
 // replaced reports whether a call's model can be expected to be loaded elsewhere,
@@ -156,7 +156,7 @@
 // eligible reports whether a server holds what a call needs, and the call may be sent to another
 // server or was already sent to this one.
 func (g *Gateway) eligible(c *call, e backs.Entry) bool {
-	if c.work.Model != "" && !e.Holds(c.work.Model, c.work.Adapter) {
+	if c.work.Model != "" && !e.HasModel(c.work.Model, c.work.Adapter) {
 		return false
 	}
 	return len(c.servers) < max(c.route.Attempts, 1) || slices.Contains(c.servers, e.ID)
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -65,7 +65,7 @@
 }
 
 func server(id, domain, address string) backs.Entry {
-	return backs.Entry{ID: id, Service: "s", Domain: domain, Address: address, Slots: 8, Models: []backs.Held{{Model: "m"}}}
+	return backs.Entry{ID: id, Service: "s", Domain: domain, Address: address, Slots: 8, Models: []backs.LoadedModel{{Model: "m"}}}
 }
 
 func ask(g *Gateway) *httptest.ResponseRecorder {
--- a/peers/frames.go
+++ b/peers/frames.go
@@ -48,8 +48,8 @@
 	list := make([]wire.ServerState, 0, len(states))
 	for _, s := range states {
 		state := wire.ServerState{
-			Server: s.ID, Name: s.Name, BornMs: inMillis(s.Born), Unreadable: s.Unreadable, Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
-			Gone: s.Gone, HoldMs: int(s.Hold.Milliseconds()), ColdMs: int(s.Cold.Milliseconds()), Models: []wire.HeldModel{},
+			Server: s.ID, Name: s.Name, BornMs: inMillis(s.StartedAt), Unreadable: s.Unreadable, Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
+			Gone: s.Removed, HoldMs: int(s.ReadmitAfter.Milliseconds()), ColdMs: int(s.WarmupRemaining.Milliseconds()), Models: []wire.HeldModel{},
 		}
 		for _, h := range s.Models {
 			state.Models = append(state.Models, wire.HeldModel{Name: h.Model, Adapters: append([]string{}, h.Adapters...)})
@@ -60,12 +60,12 @@
 }
 
 func stateOf(s wire.ServerState) backs.State {
-	state := backs.State{Gone: s.Gone, Unreadable: s.Unreadable, Hold: time.Duration(s.HoldMs) * time.Millisecond, Entry: backs.Entry{
-		ID: s.Server, Name: s.Name, Born: timeOf(s.BornMs), Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
-		Cold: time.Duration(s.ColdMs) * time.Millisecond,
+	state := backs.State{Removed: s.Gone, Unreadable: s.Unreadable, ReadmitAfter: time.Duration(s.HoldMs) * time.Millisecond, Entry: backs.Entry{
+		ID: s.Server, Name: s.Name, StartedAt: timeOf(s.BornMs), Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
+		WarmupRemaining: time.Duration(s.ColdMs) * time.Millisecond,
 	}}
 	for _, m := range s.Models {
-		state.Models = append(state.Models, backs.Held{Model: m.Name, Adapters: m.Adapters})
+		state.Models = append(state.Models, backs.LoadedModel{Model: m.Name, Adapters: m.Adapters})
 	}
 	return state
 }
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -129,7 +129,7 @@
 func (p *Peers) fleetState(states []backs.State) *wire.FleetState {
 	version, record := p.Lease.Renewed()
 	return &wire.FleetState{
-		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.Known(p.Now()).Milliseconds()),
+		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.SyncedFor(p.Now()).Milliseconds()),
 		Servers: statesOf(states), Loads: []wire.ServerLoad{}, Relays: []wire.Relay{},
 	}
 }
--- a/peers/left_test.go
+++ b/peers/left_test.go
@@ -72,9 +72,9 @@
 			now := start
 			controller, vm := silent(&now, "a", "b"), silent(&now, "a", "b")
 			now = start.Add(10 * time.Second)
-			controller.Servers.Current(now)
-			vm.Servers.Current(now)
-			vm.Servers.Away()
+			controller.Servers.MarkCurrent(now)
+			vm.Servers.MarkCurrent(now)
+			vm.Servers.MarkStoreDown()
 			now = start.Add(16 * time.Second)
 			if tc.restarted {
 				controller = silent(&now, "a")
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -177,7 +177,7 @@
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Hold(p.Now(), id, p.Controller.HeldBy(p.Now(), id))
+			p.Servers.SetModels(p.Now(), id, p.Controller.HeldBy(p.Now(), id))
 		}
 		return id, err
 	}
@@ -190,7 +190,7 @@
 		}
 		id, err := up.find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Learn(p.Now(), id, model, adapter)
+			p.Servers.AddModel(p.Now(), id, model, adapter)
 		}
 		return id, err
 	})
@@ -313,7 +313,7 @@
 		p.Limits.TakeReport()
 		p.Book.Others(now, pick.Minus(p.Controller.Loads(), own))
 		for _, s := range p.Controller.ShownSince(now, since) {
-			p.Servers.Hold(now, s.Server, s.Models)
+			p.Servers.SetModels(now, s.Server, s.Models)
 		}
 		since = now
 		p.countVMs(now)
@@ -355,7 +355,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.Path, func(w http.ResponseWriter, r *http.Request) {
 		key := p.linkKey(p.Now())
-		if key == "" || !p.Servers.Caught() {
+		if key == "" || !p.Servers.Synced() {
 			http.Error(w, "this VM neither holds the controllers' lease nor relays, or has just begun to", http.StatusServiceUnavailable)
 			return
 		}
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -242,8 +242,8 @@
 	for _, state := range s.Servers {
 		states = append(states, stateOf(state))
 	}
-	p.Servers.Adopt(now, backs.Word{
-		States: states, Full: s.Full, Age: time.Duration(s.AgeMs) * time.Millisecond, Known: time.Duration(s.KnownMs) * time.Millisecond,
+	p.Servers.Merge(now, backs.Update{
+		States: states, Full: s.Full, Age: time.Duration(s.AgeMs) * time.Millisecond, SyncedFor: time.Duration(s.KnownMs) * time.Millisecond,
 	})
 	if !s.HasLoads {
 		return
--- a/pick/book.go
+++ b/pick/book.go
@@ -312,7 +312,7 @@
 	if need := s.own.Tokens + s.others.Tokens + w.Prompt + w.Output; w.Model != "" && kv > 0 && float64(need) > kvLimit*float64(kv) {
 		cost += kvPenalty
 	}
-	if e.Cold > 0 {
+	if e.WarmupRemaining > 0 {
 		cost += plainTime
 	}
 	if w.Model == "" && !b.kept(e) {
--- a/replay/server.go
+++ b/replay/server.go
@@ -66,11 +66,11 @@
 	return e
 }
 
-func (s *server) holds() []backs.Held {
-	var list []backs.Held
+func (s *server) holds() []backs.LoadedModel {
+	var list []backs.LoadedModel
 	for m := range s.w.p.Fleet.Models {
 		if s.held[m] {
-			list = append(list, backs.Held{Model: modelName(m), Version: 1, Adapters: s.adaptersOf(m)})
+			list = append(list, backs.LoadedModel{Model: modelName(m), Version: 1, Adapters: s.adaptersOf(m)})
 		}
 	}
 	return list
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -107,7 +107,7 @@
 func (v *vm) candidates(now time.Time, r *request) []backs.Entry {
 	var list []backs.Entry
 	for _, e := range v.w.serving(now) {
-		if e.Holds(r.work.Model, r.work.Adapter) {
+		if e.HasModel(r.work.Model, r.work.Adapter) {
 			list = append(list, e)
 		}
 	}
--- a/replay/world.go
+++ b/replay/world.go
@@ -310,7 +310,7 @@
 	}
 	w.after(tellTook, func() {
 		for _, s := range shown {
-			w.view.Hold(now, s.Server, s.Models)
+			w.view.SetModels(now, s.Server, s.Models)
 		}
 		w.stale = true
 	})
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -182,20 +182,20 @@
 func (b *Backend) Entry() backs.Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return backs.Entry{ID: b.ID, Born: b.born, Service: b.Service, Domain: b.Domain, Slots: b.Slots, Draining: b.draining, Models: b.held()}
+	return backs.Entry{ID: b.ID, StartedAt: b.born, Service: b.Service, Domain: b.Domain, Slots: b.Slots, Draining: b.draining, Models: b.held()}
 }
 
-func (b *Backend) held() []backs.Held {
-	var list []backs.Held
+func (b *Backend) held() []backs.LoadedModel {
+	var list []backs.LoadedModel
 	for m, adapters := range b.models {
-		h := backs.Held{Model: m, Version: 1, Adapters: []string{}}
+		h := backs.LoadedModel{Model: m, Version: 1, Adapters: []string{}}
 		for a := range adapters {
 			h.Adapters = append(h.Adapters, a)
 		}
 		slices.Sort(h.Adapters)
 		list = append(list, h)
 	}
-	slices.SortFunc(list, func(x, y backs.Held) int {
+	slices.SortFunc(list, func(x, y backs.LoadedModel) int {
 		if x.Model < y.Model {
 			return -1
 		}
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -395,7 +395,7 @@
 }
 
 // HeldBy returns the models of a server as requests may use them.
-func (c *Controller) HeldBy(now time.Time, id string) []backs.Held {
+func (c *Controller) HeldBy(now time.Time, id string) []backs.LoadedModel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.servers[id]; s != nil {
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -103,7 +103,7 @@
 		}
 		e := backs.Entry{ID: fmt.Sprintf("s%02d", i), Service: "s", Domain: fmt.Sprintf("d%d", i%3)}
 		for _, m := range models {
-			e.Models = append(e.Models, backs.Held{Model: m})
+			e.Models = append(e.Models, backs.LoadedModel{Model: m})
 		}
 		s := NewServer(start, e)
 		s.Reported(start, start, Report{Models: e.Models})
@@ -138,7 +138,7 @@
 			if o.unload {
 				o.server.drop(now, o.model)
 			} else {
-				o.server.add(now, backs.Held{Model: o.model})
+				o.server.add(now, backs.LoadedModel{Model: o.model})
 			}
 		}
 		under = kept
@@ -215,10 +215,10 @@
 	for i, models := range [][]string{{"busy", "other"}, {"busy"}} {
 		e := backs.Entry{ID: fmt.Sprint(i), Service: "s"}
 		for _, m := range models {
-			e.Models = append(e.Models, backs.Held{Model: m})
+			e.Models = append(e.Models, backs.LoadedModel{Model: m})
 		}
 		if i == 1 {
-			e.Models = append(e.Models, backs.Held{Model: "filler"})
+			e.Models = append(e.Models, backs.LoadedModel{Model: "filler"})
 			engine.Models["filler"] = routes.Model{Name: "filler", MB: 10, Load: time.Second}
 		}
 		s := NewServer(now, e)
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -198,7 +198,7 @@
 // sync takes in the entries of a service's servers and drops those that are
 // gone.
 func (c *Controller) sync(now time.Time, service string) {
-	entries := c.Servers.Listed(now)
+	entries := c.Servers.StoredEntries(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.servers == nil {
@@ -215,11 +215,11 @@
 		listed[e.ID] = true
 		s := c.servers[e.ID]
 		if s == nil {
-			s = NewServer(e.At, e.Entry)
+			s = NewServer(e.ReceivedAt, e.Entry)
 			c.servers[e.ID] = s
 			added++
 		}
-		s.Listed(now, e.At, e.Entry)
+		s.Listed(now, e.ReceivedAt, e.Entry)
 		if e.Unreadable {
 			s.Doubt()
 		}
@@ -244,7 +244,7 @@
 // one may still be carried out. c.mu is held.
 func (c *Controller) restarted(now time.Time, gone *Server) {
 	for _, s := range c.servers {
-		if s != gone && s.entry.Called() == gone.entry.Called() {
+		if s != gone && s.entry.PlatformName() == gone.entry.PlatformName() {
 			s.Succeeds(now, gone)
 		}
 	}
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -19,7 +19,7 @@
 func testController(fence func(time.Time) (int, bool)) (*Controller, chan Order) {
 	now := time.Unix(1000, 0)
 	view := &backs.View{}
-	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1"}}}})
+	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}}}})
 	engine := &routes.Engine{MemoryMB: 20, AdapterSlots: 2, LoadsPerSecond: 1, Models: map[string]routes.Model{
 		"m1": {Name: "m1", MB: 10, Adapters: 3}, "m2": {Name: "m2", MB: 10},
 	}}
@@ -34,7 +34,7 @@
 				return Accepted, nil
 			},
 			Report: func(context.Context, backs.Entry) (Report, error) {
-				return Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7}, nil
+				return Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7}, nil
 			},
 		},
 	}, orders
@@ -55,10 +55,10 @@
 	now := c.Now()
 	c.sync(now, "s")
 	s := c.servers["a"]
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	s.Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7})
 	c.mu.Lock()
 	c.start(context.Background(), s, Order{Model: "m2"}, time.Second)
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
+	s.Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
 	c.mu.Unlock()
 	close(begun)
 	require.Equal(t, 7, (<-orders).Expect)
@@ -71,7 +71,7 @@
 	now := c.Now()
 	c.sync(now, "s")
 	s := c.servers["a"]
-	s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
+	s.Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
 	c.Report(now, "vm", loadUsing("a", "m1/a1"), nil)
 	later := now.Add(time.Minute)
 	model, adapter := c.idlest(later, s, "s", time.Second)
@@ -162,7 +162,7 @@
 	service, _ := table.Service("s")
 	look := func(now time.Time) {
 		c.sync(now, "s")
-		c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+		c.servers["a"].Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 		c.placeModels(t.Context(), now, service)
 	}
 	now := c.Now()
@@ -189,7 +189,7 @@
 	c.Spawn = func(call func()) { calls = append(calls, call) }
 	c.Step(t.Context(), c.Now())
 	now := c.Now().Add(time.Second)
-	c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	c.servers["a"].Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7})
 	var wants []Want
 	for _, adapter := range []string{"a1", "a2", "a3"} {
 		wants = append(wants, Want{Service: "s", Model: "m1", Adapter: adapter, Requests: 1, Time: time.Millisecond})
@@ -249,7 +249,7 @@
 			now := c.Now()
 			c.sync(now, "s")
 			s := c.servers["a"]
-			s.Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 3})
+			s.Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 3})
 			service, _ := c.Table().Service("s")
 			service.Engine.AdapterSlots = 4
 			c.mu.Lock()
@@ -268,7 +268,7 @@
 
 // takePlaces shows two adapters more at the server, which another order has loaded.
 func takePlaces(c *Controller, _ *bool) {
-	c.servers["a"].add(c.Now(), backs.Held{Model: "m1", Adapters: []string{"a8", "a9"}})
+	c.servers["a"].add(c.Now(), backs.LoadedModel{Model: "m1", Adapters: []string{"a8", "a9"}})
 }
 
 // A server that alone holds an adapter crashes; its entry stands for some seconds more. Callers
@@ -291,12 +291,12 @@
 		t.Run(name, func(t *testing.T) {
 			c, orders := testController(func(time.Time) (int, bool) { return 5, true })
 			c.Servers.Replace(now, []backs.Entry{
-				{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}},
-				{ID: "b", Service: "s", Models: []backs.Held{{Model: "m1"}}},
+				{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1"}}}},
+				{ID: "b", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}}},
 			})
 			c.sync(now, "s")
-			c.servers["a"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}})
-			c.servers["b"].Reported(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+			c.servers["a"].Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1"}}}})
+			c.servers["b"].Reported(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 			for range downAfter {
 				c.servers["a"].Missed()
 			}
--- a/steer/holds.go
+++ b/steer/holds.go
@@ -24,14 +24,14 @@
 }
 
 // Shown returns the models and adapters that requests may be sent for.
-func (s *Server) Shown(now time.Time) []backs.Held {
-	var list []backs.Held
+func (s *Server) Shown(now time.Time) []backs.LoadedModel {
+	var list []backs.LoadedModel
 	for _, name := range slices.Sorted(maps.Keys(s.models)) {
 		r := s.models[name]
 		if r.phase != held {
 			continue
 		}
-		h := backs.Held{Model: name}
+		h := backs.LoadedModel{Model: name}
 		for _, a := range slices.Sorted(maps.Keys(r.adapters)) {
 			if r.adapters[a].usable(now) {
 				h.Adapters = append(h.Adapters, a)
--- a/steer/order.go
+++ b/steer/order.go
@@ -49,9 +49,9 @@
 type Report struct {
 	// Born is when the server started, the zero time when it does not tell.
 	Born   time.Time
-	Models []backs.Held
+	Models []backs.LoadedModel
 	// Pending are adapters on their way, as model and adapter.
-	Pending []backs.Held
+	Pending []backs.LoadedModel
 	// Busy says that a model is being loaded or dropped.
 	Busy bool
 	// Sequence is the number of orders accepted since the server's start.
--- a/steer/plan_test.go
+++ b/steer/plan_test.go
@@ -90,7 +90,7 @@
 	far := entry("z", "m1")
 	far.Domain = "other"
 	other := steer.NewServer(at(0), far)
-	other.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "m1"}}})
+	other.Reported(at(0), at(0), steer.Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 	near := reported(at(0), "b", 0, "m1")
 	holds := reported(at(0), "a", 0, "m2")
 	p := planner(at(1), engine(20, "m1", "m2"), map[string]float64{"m2": 10}, holds, near, other)
@@ -136,7 +136,7 @@
 	work := map[string]float64{"low": 0.5, "high": 0.95}
 	servers := func() []*steer.Server {
 		disk := steer.NewServer(at(0), entry("a", "low"))
-		disk.Reported(at(0), at(0), steer.Report{Models: []backs.Held{{Model: "low"}}, OnDisk: []string{"high"}})
+		disk.Reported(at(0), at(0), steer.Report{Models: []backs.LoadedModel{{Model: "low"}}, OnDisk: []string{"high"}})
 		return []*steer.Server{disk, reported(at(0), "b", 0, "low"), reported(at(0), "c", 0, "high")}
 	}
 	for name, tc := range map[string]struct {
--- a/steer/reports.go
+++ b/steer/reports.go
@@ -40,10 +40,10 @@
 	if s == nil {
 		return
 	}
-	if !r.Born.IsZero() && !r.Born.Equal(e.Born) {
+	if !r.Born.IsZero() && !r.Born.Equal(e.StartedAt) {
 		c.Log.Info().Str("server", e.ID).Time("born", r.Born).Msg("report of another start of the server")
-		if r.Born.After(e.Born) {
-			c.Servers.Ended(c.Now(), e.ID)
+		if r.Born.After(e.StartedAt) {
+			c.Servers.MarkEnded(c.Now(), e.ID)
 		}
 		return
 	}
--- a/steer/scale_test.go
+++ b/steer/scale_test.go
@@ -38,7 +38,7 @@
 	for s := range servers {
 		e := backs.Entry{ID: fmt.Sprintf("i%04d", s), Service: "s", Domain: fmt.Sprintf("d%d", s%4)}
 		for k := range 4 {
-			e.Models = append(e.Models, backs.Held{Model: fmt.Sprintf("m%04d", (4*s+k)%models)})
+			e.Models = append(e.Models, backs.LoadedModel{Model: fmt.Sprintf("m%04d", (4*s+k)%models)})
 		}
 		entries = append(entries, e)
 	}
--- a/steer/server.go
+++ b/steer/server.go
@@ -115,7 +115,7 @@
 }
 
 // add takes in a model that the server shows.
-func (s *Server) add(now time.Time, h backs.Held) {
+func (s *Server) add(now time.Time, h backs.LoadedModel) {
 	r := s.models[h.Model]
 	if r == nil {
 		r = &resident{since: now, adapters: make(map[string]place)}
@@ -179,7 +179,7 @@
 		s.add(now, h)
 	}
 	for name, m := range s.models {
-		i := slices.IndexFunc(r.Models, func(h backs.Held) bool { return h.Model == name })
+		i := slices.IndexFunc(r.Models, func(h backs.LoadedModel) bool { return h.Model == name })
 		if i < 0 {
 			if !r.Busy {
 				s.drop(now, name)
--- a/steer/server_test.go
+++ b/steer/server_test.go
@@ -18,7 +18,7 @@
 func entry(id string, models ...string) backs.Entry {
 	e := backs.Entry{ID: id, Service: "s", Domain: "d"}
 	for _, m := range models {
-		e.Models = append(e.Models, backs.Held{Model: m})
+		e.Models = append(e.Models, backs.LoadedModel{Model: m})
 	}
 	return e
 }
@@ -123,7 +123,7 @@
 func TestUnloadedModelIsShownNoMore(t *testing.T) {
 	s := reported(at(0), "a", 0, "m1", "m2")
 	s.Answered(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1"}, steer.Accepted, 0)
-	require.Equal(t, []backs.Held{{Model: "m2"}}, s.Shown(at(1)))
+	require.Equal(t, []backs.LoadedModel{{Model: "m2"}}, s.Shown(at(1)))
 	require.False(t, s.Free(at(1)))
 	s.Reported(at(2), at(2), steer.Report{Models: entry("", "m2").Models, Sequence: 1})
 	require.True(t, s.Free(at(2)))
--- a/steer/told.go
+++ b/steer/told.go
@@ -83,7 +83,7 @@
 // Shown is what requests may be sent to a server for, as of a change.
 type Shown struct {
 	Server  string
-	Models  []backs.Held
+	Models  []backs.LoadedModel
 	Changed time.Time
 }
 
--- a/steer/told_test.go
+++ b/steer/told_test.go
@@ -15,7 +15,7 @@
 // newer and sent there again; so they are told until it is gone.
 func TestADroppedModelIsToldUntilItIsGone(t *testing.T) {
 	now := time.Unix(1000, 0)
-	e := backs.Entry{ID: "a", Models: []backs.Held{{Model: "m1"}, {Model: "m2"}}}
+	e := backs.Entry{ID: "a", Models: []backs.LoadedModel{{Model: "m1"}, {Model: "m2"}}}
 	c := &Controller{servers: map[string]*Server{"a": NewServer(now, e), "b": NewServer(now, backs.Entry{ID: "b"})}}
 	s := c.servers["a"]
 	s.Answered(now, now, &routes.Engine{}, Order{Unload: true, Model: "m1"}, Accepted, 0)
@@ -24,9 +24,9 @@
 	shown := c.ShownSince(later, later.Add(-100*time.Millisecond))
 	require.Len(t, shown, 1)
 	require.Equal(t, "a", shown[0].Server)
-	require.Equal(t, []backs.Held{{Model: "m2"}}, shown[0].Models)
+	require.Equal(t, []backs.LoadedModel{{Model: "m2"}}, shown[0].Models)
 
-	s.Reported(later, later.Add(-50*time.Millisecond), Report{Models: []backs.Held{{Model: "m2"}}, Sequence: 1})
+	s.Reported(later, later.Add(-50*time.Millisecond), Report{Models: []backs.LoadedModel{{Model: "m2"}}, Sequence: 1})
 	later = later.Add(time.Second)
 	require.Empty(t, c.ShownSince(later, later.Add(-100*time.Millisecond)))
 }
@@ -40,12 +40,12 @@
 	c.servers["a"].Answered(now, now, &routes.Engine{}, Order{Model: "m2"}, Accepted, time.Second)
 
 	received := now.Add(1200 * time.Millisecond)
-	c.Servers.Put(received, backs.Entry{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1"}, {Model: "m2"}}})
+	c.Servers.Put(received, backs.Entry{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}, {Model: "m2"}}})
 	previous := received.Add(50 * time.Millisecond)
 	c.ShownSince(previous, received.Add(-50*time.Millisecond))
 	synced := received.Add(90 * time.Millisecond)
 	c.sync(synced, "s")
 	shown := c.ShownSince(synced, previous)
 	require.Len(t, shown, 1)
-	require.Equal(t, []backs.Held{{Model: "m1"}, {Model: "m2"}}, shown[0].Models)
+	require.Equal(t, []backs.LoadedModel{{Model: "m1"}, {Model: "m2"}}, shown[0].Models)
 }
--- a/steer/verdict.go
+++ b/steer/verdict.go
@@ -63,7 +63,7 @@
 		if o.Unload {
 			delete(s.models, o.Model)
 		} else {
-			s.add(now, backs.Held{Model: o.Model})
+			s.add(now, backs.LoadedModel{Model: o.Model})
 		}
 		return
 	}
