--- a/entry/control.go
+++ b/entry/control.go
@@ -79,7 +79,7 @@
 
 // control runs the controller's loop.
 func (d *Daemon) control(ctx context.Context) {
-	c := &controller{d: d, keeper: lease.Keeper{Name: d.config.Name, Boot: d.boot, Duration: leaseDuration}}
+	c := &controller{d: d, keeper: lease.Keeper{Name: d.config.Name, BootID: d.boot, Duration: leaseDuration}}
 	for pause.For(ctx, controlInterval) {
 		c.observeDemand()
 		c.step(ctx)
@@ -185,13 +185,13 @@
 	if action == lease.Wait {
 		return nil
 	}
-	record, version := c.keeper.Record()
+	record, version := c.keeper.NextRecord()
 	next, err := c.d.store.Put(ctx, kindLease, c.leaseName(), version, record)
 	if err != nil {
-		c.keeper.Lost()
+		c.keeper.UpdateFailed()
 		return fmt.Errorf("write lease: %w", err)
 	}
-	c.keeper.Won(now, next, record)
+	c.keeper.UpdateSucceeded(now, next, record)
 	return nil
 }
 
@@ -219,7 +219,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
-	record, version := c.keeper.Released()
+	record, version := c.keeper.ReleaseRecord()
 	if _, err := c.d.store.Put(ctx, kindLease, c.leaseName(), version, record); err != nil {
 		c.d.log.Warn().Err(err).Msg("lease not given up")
 	}
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -10,12 +10,12 @@
 // A keeper acquires a free lease, holds it, and loses it when it does not renew.
 func ExampleKeeper() {
 	now := time.Unix(1_000_000, 0)
-	k := lease.Keeper{Name: "vm-1", Boot: "a", Duration: 3 * time.Second}
+	k := lease.Keeper{Name: "vm-1", BootID: "a", Duration: 3 * time.Second}
 	k.Observe(now, 0, lease.Record{}) // the object does not exist yet
-	if k.Next(now) == lease.Take {
-		record, version := k.Record()
+	if k.Next(now) == lease.Acquire {
+		record, version := k.NextRecord()
 		fmt.Println("write on version", version)
-		k.Won(now, 1, record) // the conditional update succeeded
+		k.UpdateSucceeded(now, 1, record) // after the conditional update
 	}
 	fmt.Println(k.Held(now.Add(time.Second)), k.Held(now.Add(3*time.Second)))
 	// Output:
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,8 +12,8 @@
 // Record is the lease as stored.
 type Record struct {
 	Holder string `json:"holder"`
-	// Boot distinguishes process runs of the same holder.
-	Boot string `json:"boot"`
+	// BootID distinguishes process runs of the same holder.
+	BootID string `json:"boot"`
 	// DurationMs is how long the lease lasts after each renewal.
 	DurationMs int `json:"duration_ms"`
 	// Renewals counts the renewals, so that each one changes the object.
@@ -26,20 +26,21 @@
 const (
 	// Wait means that there is nothing to do.
 	Wait Action = iota
-	// Take means to write a Record with this holder, conditional on the observed version.
-	Take
+	// Acquire means to write a Record with this holder, conditional on the observed
+	// version.
+	Acquire
 	// Renew means to write the next Record, conditional on the held version.
 	Renew
 )
 
-// Keeper tracks one lease for one VM. Name, Boot and Duration must be set.
+// Keeper tracks one lease for one VM. Name, BootID and Duration must be set.
 type Keeper struct {
 	Name     string
-	Boot     string
+	BootID   string
 	Duration time.Duration
-	// Drift is the part of Duration reserved for differences in clock speed; 0 selects a
-	// tenth.
-	Drift time.Duration
+	// MaxClockDrift is the part of Duration reserved for differences in clock speed; 0
+	// selects a tenth.
+	MaxClockDrift time.Duration
 
 	record  Record
 	version int
@@ -53,8 +54,8 @@
 }
 
 func (k *Keeper) drift() time.Duration {
-	if k.Drift > 0 {
-		return k.Drift
+	if k.MaxClockDrift > 0 {
+		return k.MaxClockDrift
 	}
 	return k.Duration / 10
 }
@@ -70,7 +71,7 @@
 	}
 	k.observed = true
 	k.version, k.record, k.observedAt = version, r, now
-	if r.Holder != k.Name || r.Boot != k.Boot {
+	if r.Holder != k.Name || r.BootID != k.BootID {
 		k.held = false
 	}
 }
@@ -86,53 +87,54 @@
 		}
 		return Wait
 	}
-	own := k.record.Holder == k.Name && k.record.Boot == k.Boot
-	if k.version == 0 || k.record.Holder == "" || own {
-		return Take
+	ownRecord := k.record.Holder == k.Name && k.record.BootID == k.BootID
+	if k.version == 0 || k.record.Holder == "" || ownRecord {
+		return Acquire
 	}
-	// The holder stops at Duration less Drift by its own clock after it started the
-	// renewal. Waiting for Duration plus Drift from the observation of the renewal leaves
-	// the holder enough time even when this clock runs faster.
+	// The holder stops at Duration less MaxClockDrift by its own clock after it started the
+	// renewal. Waiting for Duration plus MaxClockDrift from the observation of the renewal
+	// leaves the holder enough time even when this clock runs faster.
 	duration := time.Duration(k.record.DurationMs) * time.Millisecond
 	if now.Sub(k.observedAt) >= duration+k.drift() {
-		return Take
+		return Acquire
 	}
 	return Wait
 }
 
-// Record returns the record to write for Take or Renew, and the version on which the write
-// is conditional.
-func (k *Keeper) Record() (Record, int) {
-	r := Record{Holder: k.Name, Boot: k.Boot, DurationMs: int(k.Duration.Milliseconds()), Renewals: k.record.Renewals + 1}
+// NextRecord returns the record to write for Acquire or Renew, and the version on which the
+// write is conditional.
+func (k *Keeper) NextRecord() (Record, int) {
+	r := Record{Holder: k.Name, BootID: k.BootID, DurationMs: int(k.Duration.Milliseconds()), Renewals: k.record.Renewals + 1}
 	return r, k.version
 }
 
-// Released returns the record that releases the lease, and the version on which the write
-// is conditional.
-func (k *Keeper) Released() (Record, int) {
+// ReleaseRecord returns the record that releases the lease, and the version on which the
+// write is conditional.
+func (k *Keeper) ReleaseRecord() (Record, int) {
 	return Record{DurationMs: 0, Renewals: k.record.Renewals + 1}, k.version
 }
 
-// Won records that the update started at the given time succeeded.
-func (k *Keeper) Won(startedAt time.Time, version int, r Record) {
+// UpdateSucceeded records that the update started at the given time succeeded.
+func (k *Keeper) UpdateSucceeded(startedAt time.Time, version int, r Record) {
 	k.observed = true
 	k.version, k.record = version, r
 	k.observedAt, k.renewedAt = startedAt, startedAt
-	k.held = r.Holder == k.Name && r.Boot == k.Boot
+	k.held = r.Holder == k.Name && r.BootID == k.BootID
 }
 
-// Lost records that the update failed or that its outcome is unknown. The lease must be
-// observed again before the next action.
-func (k *Keeper) Lost() { k.observed = false }
+// UpdateFailed records that the update failed or that its outcome is unknown. The lease
+// must be observed again before the next action.
+func (k *Keeper) UpdateFailed() { k.observed = false }
 
 // Version returns the version and the renewal count of the last observed record.
 func (k *Keeper) Version() (version, renewals int) { return k.version, k.record.Renewals }
 
-// Changed returns when this VM first observed the current version.
-func (k *Keeper) Changed() time.Time { return k.observedAt }
+// ObservedAt returns when this VM first observed the current version.
+func (k *Keeper) ObservedAt() time.Time { return k.observedAt }
 
-// Known reports whether the current version has been observed since the last failed update.
-func (k *Keeper) Known() bool { return k.observed }
+// Observed reports whether the current version has been observed since the last failed
+// update.
+func (k *Keeper) Observed() bool { return k.observed }
 
 // Held reports whether the lease is certainly held now.
 func (k *Keeper) Held(now time.Time) bool {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -42,7 +42,7 @@
 		keepers := make([]*lease.Keeper, 3)
 		speeds := make([]float64, 3)
 		for i := range keepers {
-			keepers[i] = &lease.Keeper{Name: fmt.Sprint("vm-", i), Boot: "1", Duration: leaseDuration}
+			keepers[i] = &lease.Keeper{Name: fmt.Sprint("vm-", i), BootID: "1", Duration: leaseDuration}
 			speeds[i] = rapid.Float64Range(0.95, 1.05).Draw(t, "speed")
 		}
 		localTime := func(i int) time.Time {
@@ -57,14 +57,14 @@
 				}
 			default:
 				startedAt := localTime(i)
-				r, version := k.Record()
+				r, version := k.NextRecord()
 				now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "delay ms")) * time.Millisecond)
 				next, ok := o.put(version, r)
 				if !ok || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-					k.Lost()
+					k.UpdateFailed()
 					return
 				}
-				k.Won(startedAt, next, r)
+				k.UpdateSucceeded(startedAt, next, r)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -87,21 +87,21 @@
 
 func TestTakeover(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	a := &lease.Keeper{Name: "a", Boot: "1", Duration: leaseDuration}
-	b := &lease.Keeper{Name: "b", Boot: "1", Duration: leaseDuration}
+	a := &lease.Keeper{Name: "a", BootID: "1", Duration: leaseDuration}
+	b := &lease.Keeper{Name: "b", BootID: "1", Duration: leaseDuration}
 	a.Observe(now, 0, lease.Record{})
-	require.Equal(t, lease.Take, a.Next(now))
-	r, version := a.Record()
+	require.Equal(t, lease.Acquire, a.Next(now))
+	r, version := a.NextRecord()
 	require.Zero(t, version)
-	a.Won(now, 1, r)
+	a.UpdateSucceeded(now, 1, r)
 	require.True(t, a.Held(now))
 	b.Observe(now, 1, r)
 	require.Equal(t, lease.Wait, b.Next(now.Add(leaseDuration)))
-	require.Equal(t, lease.Take, b.Next(now.Add(leaseDuration+leaseDuration/10)))
+	require.Equal(t, lease.Acquire, b.Next(now.Add(leaseDuration+leaseDuration/10)))
 	require.Equal(t, lease.Renew, a.Next(now.Add(leaseDuration/3)))
 	require.False(t, a.Held(now.Add(leaseDuration)))
 
-	released, _ := a.Released()
+	released, _ := a.ReleaseRecord()
 	b.Observe(now.Add(time.Second), 2, released)
-	require.Equal(t, lease.Take, b.Next(now.Add(time.Second)), "a released lease can be acquired at once")
+	require.Equal(t, lease.Acquire, b.Next(now.Add(time.Second)), "a released lease can be acquired at once")
 }
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -125,7 +125,7 @@
 func (l *Lease) Free(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.keeper.Known() && l.keeper.Next(now) == lease.Take
+	return l.keeper.Observed() && l.keeper.Next(now) == lease.Acquire
 }
 
 // Holder returns the address and key of another VM that holds the lease, as
@@ -159,7 +159,7 @@
 	l.mu.Lock()
 	action := l.keeper.Next(l.Now())
 	l.mu.Unlock()
-	if action == lease.Wait || action == lease.Take && l.yields() {
+	if action == lease.Wait || action == lease.Acquire && l.yields() {
 		return
 	}
 	if err := l.write(ctx, action); err != nil {
@@ -187,7 +187,7 @@
 	if l.keeper.Name == "" {
 		// The address tells runs apart: a process that starts again at the same
 		// address knows that the one before it has ended, and may go on at once.
-		l.keeper = lease.Keeper{Name: l.Name, Boot: l.Address, Duration: l.Duration}
+		l.keeper = lease.Keeper{Name: l.Name, BootID: l.Address, Duration: l.Duration}
 		l.key = uuid.NewString()
 	}
 }
@@ -195,7 +195,7 @@
 func (l *Lease) renewing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.keeper.Known() && l.keeper.Held(l.Now())
+	return l.keeper.Observed() && l.keeper.Held(l.Now())
 }
 
 func (l *Lease) read(ctx context.Context) error {
@@ -229,7 +229,7 @@
 func (l *Lease) reader() (get func(ctx context.Context, kind, name string) (store.Object, error), recalled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.Weakness < recallFrom || l.recalls >= recallMost || l.keeper.Known() {
+	if l.Objects.Recall == nil || l.Weakness < recallFrom || l.recalls >= recallMost || l.keeper.Observed() {
 		return l.Objects.Get, false
 	}
 	l.recalls++
@@ -245,7 +245,7 @@
 		l.Poison.MergeSuspects(l.Now(), suspectsOf(record.Blocked))
 	}
 	l.keeper.Observe(l.Now(), version, lease.Record{
-		Holder: record.Holder, Boot: record.Boot, DurationMs: record.DurationMs, Renewals: record.Renewals,
+		Holder: record.Holder, BootID: record.Boot, DurationMs: record.DurationMs, Renewals: record.Renewals,
 	})
 }
 
@@ -279,11 +279,11 @@
 	}
 	l.mu.Lock()
 	begun := l.Now()
-	next, version := l.keeper.Record()
-	before, seen := l.record, l.keeper.Changed()
+	next, version := l.keeper.NextRecord()
+	before, seen := l.record, l.keeper.ObservedAt()
 	l.mu.Unlock()
 	record := wire.ControllerLease{
-		Holder: next.Holder, Boot: next.Boot, DurationMs: next.DurationMs, Renewals: next.Renewals,
+		Holder: next.Holder, Boot: next.BootID, DurationMs: next.DurationMs, Renewals: next.Renewals,
 		Address: l.Address, Key: l.key, Vms: vms,
 	}
 	if l.Poison != nil {
@@ -293,12 +293,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.keeper.Lost()
+		l.keeper.UpdateFailed()
 		return fmt.Errorf("write lease: %w", err)
 	}
-	l.keeper.Won(begun, got, next)
+	l.keeper.UpdateSucceeded(begun, got, next)
 	l.record = record
-	if action == lease.Take {
+	if action == lease.Acquire {
 		l.took(begun, got, before, seen)
 	}
 	return nil
