--- a/entry/relay.go
+++ b/entry/relay.go
@@ -256,12 +256,12 @@
 			break
 		}
 		again := s.watched(ctx, x, asm, func(ctx context.Context, frame frameFunc) error {
-			return s.engines.Resume(ctx, c.Address, x.attempt, asm.Last(), frame)
+			return s.engines.Resume(ctx, c.Address, x.attempt, asm.LastSequence(), frame)
 		})
 		err = resumeResult(err, again)
 	}
 	if err == nil {
-		x.answer = hibiscuscart.Answer{Text: asm.Text(), Finish: asm.Finish(), Tokens: asm.Tokens()}
+		x.answer = hibiscuscart.Answer{Text: asm.Text(), Finish: asm.FinishReason(), Tokens: asm.DeliveredFrames()}
 		return s.deliver(x)
 	}
 	if hibiscuscart.AsFailure(err).Outcome() == hibiscuscart.OutcomeUnknown {
--- a/relay/assembly.go
+++ b/relay/assembly.go
@@ -21,13 +21,14 @@
 	DropRepeated
 	// DropReplayed means that the frame repeats text of an earlier attempt.
 	DropReplayed
-	// Whole means that the end frame arrived and the answer is complete.
-	Whole
+	// Complete means that the end frame arrived and the answer is complete.
+	Complete
 )
 
 // Errors that end an attempt.
 var (
-	// ErrGap is returned when a frame is missing. The attempt is resumed after Last.
+	// ErrGap is returned when a frame is missing. The attempt is resumed after
+	// LastSequence.
 	ErrGap = errors.New("frame sequence has a gap")
 	// ErrDiverged is returned when a restarted run generates text that differs from the
 	// text already sent to the caller. The two can't be joined.
@@ -37,7 +38,7 @@
 // Assembly joins the frames of successive attempts into one answer. Restart must be called
 // before the first frame.
 type Assembly struct {
-	attempt      string
+	attemptID    string
 	lastSequence int
 	// delivered is the text sent to the caller; replayed is how many bytes of it the
 	// current attempt has repeated.
@@ -49,33 +50,33 @@
 }
 
 // Restart begins a new run with the given attempt identifier.
-func (a *Assembly) Restart(attempt string) {
-	a.attempt = attempt
+func (a *Assembly) Restart(attemptID string) {
+	a.attemptID = attemptID
 	a.lastSequence = 0
 	a.replayed = 0
 }
 
-// Last returns the sequence number after which the attempt is to be resumed.
-func (a *Assembly) Last() int { return a.lastSequence }
+// LastSequence returns the sequence number after which the attempt is to be resumed.
+func (a *Assembly) LastSequence() int { return a.lastSequence }
 
-// Tokens returns how many frames were delivered.
-func (a *Assembly) Tokens() int { return a.deliveredFrames }
+// DeliveredFrames returns how many frames were delivered.
+func (a *Assembly) DeliveredFrames() int { return a.deliveredFrames }
 
 // Text returns the text delivered so far.
 func (a *Assembly) Text() string { return a.delivered.String() }
 
-// Finish returns the reason for which generation stopped.
-func (a *Assembly) Finish() string { return a.finishReason }
+// FinishReason returns the reason for which generation stopped.
+func (a *Assembly) FinishReason() string { return a.finishReason }
 
-// IsWhole reports whether the end frame has arrived.
-func (a *Assembly) IsWhole() bool { return a.complete }
+// IsComplete reports whether the end frame has arrived.
+func (a *Assembly) IsComplete() bool { return a.complete }
 
 // Accept decides on a frame. With Deliver it returns the text for the caller.
 //
 // The end frame carries no attempt identifier; the attempt's connection identifies it. Its
 // sequence number still has to be the next one.
 func (a *Assembly) Accept(f hibiscuscart.Frame) (Verdict, string, error) {
-	if !f.End && f.Attempt != a.attempt {
+	if !f.End && f.Attempt != a.attemptID {
 		return DropForeign, "", nil
 	}
 	if f.Sequence <= a.lastSequence {
@@ -99,7 +100,7 @@
 		return DropReplayed, "", ErrDiverged
 	}
 	a.complete = true
-	return Whole, "", nil
+	return Complete, "", nil
 }
 
 // deliverNew delivers the part of text that does not repeat an earlier attempt.
--- a/relay/assembly_test.go
+++ b/relay/assembly_test.go
@@ -32,7 +32,7 @@
 	}{
 		"complete": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("a", 2, "y"), end(3)},
-			verdicts: []relay.Verdict{relay.Deliver, relay.Deliver, relay.Whole}, text: "xy", whole: true,
+			verdicts: []relay.Verdict{relay.Deliver, relay.Deliver, relay.Complete}, text: "xy", whole: true,
 		},
 		"frame of another attempt": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("b", 2, "no"), text("a", 2, "y")},
@@ -63,7 +63,7 @@
 			}
 			require.ErrorIs(t, last, c.err)
 			require.Equal(t, c.text, a.Text())
-			require.Equal(t, c.whole, a.IsWhole())
+			require.Equal(t, c.whole, a.IsComplete())
 		})
 	}
 }
@@ -91,7 +91,7 @@
 		answer := strings.Join(words, "")
 		var a relay.Assembly
 		var got strings.Builder
-		for run := 1; !a.IsWhole(); run++ {
+		for run := 1; !a.IsComplete(); run++ {
 			attempt := fmt.Sprintf("a.%d", run)
 			a.Restart(attempt)
 			frames := splitFrames(t, attempt, answer)
--- a/relay/example_test.go
+++ b/relay/example_test.go
@@ -25,7 +25,7 @@
 			fmt.Printf("%q\n", text)
 		}
 	}
-	fmt.Println(a.IsWhole())
+	fmt.Println(a.IsComplete())
 	// Output:
 	// "sesame "
 	// "milk "
