--- a/entry/operators.go
+++ b/entry/operators.go
@@ -10,8 +10,8 @@
 // operatorHandler serves the links of peers and operators, and the metrics.
 func (d *Daemon) operatorHandler() http.Handler {
 	acceptor := &link.Acceptor{
-		Hello: d.peers.hello, Keys: d.config.Keys, MaxFrame: d.config.MaxFrameBytes, Serve: d.peers.serve, Count: d.peers.countBytes,
-		Refused: func(err error) {
+		Hello: d.peers.hello, Keys: d.config.Keys, MaxFrameBytes: d.config.MaxFrameBytes, Serve: d.peers.serve, CountBytes: d.peers.countBytes,
+		OnRefused: func(err error) {
 			d.meter.Count("peers.links_refused", 1)
 			d.log.Warn().Err(err).Msg("link refused")
 		},
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -64,7 +64,7 @@
 		list: member.List{Name: d.config.Name, Domain: d.config.FailureDomain, Silence: d.config.DeadAfter, Fanout: d.config.Fanout},
 	}
 	p.others.Store(&otherDemand{})
-	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.Keys.Peer, TLS: d.config.TLS, MaxFrame: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, Count: p.countBytes}
+	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.Keys.Peer, TLS: d.config.TLS, MaxFrameBytes: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, CountBytes: p.countBytes}
 	return p
 }
 
@@ -262,7 +262,7 @@
 			return
 		}
 		if err := p.handle(ctx, conn, m); err != nil {
-			p.d.log.Warn().Err(err).Str("peer", conn.Peer().Node).Msg("link ended")
+			p.d.log.Warn().Err(err).Str("peer", conn.PeerHello().Node).Msg("link ended")
 			return
 		}
 	}
--- a/link/conn.go
+++ b/link/conn.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Peer returns the greeting that the other side sent.
-func (c *Conn) Peer() wire.Hello { return c.peerHello }
+// PeerHello returns the greeting that the other side sent.
+func (c *Conn) PeerHello() wire.Hello { return c.peerHello }
 
 // Role returns the role granted by the other side's key.
 func (c *Conn) Role() Role { return c.role }
@@ -107,10 +107,10 @@
 	Key   string
 	// TLS, when set, is used instead of plain TCP.
 	TLS *tls.Config
-	// MaxFrame bounds a frame in bytes; 0 selects one megabyte.
-	MaxFrame int64
-	// Count, when set, is called with the size of each frame in bytes.
-	Count func(sent, received int)
+	// MaxFrameBytes bounds a frame in bytes; 0 selects one megabyte.
+	MaxFrameBytes int64
+	// CountBytes, when set, is called with the size of each frame in bytes.
+	CountBytes func(sent, received int)
 	// DialContext opens the connection; nil selects TCP. Tests use it to break links.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -137,20 +137,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return handshake(ctx, &Conn{ws: ws, role: RolePeer, count: d.Count}, d.Hello(), d.MaxFrame)
+	return handshake(ctx, &Conn{ws: ws, role: RolePeer, count: d.CountBytes}, d.Hello(), d.MaxFrameBytes)
 }
 
 // Acceptor accepts links.
 type Acceptor struct {
-	Hello    func() wire.Hello
-	Keys     Keys
-	MaxFrame int64
-	// Count, when set, is called with the size of each frame in bytes.
-	Count func(sent, received int)
+	Hello         func() wire.Hello
+	Keys          Keys
+	MaxFrameBytes int64
+	// CountBytes, when set, is called with the size of each frame in bytes.
+	CountBytes func(sent, received int)
 	// Serve handles a link, which is closed when Serve returns.
 	Serve func(ctx context.Context, c *Conn)
-	// Refused, when set, is called for each wrong key or failed handshake.
-	Refused func(err error)
+	// OnRefused, when set, is called for each wrong key or failed handshake.
+	OnRefused func(err error)
 }
 
 // ServeHTTP implements http.Handler.
@@ -167,7 +167,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), handshakeTimeout)
-	conn, err := handshake(ctx, &Conn{ws: ws, role: role, count: a.Count}, a.Hello(), a.MaxFrame)
+	conn, err := handshake(ctx, &Conn{ws: ws, role: role, count: a.CountBytes}, a.Hello(), a.MaxFrameBytes)
 	cancel()
 	if err != nil {
 		a.reportRefused(err)
@@ -178,8 +178,8 @@
 }
 
 func (a *Acceptor) reportRefused(err error) {
-	if a.Refused != nil {
-		a.Refused(err)
+	if a.OnRefused != nil {
+		a.OnRefused(err)
 	}
 }
 
--- a/link/conn_test.go
+++ b/link/conn_test.go
@@ -37,8 +37,8 @@
 	t.Helper()
 	refused, frames = make(chan error, 8), make(chan error, 8)
 	s := httptest.NewServer(&link.Acceptor{
-		Hello: hello(link.Protocol), Keys: link.Keys{Peer: peerKey, Operator: operatorKey}, MaxFrame: 4096,
-		Refused: func(err error) { refused <- err },
+		Hello: hello(link.Protocol), Keys: link.Keys{Peer: peerKey, Operator: operatorKey}, MaxFrameBytes: 4096,
+		OnRefused: func(err error) { refused <- err },
 		Serve: func(ctx context.Context, c *link.Conn) {
 			for {
 				m, err := c.Receive(ctx)
@@ -69,7 +69,7 @@
 			c, err := d.Dial(testContext(t), address)
 			require.NoError(t, err)
 			defer c.Close()
-			require.Equal(t, "n", c.Peer().Node)
+			require.Equal(t, "n", c.PeerHello().Node)
 			sent := &wire.Message{Pull: &wire.Pull{Names: []string{"a", "b"}}}
 			require.NoError(t, c.Send(testContext(t), sent))
 			got, err := c.Receive(testContext(t))
--- a/peers/downlink.go
+++ b/peers/downlink.go
@@ -27,7 +27,7 @@
 }
 
 func newDownlink(c *link.Conn) *downlink {
-	return &downlink{conn: c, vm: c.Peer().Node, frames: make(chan []byte, frameQueue), replies: make(chan []byte, replyQueue)}
+	return &downlink{conn: c, vm: c.PeerHello().Node, frames: make(chan []byte, frameQueue), replies: make(chan []byte, replyQueue)}
 }
 
 // offer queues a frame, or notes that the link is behind. To end such a link
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -80,7 +80,7 @@
 	if !p.Lease.Held(now) && !p.relaying {
 		return errNoController
 	}
-	if p.relaying && p.yields(now, d.conn.Peer()) {
+	if p.relaying && p.yields(now, d.conn.PeerHello()) {
 		return errWeaker
 	}
 	first, at, err := p.wholeView(loads)
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -359,7 +359,7 @@
 			http.Error(w, "this VM neither holds the controllers' lease nor relays, or has just begun to", http.StatusServiceUnavailable)
 			return
 		}
-		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, Count: p.count, Serve: p.serveLink}
+		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, CountBytes: p.count, Serve: p.serveLink}
 		a.ServeHTTP(w, r)
 	})
 	return mux
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -143,7 +143,7 @@
 	}
 	best := make(map[string]*downlink)
 	for d := range p.links {
-		h := d.conn.Peer()
+		h := d.conn.PeerHello()
 		if h.Address == "" {
 			continue
 		}
@@ -156,7 +156,7 @@
 	for _, domain := range slices.Sorted(maps.Keys(best)) {
 		p.chosen[domain] = best[domain].vm
 		d := best[domain]
-		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.Peer().Address, Ready: p.branches[d.vm].relaying})
+		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.PeerHello().Address, Ready: p.branches[d.vm].relaying})
 	}
 	return relays
 }
@@ -166,7 +166,7 @@
 // that others are linked to already stays, so that a change of controller moves no
 // links.
 func (p *Peers) betterRelay(a, b *downlink) bool {
-	ha, hb := a.conn.Peer(), b.conn.Peer()
+	ha, hb := a.conn.PeerHello(), b.conn.PeerHello()
 	if ha.Millicores >= farStronger*hb.Millicores || hb.Millicores >= farStronger*ha.Millicores {
 		return ha.Millicores > hb.Millicores
 	}
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -36,7 +36,7 @@
 
 // follow keeps a link to a hub until it breaks. It reports whether there was one.
 func (p *Peers) follow(ctx context.Context, address, controller, key string) bool {
-	dialer := &link.Dialer{Hello: p.hello, Key: key, Count: p.count, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+	dialer := &link.Dialer{Hello: p.hello, Key: key, CountBytes: p.count, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return conns.Dial(ctx, address)
 	}}
 	dial, cancel := context.WithTimeout(ctx, linkDial)
@@ -51,7 +51,7 @@
 	}
 	up := &uplink{conn: conn, address: address, direct: address == controller, waiting: make(map[int]chan *wire.Message)}
 	p.setUplink(up)
-	p.Log.Info().Str("address", address).Str("peer", conn.Peer().Node).Bool("direct", up.direct).Msg("linked to the controller")
+	p.Log.Info().Str("address", address).Str("peer", conn.PeerHello().Node).Bool("direct", up.direct).Msg("linked to the controller")
 	root := ctx
 	ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
