--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -145,7 +145,7 @@
 	if p.IsService() {
 		return 0, false
 	}
-	free, known := d.fleet.Free(d.now(), fleet.Need{Pool: p.Pool(), Model: model})
+	free, known := d.fleet.FreeSlots(d.now(), fleet.Requirements{Pool: p.Pool(), Model: model})
 	vms := d.peers.others.Load().vms + 1
 	return (free + vms - 1) / vms, known
 }
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -232,7 +232,7 @@
 				continue
 			}
 			for _, a := range m.Artifacts {
-				if !c.d.fleet.Holds(c.d.now(), x.Server, a.Model, a.Adapter) {
+				if !c.d.fleet.HasLoaded(c.d.now(), x.Server, a.Model, a.Adapter) {
 					return false
 				}
 			}
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -51,7 +51,7 @@
 }
 
 func (d *Daemon) pollCache(ctx context.Context, server wire.Server) {
-	events, err := d.engines.CacheEvents(ctx, server.Address, d.fleet.CacheEvent(server.Name))
+	events, err := d.engines.CacheEvents(ctx, server.Address, d.fleet.LastCacheEvent(server.Name))
 	if err != nil {
 		d.meter.Count("poll.failed", 1)
 		return
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -133,19 +133,19 @@
 }
 
 func (s *relayStage) search(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
-	need := fleet.Need{
+	need := fleet.Requirements{
 		Pool: x.profile.Pool(), Model: x.model, Adapter: x.request.Adapter,
-		Service: x.profile.IsService(), Prefix: x.request.PrefixHash(),
+		NoModel: x.profile.IsService(), PromptPrefix: x.request.PrefixHash(),
 	}
-	if need.Service {
-		need.Prefix = 0
+	if need.NoModel {
+		need.PromptPrefix = 0
 	}
 	giveUp := x.request.Arrived.Add(x.profile.WholeAnswer() / 2)
 	for {
 		now := s.now()
 		candidates := s.fleet.Candidates(now, need)
 		s.mu.Lock()
-		c, ok := s.choosePolicy(candidates, need.Prefix, tried)
+		c, ok := s.choosePolicy(candidates, need.PromptPrefix, tried)
 		s.mu.Unlock()
 		if ok {
 			return c, nil
@@ -172,7 +172,7 @@
 	x.server, x.sentAt = c.Name, now
 	ctx, span := spans.Start(ctx, "attempt",
 		attribute.String("attempt", x.attempt), attribute.String("server", c.Name), attribute.String("model", x.model))
-	s.fleet.Begin(now, c.Name)
+	s.fleet.BeginRequest(now, c.Name)
 	s.meter.Count("relay.attempts", 1)
 	err := s.send(ctx, x, c, asm)
 	s.learn(x, c, err)
@@ -211,7 +211,7 @@
 	if err == nil && x.model != "" {
 		s.usage.served(x.model, now.Sub(x.sentAt))
 	}
-	s.fleet.End(now, c.Name, healthy)
+	s.fleet.EndRequest(now, c.Name, healthy)
 }
 
 func (s *relayStage) learnRefusal(x *Exchange, c fleet.Candidate, reason string) {
@@ -219,9 +219,9 @@
 	case engine.RefusedDraining:
 		s.fleet.SetLeaving(c.Name)
 	case engine.RefusedOverloaded:
-		s.fleet.Full(s.now(), c.Name)
+		s.fleet.MarkFull(s.now(), c.Name)
 	default:
-		s.fleet.Miss(s.now(), c.Name, x.model, x.request.Adapter)
+		s.fleet.MarkNotLoaded(s.now(), c.Name, x.model, x.request.Adapter)
 	}
 }
 
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -29,23 +29,23 @@
 // View is a VM's view of the backend servers. The zero value is ready to use. It is safe
 // for concurrent use.
 type View struct {
-	// ReportLag is the maximum age of a report when it arrives; 0 selects 200 ms.
-	ReportLag time.Duration
-	// Silence is the time without a report after which a server counts as silent; 0 selects
-	// 3 s.
-	Silence time.Duration
+	// MaxReportAge is the maximum age of a report when it arrives; 0 selects 200 ms.
+	MaxReportAge time.Duration
+	// SilentAfter is the time without a report after which a server counts as silent; 0
+	// selects 3 s.
+	SilentAfter time.Duration
 
 	mu      sync.Mutex
 	servers map[string]*server
 }
 
-// Need is what a request requires of a server.
-type Need struct {
-	Pool    string
-	Model   string
-	Adapter string
-	Service bool
-	Prefix  uint64
+// Requirements is what a request requires of a server.
+type Requirements struct {
+	Pool         string
+	Model        string
+	Adapter      string
+	NoModel      bool
+	PromptPrefix uint64
 }
 
 // Candidate is a server that can serve a request, with its state at the time of the query.
@@ -53,13 +53,13 @@
 	Name    string
 	Address string
 	Domain  string
-	// Load is the reported load, corrected by the VM's own requests. Reported is the load
-	// as reported.
-	Load     int
-	Reported int
-	Slots    int
-	// Cached is set when the server reported the prompt's prefix as cached.
-	Cached bool
+	// Load is the reported load, corrected by the VM's own requests. ReportedLoad is the
+	// load as reported.
+	Load         int
+	ReportedLoad int
+	Slots        int
+	// PrefixCached is set when the server reported the prompt's prefix as cached.
+	PrefixCached bool
 	// Healthy is false for an ejected or silent server.
 	Healthy bool
 
@@ -103,7 +103,7 @@
 	if s == nil {
 		return
 	}
-	lag := v.ReportLag
+	lag := v.MaxReportAge
 	if lag == 0 {
 		lag = defaultReportLag
 	}
@@ -147,8 +147,8 @@
 	return s.lastCacheEvent
 }
 
-// CacheEvent returns the sequence number of the last cache event that was applied.
-func (v *View) CacheEvent(name string) int {
+// LastCacheEvent returns the sequence number of the last cache event that was applied.
+func (v *View) LastCacheEvent(name string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
@@ -157,8 +157,8 @@
 	return 0
 }
 
-// Begin records that a request is being sent to a server.
-func (v *View) Begin(now time.Time, name string) {
+// BeginRequest records that a request is being sent to a server.
+func (v *View) BeginRequest(now time.Time, name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
@@ -167,10 +167,10 @@
 	}
 }
 
-// End records that a request has ended, and whether it succeeded. Consecutive failures
-// eject the server, each time for twice as long. The first request after an ejection is the
-// probe.
-func (v *View) End(now time.Time, name string, ok bool) {
+// EndRequest records that a request has ended, and whether it succeeded. Consecutive
+// failures eject the server, each time for twice as long. The first request after an
+// ejection is the probe.
+func (v *View) EndRequest(now time.Time, name string, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.servers[name]
@@ -195,9 +195,9 @@
 	return min(initialEjection<<min(ejections, 5), maxEjection)
 }
 
-// Miss records that a server refused a model that its report listed. The server is not a
-// candidate for that model for a short time.
-func (v *View) Miss(now time.Time, name, model, adapter string) {
+// MarkNotLoaded records that a server refused a model that its report listed. The server is
+// not a candidate for that model for a short time.
+func (v *View) MarkNotLoaded(now time.Time, name, model, adapter string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
@@ -205,9 +205,9 @@
 	}
 }
 
-// Full records that a server refused a request for lack of capacity. The server counts as
-// overloaded for a short time. Its models stay loaded.
-func (v *View) Full(now time.Time, name string) {
+// MarkFull records that a server refused a request for lack of capacity. The server counts
+// as overloaded for a short time. Its models stay loaded.
+func (v *View) MarkFull(now time.Time, name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.servers[name]; s != nil {
@@ -227,18 +227,18 @@
 // Candidates returns the servers that meet the requirements and are not leaving, sorted by
 // name. When none of them is healthy it returns the unhealthy ones: ejecting the last copy
 // would make the model unreachable.
-func (v *View) Candidates(now time.Time, need Need) []Candidate {
+func (v *View) Candidates(now time.Time, required Requirements) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all []Candidate
 	healthy := 0
 	for _, s := range v.servers {
-		if !v.meets(now, s, need) {
+		if !v.meets(now, s, required) {
 			continue
 		}
 		c := Candidate{
 			Name: s.doc.Name, Address: s.doc.Address, Domain: s.doc.FailureDomain,
-			Load: s.load(now), Reported: s.report.Running + s.report.Queued, Slots: s.report.Slots, Cached: s.cachedPrefixes[need.Prefix],
+			Load: s.load(now), ReportedLoad: s.report.Running + s.report.Queued, Slots: s.report.Slots, PrefixCached: s.cachedPrefixes[required.PromptPrefix],
 			Healthy: !s.ejected(now) && !v.silent(now, s), prefillOnly: s.report.Role == string(wire.OrderRolePrefill),
 		}
 		if c.Healthy {
@@ -258,21 +258,21 @@
 	return all
 }
 
-func (v *View) meets(now time.Time, s *server, need Need) bool {
-	if s.leaving || s.doc.Pool != need.Pool {
+func (v *View) meets(now time.Time, s *server, required Requirements) bool {
+	if s.leaving || s.doc.Pool != required.Pool {
 		return false
 	}
-	if need.Service {
+	if required.NoModel {
 		return true
 	}
-	if now.Before(s.notLoadedUntil[artifactKey(need.Model, need.Adapter)]) {
+	if now.Before(s.notLoadedUntil[artifactKey(required.Model, required.Adapter)]) {
 		return false
 	}
-	return s.hasLoaded(need.Model, need.Adapter)
+	return s.hasLoaded(required.Model, required.Adapter)
 }
 
 func (v *View) silent(now time.Time, s *server) bool {
-	silence := v.Silence
+	silence := v.SilentAfter
 	if silence == 0 {
 		silence = defaultSilenceTimeout
 	}
@@ -322,13 +322,13 @@
 	return names
 }
 
-// Free returns the number of free slots on the healthy servers that meet the requirements,
-// and whether any of them reports its slots.
-func (v *View) Free(now time.Time, need Need) (free int, known bool) {
+// FreeSlots returns the number of free slots on the healthy servers that meet the
+// requirements, and whether any of them reports its slots.
+func (v *View) FreeSlots(now time.Time, required Requirements) (free int, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
-		if !v.meets(now, s, need) || s.ejected(now) || v.silent(now, s) || s.report.Slots == 0 {
+		if !v.meets(now, s, required) || s.ejected(now) || v.silent(now, s) || s.report.Slots == 0 {
 			continue
 		}
 		known = true
@@ -337,9 +337,9 @@
 	return free, known
 }
 
-// Holds reports whether a server that is neither leaving nor silent reports an artifact as
-// loaded.
-func (v *View) Holds(now time.Time, name, model, adapter string) bool {
+// HasLoaded reports whether a server that is neither leaving nor silent reports an artifact
+// as loaded.
+func (v *View) HasLoaded(now time.Time, name, model, adapter string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.servers[name]
@@ -357,8 +357,8 @@
 	return s != nil && !s.leaving && !s.reportedAt.IsZero() && !v.silent(now, s)
 }
 
-// Loaded reports whether any server reports this version of an artifact as loaded.
-func (v *View) Loaded(model, adapter string, version int) bool {
+// LoadedAnywhere reports whether any server reports this version of an artifact as loaded.
+func (v *View) LoadedAnywhere(model, adapter string, version int) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -14,7 +14,7 @@
 
 func view(t *testing.T) *fleet.View {
 	t.Helper()
-	v := &fleet.View{ReportLag: 200 * time.Millisecond}
+	v := &fleet.View{MaxReportAge: 200 * time.Millisecond}
 	v.SetServers([]wire.Server{
 		{Name: "a", Pool: "llm", Address: "1", FailureDomain: "one"},
 		{Name: "b", Pool: "llm", Address: "2", FailureDomain: "two"},
@@ -43,23 +43,23 @@
 
 func TestCandidates(t *testing.T) {
 	cases := map[string]struct {
-		need   fleet.Need
+		need   fleet.Requirements
 		change func(*fleet.View)
 		want   []string
 	}{
-		"model":                {need: fleet.Need{Pool: "llm", Model: "m"}, want: []string{"a", "b"}},
-		"adapter":              {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "x"}, want: []string{"a", "b"}},
-		"missing adapter":      {need: fleet.Need{Pool: "llm", Model: "m", Adapter: "y"}},
-		"still loading":        {need: fleet.Need{Pool: "llm", Model: "n"}},
-		"other pool":           {need: fleet.Need{Pool: "desk", Service: true}},
-		"leaving":              {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetLeaving("a") }, want: []string{"b"}},
-		"draining report":      {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetReport(start, "b", wire.LoadReport{Draining: true}) }, want: []string{"a"}},
-		"refused the model":    {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Miss(start, "a", "m", "") }, want: []string{"b"}},
-		"refused, at capacity": {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.Full(start, "a") }, want: []string{"a", "b"}},
-		"ejected":              {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a") }, want: []string{"b"}},
-		"prefill role":         {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a") }, want: []string{"b"}},
-		"all in prefill role":  {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a"); prefill(v, "b") }, want: []string{"a", "b"}},
-		"last copy stays":      {need: fleet.Need{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
+		"model":                {need: fleet.Requirements{Pool: "llm", Model: "m"}, want: []string{"a", "b"}},
+		"adapter":              {need: fleet.Requirements{Pool: "llm", Model: "m", Adapter: "x"}, want: []string{"a", "b"}},
+		"missing adapter":      {need: fleet.Requirements{Pool: "llm", Model: "m", Adapter: "y"}},
+		"still loading":        {need: fleet.Requirements{Pool: "llm", Model: "n"}},
+		"other pool":           {need: fleet.Requirements{Pool: "desk", NoModel: true}},
+		"leaving":              {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetLeaving("a") }, want: []string{"b"}},
+		"draining report":      {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.SetReport(start, "b", wire.LoadReport{Draining: true}) }, want: []string{"a"}},
+		"refused the model":    {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.MarkNotLoaded(start, "a", "m", "") }, want: []string{"b"}},
+		"refused, at capacity": {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { v.MarkFull(start, "a") }, want: []string{"a", "b"}},
+		"ejected":              {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a") }, want: []string{"b"}},
+		"prefill role":         {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a") }, want: []string{"b"}},
+		"all in prefill role":  {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a"); prefill(v, "b") }, want: []string{"a", "b"}},
+		"last copy stays":      {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,27 +80,27 @@
 
 func eject(v *fleet.View, name string) {
 	for range 3 {
-		v.Begin(start, name)
-		v.End(start, name, false)
+		v.BeginRequest(start, name)
+		v.EndRequest(start, name, false)
 	}
 }
 
 func TestProbeAfterEjection(t *testing.T) {
 	v := view(t)
-	need := fleet.Need{Pool: "llm", Model: "m"}
+	need := fleet.Requirements{Pool: "llm", Model: "m"}
 	eject(v, "a")
 	require.Equal(t, []string{"b"}, names(v.Candidates(start.Add(500*time.Millisecond), need)))
 	later := start.Add(1100 * time.Millisecond)
 	require.Equal(t, []string{"a", "b"}, names(v.Candidates(later, need)))
-	v.Begin(later, "a")
+	v.BeginRequest(later, "a")
 	require.Equal(t, []string{"b"}, names(v.Candidates(later, need)), "one probe at a time")
-	v.End(later, "a", false)
+	v.EndRequest(later, "a", false)
 	require.Equal(t, []string{"b"}, names(v.Candidates(later.Add(1500*time.Millisecond), need)), "the second ejection is longer")
 	later = later.Add(2100 * time.Millisecond)
 	v.SetReport(later, "a", report(0))
 	v.SetReport(later, "b", report(0))
-	v.Begin(later, "a")
-	v.End(later, "a", true)
+	v.BeginRequest(later, "a")
+	v.EndRequest(later, "a", true)
 	require.Equal(t, []string{"a", "b"}, names(v.Candidates(later, need)))
 }
 
@@ -108,9 +108,9 @@
 // add these requests to the load until a report can include them.
 func TestStaleReportIsCorrected(t *testing.T) {
 	v := view(t)
-	load := func(now time.Time) int { return v.Candidates(now, fleet.Need{Pool: "llm", Model: "m"})[0].Load }
-	v.Begin(start, "a")
-	v.Begin(start, "a")
+	load := func(now time.Time) int { return v.Candidates(now, fleet.Requirements{Pool: "llm", Model: "m"})[0].Load }
+	v.BeginRequest(start, "a")
+	v.BeginRequest(start, "a")
 	require.Equal(t, 2, load(start))
 	soon := start.Add(100 * time.Millisecond)
 	v.SetReport(soon, "a", report(0))
@@ -118,7 +118,7 @@
 	later := start.Add(400 * time.Millisecond)
 	v.SetReport(later, "a", report(5))
 	require.Equal(t, 5, load(later), "the report includes the requests")
-	v.End(later, "a", true)
+	v.EndRequest(later, "a", true)
 	require.Equal(t, 4, load(later))
 }
 
@@ -126,7 +126,7 @@
 	v := view(t)
 	now := start.Add(10 * time.Second)
 	v.SetReport(now, "b", report(0))
-	require.Equal(t, []string{"b"}, names(v.Candidates(now, fleet.Need{Pool: "llm", Model: "m"})))
+	require.Equal(t, []string{"b"}, names(v.Candidates(now, fleet.Requirements{Pool: "llm", Model: "m"})))
 	require.Equal(t, wire.ServerStatusStateSilent, v.Status(now)[0].State)
 }
 
@@ -136,6 +136,6 @@
 		{Name: "a", Pool: "llm", Address: "1"},
 		{Name: "b", Pool: "llm", Address: "9"},
 	})
-	require.Equal(t, []string{"a"}, names(v.Candidates(start, fleet.Need{Pool: "llm", Model: "m"})),
+	require.Equal(t, []string{"a"}, names(v.Candidates(start, fleet.Requirements{Pool: "llm", Model: "m"})),
 		"a server at another address is another server")
 }
--- a/naive/route.go
+++ b/naive/route.go
@@ -10,7 +10,7 @@
 	}
 	best := candidates[0]
 	for _, c := range candidates[1:] {
-		if c.Reported < best.Reported {
+		if c.ReportedLoad < best.ReportedLoad {
 			best = c
 		}
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -116,7 +116,7 @@
 	for _, c := range candidates {
 		mean += fill(c) / float64(len(candidates))
 		weight := rendezvous(c.Name, prefix)
-		if c.Cached {
+		if c.PrefixCached {
 			weight |= 1 << 63
 		} else {
 			weight >>= 1
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -92,7 +92,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range all {
 		held := candidates(0, 0, 0)
-		held[i].Cached = true
+		held[i].PrefixCached = true
 		for prefix := uint64(1); prefix < 20; prefix++ {
 			got, _ := route.Policy{Domain: "here"}.Choose(rng, held, prefix, nil)
 			require.Equal(t, all[i].Name, got.Name)
@@ -108,7 +108,7 @@
 		loads := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 10).Draw(t, "loads")
 		all := candidates(loads...)
 		for i := range all {
-			all[i].Reported = all[i].Load
+			all[i].ReportedLoad = all[i].Load
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		want, _ := naive.Choose(all)
