--- a/entry/links.go
+++ b/entry/links.go
@@ -96,7 +96,7 @@
 func (p *peers) linkTo(ctx context.Context, node string) *link.Conn {
 	address := ""
 	p.mu.Lock()
-	for _, b := range p.list.Beats() {
+	for _, b := range p.list.Heartbeats() {
 		if b.Node == node {
 			address = b.PeerAddress
 		}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -61,7 +61,7 @@
 	p := &peers{
 		d: d, started: int(d.now().UnixMilli()), rng: rand.New(rand.NewPCG(d.config.Seed, 2)),
 		links: make(map[string]*peerLink), offered: make(map[string]time.Time),
-		list: member.List{Name: d.config.Name, Domain: d.config.FailureDomain, Silence: d.config.DeadAfter, Fanout: d.config.Fanout},
+		list: member.List{Name: d.config.Name, Domain: d.config.FailureDomain, DeadAfter: d.config.DeadAfter, Fanout: d.config.Fanout},
 	}
 	p.others.Store(&otherDemand{})
 	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.Keys.Peer, TLS: d.config.TLS, MaxFrameBytes: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, CountBytes: p.countBytes}
@@ -80,7 +80,7 @@
 // run passes heartbeats on until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	p.mu.Lock()
-	p.list.Hint(p.d.now(), p.d.config.Seeds)
+	p.list.MergePlatformList(p.d.now(), p.d.config.Seeds)
 	p.mu.Unlock()
 	var listed time.Time
 	for {
@@ -101,7 +101,7 @@
 func (p *peers) asksPlatform(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.Elected(now, "list", listers) || len(p.list.Staying(now, "")) <= 1
+	return p.list.Elected(now, "list", listers) || len(p.list.ActiveVMs(now, "")) <= 1
 }
 
 // refresh takes in the platform's list.
@@ -115,7 +115,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list.Hint(p.d.now(), vms)
+	p.list.MergePlatformList(p.d.now(), vms)
 }
 
 // round sends one round of heartbeats.
@@ -127,11 +127,11 @@
 		state = wire.HeartbeatStateLeaving
 	}
 	p.mu.Lock()
-	p.list.Begin(now, wire.Heartbeat{
+	p.list.BeginRound(now, wire.Heartbeat{
 		Node: p.d.config.Name, FailureDomain: p.d.config.FailureDomain, PeerAddress: p.d.peerAddr,
 		Incarnation: p.started, State: state, ConfigHash: hash, Demand: demand, Models: models,
 	})
-	targets := p.list.Targets(now, p.rng)
+	targets := p.list.GossipTargets(now, p.rng)
 	message := &wire.Message{Gossip: &wire.Gossip{Heartbeats: p.list.Batch(p.gossipBytes(), beatBytes)}}
 	p.others.Store(p.sumDemand(now))
 	p.closeIdle(now)
@@ -183,7 +183,7 @@
 // VM, as it may still be serving. The caller holds p.mu.
 func (p *peers) sumDemand(now time.Time) *otherDemand {
 	others := &otherDemand{requests: make(map[string]int)}
-	for _, b := range p.list.Beats() {
+	for _, b := range p.list.Heartbeats() {
 		if b.State == wire.HeartbeatStateDead || b.Incarnation == 0 {
 			continue
 		}
@@ -213,7 +213,7 @@
 	add(p.d.config.FailureDomain, p.d.usage.demand(p.d.now()))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.list.Beats() {
+	for _, b := range p.list.Heartbeats() {
 		if p.list.Alive(p.d.now(), b.Node) {
 			add(b.FailureDomain, b.Models)
 		}
@@ -225,7 +225,7 @@
 func (p *peers) liveNodes() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.Staying(p.d.now(), "")
+	return p.list.ActiveVMs(p.d.now(), "")
 }
 
 // elected reports whether this VM is among the few of its domain for a job.
@@ -239,7 +239,7 @@
 func (p *peers) targets() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.SpreadTargets(p.d.now(), p.rng)
+	return p.list.UrgentTargets(p.d.now(), p.rng)
 }
 
 // serve handles a link that a peer or an operator opened, until it ends or the
@@ -377,7 +377,7 @@
 	reply := &wire.FleetReply{Node: p.d.config.Name, Nodes: []wire.NodeStatus{own}, Servers: []wire.ServerStatus{}}
 	now := p.d.now()
 	p.mu.Lock()
-	for _, b := range p.list.Beats() {
+	for _, b := range p.list.Heartbeats() {
 		reply.Nodes = append(reply.Nodes, wire.NodeStatus{
 			Node: b.Node, FailureDomain: b.FailureDomain, PeerAddress: b.PeerAddress,
 			State: nodeState(b, p.list.Alive(now, b.Node)), Versions: []wire.ProfileVersion{},
--- a/member/list.go
+++ b/member/list.go
@@ -47,11 +47,11 @@
 	// Bridges is the number of VMs of a domain that forward heartbeats to other domains,
 	// and the number of VMs that each of them forwards to.
 	Bridges int
-	// Silence is the time without a heartbeat after which a VM of the own domain counts as
-	// dead.
-	Silence time.Duration
-	// ForgetAfter is how long a dead VM that the platform does not list is kept.
-	ForgetAfter time.Duration
+	// DeadAfter is the time without a heartbeat after which a VM of the own domain counts
+	// as dead.
+	DeadAfter time.Duration
+	// DiscardAfter is how long a dead VM that the platform does not list is kept.
+	DiscardAfter time.Duration
 
 	self    wire.Heartbeat
 	entries map[string]*entry
@@ -80,9 +80,9 @@
 	return v
 }
 
-// Begin starts a round. It increments the sequence of the VM's own heartbeat and marks VMs
-// that have been silent for too long as dead.
-func (l *List) Begin(now time.Time, self wire.Heartbeat) {
+// BeginRound starts a round. It increments the sequence of the VM's own heartbeat and marks
+// VMs that have been silent for too long as dead.
+func (l *List) BeginRound(now time.Time, self wire.Heartbeat) {
 	self.Incarnation = max(self.Incarnation, l.self.Incarnation)
 	self.Sequence = l.self.Sequence + 1
 	l.self = self
@@ -104,7 +104,7 @@
 }
 
 func (l *List) maxSilence(e *entry) time.Duration {
-	silence := orDefault(l.Silence, defaultDeadAfter)
+	silence := orDefault(l.DeadAfter, defaultDeadAfter)
 	if e.heartbeat.FailureDomain != l.Domain {
 		silence *= remoteFactor
 	}
@@ -169,9 +169,9 @@
 	e.urgentSends = l.urgentSendCount()
 }
 
-// Hint applies the platform's list, which lags. It adds unknown VMs as gossip targets and
-// discards dead VMs that are no longer listed.
-func (l *List) Hint(now time.Time, vms []wire.VM) {
+// MergePlatformList applies the platform's list, which lags. It adds unknown VMs as gossip
+// targets and discards dead VMs that are no longer listed.
+func (l *List) MergePlatformList(now time.Time, vms []wire.VM) {
 	for _, e := range l.entries {
 		e.inPlatformList = false
 	}
@@ -195,7 +195,7 @@
 		e.inPlatformList = true
 	}
 	for name, e := range l.entries {
-		if !e.inPlatformList && now.Sub(e.heardAt) > l.maxSilence(e)+orDefault(l.ForgetAfter, defaultDiscardAfter) {
+		if !e.inPlatformList && now.Sub(e.heardAt) > l.maxSilence(e)+orDefault(l.DiscardAfter, defaultDiscardAfter) {
 			delete(l.entries, name)
 		}
 	}
@@ -210,9 +210,9 @@
 	return e != nil && e.heartbeat.State != wire.HeartbeatStateDead && now.Sub(e.heardAt) <= l.maxSilence(e) && e.heartbeat.Incarnation > 0
 }
 
-// Staying returns the VMs, including this one, that are alive and not leaving, sorted by
+// ActiveVMs returns the VMs, including this one, that are alive and not leaving, sorted by
 // name. With a domain it returns only the VMs of that domain.
-func (l *List) Staying(now time.Time, domain string) []string {
+func (l *List) ActiveVMs(now time.Time, domain string) []string {
 	var names []string
 	if l.self.State != wire.HeartbeatStateLeaving && (domain == "" || domain == l.Domain) {
 		names = append(names, l.Name)
@@ -226,8 +226,8 @@
 	return names
 }
 
-// Beats returns the last heartbeats of the other VMs, sorted by name.
-func (l *List) Beats() []wire.Heartbeat {
+// Heartbeats returns the last heartbeats of the other VMs, sorted by name.
+func (l *List) Heartbeats() []wire.Heartbeat {
 	var heartbeats []wire.Heartbeat
 	for _, e := range l.entries {
 		heartbeats = append(heartbeats, e.heartbeat)
@@ -239,7 +239,7 @@
 // Elected reports whether this VM is among the count VMs of its domain that do a job. The
 // active VMs agree on them by rendezvous hashing, without a call.
 func (l *List) Elected(now time.Time, job string, count int) bool {
-	return slices.Contains(rendezvousTop(l.Staying(now, l.Domain), job, count), l.Name)
+	return slices.Contains(rendezvousTop(l.ActiveVMs(now, l.Domain), job, count), l.Name)
 }
 
 func rendezvousTop(names []string, job string, count int) []string {
@@ -257,11 +257,11 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// Targets returns the addresses to which this round's heartbeats are forwarded: some VMs of
-// the domain and, when this VM is a bridge, some of other domains. Targets
+// GossipTargets returns the addresses to which this round's heartbeats are forwarded: some
+// VMs of the domain and, when this VM is a bridge, some of other domains. The addresses
 // include one VM of the domain, and for a bridge one of another domain, that is dead or was
 // never heard, so that two partitions which count each other as dead reconnect.
-func (l *List) Targets(now time.Time, rng *rand.Rand) []string {
+func (l *List) GossipTargets(now time.Time, rng *rand.Rand) []string {
 	targets, ownSilent, otherSilent := l.targets(now, rng, l.fanout())
 	targets = append(targets, sample(rng, ownSilent, 1)...)
 	// Only bridges retry silent VMs of other domains.
@@ -276,8 +276,8 @@
 // change in the next rounds.
 const urgentFanout = 5
 
-// SpreadTargets returns the addresses to which a change is forwarded at once.
-func (l *List) SpreadTargets(now time.Time, rng *rand.Rand) []string {
+// UrgentTargets returns the addresses to which a change is forwarded at once.
+func (l *List) UrgentTargets(now time.Time, rng *rand.Rand) []string {
 	targets, _, _ := l.targets(now, rng, urgentFanout)
 	return targets
 }
@@ -287,13 +287,13 @@
 func (l *List) targets(now time.Time, rng *rand.Rand, fanout int) (targets, ownSilent, otherSilent []string) {
 	var ownAlive, otherAlive []string
 	for name, e := range l.entries {
-		alive, own := l.Alive(now, name), e.heartbeat.FailureDomain == l.Domain
+		alive, sameDomain := l.Alive(now, name), e.heartbeat.FailureDomain == l.Domain
 		switch {
-		case alive && own:
+		case alive && sameDomain:
 			ownAlive = append(ownAlive, e.heartbeat.PeerAddress)
 		case alive:
 			otherAlive = append(otherAlive, e.heartbeat.PeerAddress)
-		case own:
+		case sameDomain:
 			ownSilent = append(ownSilent, e.heartbeat.PeerAddress)
 		default:
 			otherSilent = append(otherSilent, e.heartbeat.PeerAddress)
--- a/member/list_test.go
+++ b/member/list_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, doc := range docs {
 		f.boot(doc, 1)
-		f.vms[doc.Name].list.Hint(f.now, docs)
+		f.vms[doc.Name].list.MergePlatformList(f.now, docs)
 	}
 	return f
 }
@@ -69,7 +69,7 @@
 // boot starts or restarts a VM.
 func (f *fleet) boot(doc wire.VM, incarnation int) {
 	f.vms[doc.Name] = &vm{
-		list: &member.List{Name: doc.Name, Domain: doc.FailureDomain, Silence: silence}, running: true,
+		list: &member.List{Name: doc.Name, Domain: doc.FailureDomain, DeadAfter: silence}, running: true,
 		heartbeat: wire.Heartbeat{
 			Node: doc.Name, FailureDomain: doc.FailureDomain, PeerAddress: doc.PeerAddress,
 			Incarnation: incarnation, State: wire.HeartbeatStateAlive,
@@ -88,8 +88,8 @@
 }
 
 func (f *fleet) gossip(v *vm) {
-	v.list.Begin(f.now, v.heartbeat)
-	targets := v.list.Targets(f.now, f.rng)
+	v.list.BeginRound(f.now, v.heartbeat)
+	targets := v.list.GossipTargets(f.now, f.rng)
 	batch := v.list.Batch(budget, size)
 	for _, b := range batch {
 		f.bytes += size(b) * len(targets)
@@ -172,7 +172,7 @@
 		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": failures"))
 		for _, name := range dead {
 			f.boot(f.doc(name), 2)
-			f.vms[name].list.Hint(f.now, []wire.VM{f.doc(f.names[0]), f.doc(f.names[11])})
+			f.vms[name].list.MergePlatformList(f.now, []wire.VM{f.doc(f.names[0]), f.doc(f.names[11])})
 		}
 		f.rounds(120)
 		f.requireAgreement(t, fmt.Sprint("seed ", seed, ": restarts"))
@@ -245,7 +245,7 @@
 }
 
 func TestLateHeartbeatDoesNotRevive(t *testing.T) {
-	l := &member.List{Name: "a", Domain: "d", Silence: silence}
+	l := &member.List{Name: "a", Domain: "d", DeadAfter: silence}
 	beat := func(sequence int, state wire.HeartbeatState) wire.Heartbeat {
 		return wire.Heartbeat{Node: "b", FailureDomain: "d", Incarnation: 1, Sequence: sequence, State: state}
 	}
@@ -299,9 +299,9 @@
 	f.vms["d0-2"].running = false
 	f.rounds(300)
 	l := f.vms["d0-0"].list
-	require.Len(t, l.Beats(), 2)
-	l.Hint(f.now, []wire.VM{f.doc("d0-0"), f.doc("d0-1")})
-	require.Len(t, l.Beats(), 1)
+	require.Len(t, l.Heartbeats(), 2)
+	l.MergePlatformList(f.now, []wire.VM{f.doc("d0-0"), f.doc("d0-1")})
+	require.Len(t, l.Heartbeats(), 1)
 }
 
 func TestBatchBudget(t *testing.T) {
