--- /dev/null
+++ b/backs/update.go
@@ -0,0 +1,105 @@
+package backs
+
+import "time"
+
+// State is the state of a server as VMs send it to each other.
+type State struct {
+	Entry
+	// Removed is set when the entry was removed.
+	Removed bool
+	// ReadmitAfter is how long a server whose entry reappeared still gets no requests.
+	ReadmitAfter time.Duration
+	// Unreadable is set while the stored entry describes no valid server.
+	Unreadable bool
+}
+
+// Since returns the servers that changed after the given revision of the view, all for 0,
+// and the current revision.
+func (v *View) Since(now time.Time, revision int) ([]State, int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.expire(now)
+	var list []State
+	for _, r := range v.records {
+		if r.revision <= revision || revision == 0 && !r.removedAt.IsZero() {
+			continue
+		}
+		s := State{Entry: r.entry, Removed: !r.removedAt.IsZero(), Unreadable: r.unreadable}
+		if !r.reappearedAt.IsZero() {
+			s.ReadmitAfter = max(0, readmitDelay-now.Sub(r.reappearedAt))
+		}
+		list = append(list, s)
+	}
+	return list, v.revision
+}
+
+// Update is an update from another VM that watches the store.
+type Update struct {
+	States []State
+	// Full is set when States lists every existing server.
+	Full bool
+	// Age is the time since the store last confirmed that VM's state as current.
+	Age time.Duration
+	// SyncedFor is for how long that VM has had a complete server list.
+	SyncedFor time.Duration
+}
+
+// Merge merges an update from another VM. When a full list omits a server, the entry may
+// have expired during a store outage, and a sender that started during the outage lists
+// only the servers whose entries have reappeared. If the view was out of date for longer
+// than the sender has had a complete list, omitted servers are therefore treated as in
+// Remove. Otherwise they are removed at once: a sender with a complete list throughout
+// keeps servers with expired entries itself.
+func (v *View) Merge(now time.Time, update Update) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	senderWasSynced := !now.Add(-update.SyncedFor).After(v.currentAt)
+	v.recordCurrent(now, now.Add(-update.Age))
+	listed := make(map[string]bool, len(update.States))
+	for _, s := range update.States {
+		listed[s.ID] = true
+		v.mergeState(now, s)
+	}
+	if update.Full {
+		v.removeUnlisted(now, listed, senderWasSynced)
+		v.markSynced(now)
+	}
+	if len(update.States) > 0 || update.Full {
+		v.notify()
+	}
+}
+
+// removeUnlisted removes the servers that a full list omits, without a grace period if
+// confirmed is set.
+func (v *View) removeUnlisted(now time.Time, listed map[string]bool, confirmed bool) {
+	for id, r := range v.records {
+		switch {
+		case listed[id] || !r.removedAt.IsZero():
+		case confirmed:
+			v.markRemoved(now, r)
+		default:
+			v.remove(now, id)
+		}
+	}
+}
+
+func (v *View) mergeState(now time.Time, s State) {
+	if s.Removed {
+		if r := v.records[s.ID]; r != nil && r.removedAt.IsZero() {
+			v.markRemoved(now, r)
+		}
+		return
+	}
+	v.put(now, s.Entry)
+	r := v.records[s.ID]
+	if r == nil {
+		// The state describes an earlier instance than the one in this view.
+		return
+	}
+	r.unreadable = s.Unreadable
+	// The other VM's list of models is newer than the store's.
+	r.entry.Models, r.controllerAt = s.Models, now
+	if s.ReadmitAfter > 0 {
+		r.reappearedAt = now.Add(s.ReadmitAfter - readmitDelay)
+	}
+}
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -73,9 +73,9 @@
 			now := start
 			controller, vm := newUnlinkedVM(&now, "a", "b"), newUnlinkedVM(&now, "a", "b")
 			now = start.Add(10 * time.Second)
-			controller.Servers.Current(now)
-			vm.Servers.Current(now)
-			vm.Servers.Away()
+			controller.Servers.MarkCurrent(now)
+			vm.Servers.MarkCurrent(now)
+			vm.Servers.MarkStoreDown()
 			now = start.Add(16 * time.Second)
 			if tc.restarted {
 				controller = newUnlinkedVM(&now, "a")
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -79,7 +79,7 @@
 	if !p.Lease.Held(now) && !p.relaying {
 		return errNoController
 	}
-	if p.relaying && p.rejectsStronger(now, d.conn.Peer()) {
+	if p.relaying && p.rejectsStronger(now, d.conn.PeerHello()) {
 		return errStrongerPeer
 	}
 	frames, sent, err := p.fullState(loads)
@@ -128,7 +128,7 @@
 func (p *Peers) newFleetState(states []backs.State) *wire.FleetState {
 	version, record := p.Lease.LatestRecord()
 	return &wire.FleetState{
-		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.Known(p.Now()).Milliseconds()),
+		LeaseVersion: version, Lease: record, KnownMs: int(p.Servers.SyncedFor(p.Now()).Milliseconds()),
 		Servers: stateList(states), Loads: []wire.ServerLoad{}, Relays: []wire.Relay{},
 	}
 }
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -125,7 +125,7 @@
 func (l *Lease) Expired(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.keeper.Known() && l.keeper.Next(now) == lease.Take
+	return l.keeper.Observed() && l.keeper.Next(now) == lease.Acquire
 }
 
 // OtherHolder returns the address and key of the holder in the record last observed, or "" if the holder
@@ -158,7 +158,7 @@
 	l.mu.Lock()
 	action := l.keeper.Next(l.Now())
 	l.mu.Unlock()
-	if action == lease.Wait || action == lease.Take && l.delaysAcquisition() {
+	if action == lease.Wait || action == lease.Acquire && l.delaysAcquisition() {
 		return
 	}
 	if err := l.write(ctx, action); err != nil {
@@ -186,7 +186,7 @@
 	if l.keeper.Name == "" {
 		// The address identifies the process, because only one can listen on it. A process
 		// restarted at the same address may continue with the lease at once.
-		l.keeper = lease.Keeper{Name: l.Name, Boot: l.Address, Duration: l.Duration}
+		l.keeper = lease.Keeper{Name: l.Name, BootID: l.Address, Duration: l.Duration}
 		l.key = uuid.NewString()
 	}
 }
@@ -194,7 +194,7 @@
 func (l *Lease) holding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.keeper.Known() && l.keeper.Held(l.Now())
+	return l.keeper.Observed() && l.keeper.Held(l.Now())
 }
 
 func (l *Lease) read(ctx context.Context) error {
@@ -228,7 +228,7 @@
 func (l *Lease) recordReader() (get func(ctx context.Context, kind, name string) (store.Object, error), stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.AcquireDelay < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Known() {
+	if l.Objects.Recall == nil || l.AcquireDelay < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Observed() {
 		return l.Objects.Get, false
 	}
 	l.staleReads++
@@ -245,7 +245,7 @@
 		l.Poison.MergeSuspects(l.Now(), suspectsOf(record.Blocked))
 	}
 	l.keeper.Observe(l.Now(), version, lease.Record{
-		Holder: record.Holder, Boot: record.Boot, DurationMs: record.DurationMs, Renewals: record.Renewals,
+		Holder: record.Holder, BootID: record.Boot, DurationMs: record.DurationMs, Renewals: record.Renewals,
 	})
 }
 
@@ -279,11 +279,11 @@
 	}
 	l.mu.Lock()
 	startedAt := l.Now()
-	next, version := l.keeper.Record()
-	previous, previousChangedAt := l.record, l.keeper.Changed()
+	next, version := l.keeper.NextRecord()
+	previous, previousChangedAt := l.record, l.keeper.ObservedAt()
 	l.mu.Unlock()
 	record := wire.ControllerLease{
-		Holder: next.Holder, Boot: next.Boot, DurationMs: next.DurationMs, Renewals: next.Renewals,
+		Holder: next.Holder, Boot: next.BootID, DurationMs: next.DurationMs, Renewals: next.Renewals,
 		Address: l.Address, Key: l.key, Vms: vms,
 	}
 	if l.Poison != nil {
@@ -293,12 +293,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.keeper.Lost()
+		l.keeper.UpdateFailed()
 		return fmt.Errorf("write lease: %w", err)
 	}
-	l.keeper.Won(startedAt, newVersion, next)
+	l.keeper.UpdateSucceeded(startedAt, newVersion, next)
 	l.record = record
-	if action == lease.Take {
+	if action == lease.Acquire {
 		l.recordAcquisition(startedAt, newVersion, previous, previousChangedAt)
 	}
 	return nil
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -179,7 +179,7 @@
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Hold(p.Now(), id, p.Controller.ServableModels(p.Now(), id))
+			p.Servers.SetModels(p.Now(), id, p.Controller.ServableModels(p.Now(), id))
 		}
 		return id, err
 	}
@@ -192,7 +192,7 @@
 		}
 		id, err := up.find(ctx, service, model, adapter)
 		if err == nil {
-			p.Servers.Learn(p.Now(), id, model, adapter)
+			p.Servers.AddModel(p.Now(), id, model, adapter)
 		}
 		return id, err
 	})
@@ -318,7 +318,7 @@
 		p.Limits.TakeReport()
 		p.Book.SetRemoteLoads(now, pick.SubtractLoads(p.Controller.Loads(), own))
 		for _, s := range p.Controller.ChangedSince(now, since) {
-			p.Servers.Hold(now, s.Server, s.Models)
+			p.Servers.SetModels(now, s.Server, s.Models)
 		}
 		since = now
 		p.updateVMCount(now)
@@ -359,11 +359,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.Path, func(w http.ResponseWriter, r *http.Request) {
 		key := p.linkKey(p.Now())
-		if key == "" || !p.Servers.Caught() {
+		if key == "" || !p.Servers.Synced() {
 			http.Error(w, "this VM neither holds the controllers' lease nor relays, or has just begun to", http.StatusServiceUnavailable)
 			return
 		}
-		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, Count: p.countBytes, Serve: p.serveLink}
+		a := &link.Acceptor{Hello: p.hello, Keys: link.Keys{Peer: key}, CountBytes: p.countBytes, Serve: p.serveLink}
 		a.ServeHTTP(w, r)
 	})
 	return mux
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -144,7 +144,7 @@
 	}
 	best := make(map[string]*downlink)
 	for d := range p.links {
-		h := d.conn.Peer()
+		h := d.conn.PeerHello()
 		if h.Address == "" {
 			continue
 		}
@@ -157,7 +157,7 @@
 	for _, domain := range slices.Sorted(maps.Keys(best)) {
 		p.chosenRelays[domain] = best[domain].vm
 		d := best[domain]
-		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.Peer().Address, Ready: p.subtrees[d.vm].relaying})
+		relays = append(relays, wire.Relay{FailureDomain: domain, Address: d.conn.PeerHello().Address, Ready: p.subtrees[d.vm].relaying})
 	}
 	return relays
 }
@@ -166,7 +166,7 @@
 // precedence, because a relay writes to all VMs of its domain. Among VMs with similar shares, one that
 // already relays is preferred, so that a change of controller moves no links.
 func (p *Peers) betterRelay(a, b *downlink) bool {
-	ha, hb := a.conn.Peer(), b.conn.Peer()
+	ha, hb := a.conn.PeerHello(), b.conn.PeerHello()
 	if ha.Millicores >= strongerFactor*hb.Millicores || hb.Millicores >= strongerFactor*ha.Millicores {
 		return ha.Millicores > hb.Millicores
 	}
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -36,7 +36,7 @@
 // followHub links to a hub and receives its data until the link is lost. It reports whether the link
 // could be opened.
 func (p *Peers) followHub(ctx context.Context, address, controller, key string) bool {
-	dialer := &link.Dialer{Hello: p.hello, Key: key, Count: p.countBytes, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+	dialer := &link.Dialer{Hello: p.hello, Key: key, CountBytes: p.countBytes, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return conns.Dial(ctx, address)
 	}}
 	dialCtx, cancel := context.WithTimeout(ctx, linkDialTimeout)
@@ -51,7 +51,7 @@
 	}
 	up := &uplink{conn: conn, address: address, direct: address == controller, pendingCalls: make(map[int]chan *wire.Message)}
 	p.setUplink(up)
-	p.Log.Info().Str("address", address).Str("peer", conn.Peer().Node).Bool("direct", up.direct).Msg("linked to the hub")
+	p.Log.Info().Str("address", address).Str("peer", conn.PeerHello().Node).Bool("direct", up.direct).Msg("linked to the hub")
 	root := ctx
 	ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
@@ -243,8 +243,8 @@
 	for _, state := range s.Servers {
 		states = append(states, stateOf(state))
 	}
-	p.Servers.Adopt(now, backs.Word{
-		States: states, Full: s.Full, Age: time.Duration(s.AgeMs) * time.Millisecond, Known: time.Duration(s.KnownMs) * time.Millisecond,
+	p.Servers.Merge(now, backs.Update{
+		States: states, Full: s.Full, Age: time.Duration(s.AgeMs) * time.Millisecond, SyncedFor: time.Duration(s.KnownMs) * time.Millisecond,
 	})
 	if !s.HasLoads {
 		return
--- a/pick/balancer.go
+++ b/pick/balancer.go
@@ -321,7 +321,7 @@
 	if kvNeed := s.local.KVTokens + s.remote.KVTokens + w.PromptTokens + w.MaxOutputTokens; w.Model != "" && kvTokens > 0 && float64(kvNeed) > kvPreemptionShare*float64(kvTokens) {
 		cost += preemptionCost
 	}
-	if e.Cold > 0 {
+	if e.WarmupRemaining > 0 {
 		cost += defaultResponseTime
 	}
 	if w.Model == "" && !b.hasIdleConn(e) {
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -396,7 +396,7 @@
 }
 
 // ServableModels returns the models and adapters of a server that requests may be sent for.
-func (c *Controller) ServableModels(now time.Time, id string) []backs.Held {
+func (c *Controller) ServableModels(now time.Time, id string) []backs.LoadedModel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.servers[id]; s != nil {
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -199,7 +199,7 @@
 // syncServers applies the entries of a service's servers and removes the servers that are no
 // longer listed.
 func (c *Controller) syncServers(now time.Time, service string) {
-	entries := c.Servers.Listed(now)
+	entries := c.Servers.StoredEntries(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.servers == nil {
@@ -216,11 +216,11 @@
 		listedIDs[e.ID] = true
 		s := c.servers[e.ID]
 		if s == nil {
-			s = NewServer(e.At, e.Entry)
+			s = NewServer(e.ReceivedAt, e.Entry)
 			c.servers[e.ID] = s
 			added++
 		}
-		s.ApplyEntry(now, e.At, e.Entry)
+		s.ApplyEntry(now, e.ReceivedAt, e.Entry)
 		if e.Unreadable {
 			s.RequireReport()
 		}
@@ -245,7 +245,7 @@
 // to the removed one may still be executed. c.mu is held.
 func (c *Controller) blockRestarted(now time.Time, previous *Server) {
 	for _, s := range c.servers {
-		if s != previous && s.entry.Called() == previous.entry.Called() {
+		if s != previous && s.entry.PlatformName() == previous.entry.PlatformName() {
 			s.BlockAfterRestart(now, previous)
 		}
 	}
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -19,7 +19,7 @@
 func testController(fence func(time.Time) (int, bool)) (*Controller, chan Order) {
 	now := time.Unix(1000, 0)
 	view := &backs.View{}
-	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1"}}}})
+	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}}}})
 	engine := &routes.Engine{MemoryMB: 20, AdapterSlots: 2, LoadsPerSecond: 1, Models: map[string]routes.Model{
 		"m1": {Name: "m1", MB: 10, Adapters: 3}, "m2": {Name: "m2", MB: 10},
 	}}
@@ -34,7 +34,7 @@
 				return Accepted, nil
 			},
 			Report: func(context.Context, backs.Entry) (Report, error) {
-				return Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7}, nil
+				return Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7}, nil
 			},
 		},
 	}, orders
@@ -54,10 +54,10 @@
 	now := c.Now()
 	c.syncServers(now, "s")
 	s := c.servers["a"]
-	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	s.ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7})
 	c.mu.Lock()
 	c.sendAsync(context.Background(), s, Order{Model: "m2"}, time.Second)
-	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
+	s.ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}, {Model: "m3"}}, Sequence: 8})
 	c.mu.Unlock()
 	close(leaseReady)
 	require.Equal(t, 7, (<-orders).ExpectedSequence)
@@ -70,7 +70,7 @@
 	now := c.Now()
 	c.syncServers(now, "s")
 	s := c.servers["a"]
-	s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
+	s.ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1", "a2"}}}, Sequence: 0})
 	c.RecordVMReport(now, "vm", loadUsing("a", "m1/a1"), nil)
 	later := now.Add(time.Minute)
 	model, adapter := c.leastRecentlyUsed(later, s, "s", time.Second)
@@ -160,7 +160,7 @@
 	service, _ := table.Service("s")
 	placeAt := func(now time.Time) {
 		c.syncServers(now, "s")
-		c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+		c.servers["a"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 		c.placeModels(t.Context(), now, service)
 	}
 	now := c.Now()
@@ -187,7 +187,7 @@
 	c.Spawn = func(call func()) { calls = append(calls, call) }
 	c.Step(t.Context(), c.Now())
 	now := c.Now().Add(time.Second)
-	c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 7})
+	c.servers["a"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 7})
 	var demands []ModelDemand
 	for _, adapter := range []string{"a1", "a2", "a3"} {
 		demands = append(demands, ModelDemand{Service: "s", Model: "m1", Adapter: adapter, Requests: 1, ServerTime: time.Millisecond})
@@ -247,7 +247,7 @@
 			now := c.Now()
 			c.syncServers(now, "s")
 			s := c.servers["a"]
-			s.ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}, Sequence: 3})
+			s.ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}, Sequence: 3})
 			service, _ := c.Table().Service("s")
 			service.Engine.AdapterSlots = 4
 			c.mu.Lock()
@@ -266,7 +266,7 @@
 
 // fillAdapterSlots adds two adapters that another order has loaded at the server.
 func fillAdapterSlots(c *Controller, _ *bool) {
-	c.servers["a"].addModel(c.Now(), backs.Held{Model: "m1", Adapters: []string{"a8", "a9"}})
+	c.servers["a"].addModel(c.Now(), backs.LoadedModel{Model: "m1", Adapters: []string{"a8", "a9"}})
 }
 
 // The only server with an adapter crashes, and its entry stays listed for some seconds. Requests
@@ -289,12 +289,12 @@
 		t.Run(name, func(t *testing.T) {
 			c, orders := testController(func(time.Time) (int, bool) { return 5, true })
 			c.Servers.Replace(now, []backs.Entry{
-				{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}},
-				{ID: "b", Service: "s", Models: []backs.Held{{Model: "m1"}}},
+				{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1"}}}},
+				{ID: "b", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}}},
 			})
 			c.syncServers(now, "s")
-			c.servers["a"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1", Adapters: []string{"a1"}}}})
-			c.servers["b"].ApplyReport(now, now, Report{Models: []backs.Held{{Model: "m1"}}})
+			c.servers["a"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1"}}}})
+			c.servers["b"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 			for range downThreshold {
 				c.servers["a"].ReportFailed()
 			}
--- a/steer/order.go
+++ b/steer/order.go
@@ -49,9 +49,9 @@
 type Report struct {
 	// Born is when the server started, the zero time if the report does not contain it.
 	Born   time.Time
-	Models []backs.Held
+	Models []backs.LoadedModel
 	// Pending are the adapters that are loading, by model.
-	Pending []backs.Held
+	Pending []backs.LoadedModel
 	// Busy means that a model is being loaded or unloaded.
 	Busy bool
 	// Sequence is the number of orders accepted since the server's start.
--- a/steer/orderresult.go
+++ b/steer/orderresult.go
@@ -63,7 +63,7 @@
 		if o.Unload {
 			delete(s.models, o.Model)
 		} else {
-			s.addModel(now, backs.Held{Model: o.Model})
+			s.addModel(now, backs.LoadedModel{Model: o.Model})
 		}
 		return
 	}
--- a/steer/server.go
+++ b/steer/server.go
@@ -117,7 +117,7 @@
 }
 
 // addModel records that the server shows a model as loaded.
-func (s *Server) addModel(now time.Time, h backs.Held) {
+func (s *Server) addModel(now time.Time, h backs.LoadedModel) {
 	r := s.models[h.Model]
 	if r == nil {
 		r = &resident{since: now, adapters: make(map[string]adapterSlot)}
@@ -180,7 +180,7 @@
 		s.addModel(now, h)
 	}
 	for name, m := range s.models {
-		i := slices.IndexFunc(r.Models, func(h backs.Held) bool { return h.Model == name })
+		i := slices.IndexFunc(r.Models, func(h backs.LoadedModel) bool { return h.Model == name })
 		if i < 0 {
 			if !r.Busy {
 				s.removeModel(now, name)
--- a/steer/server_test.go
+++ b/steer/server_test.go
@@ -18,7 +18,7 @@
 func entry(id string, models ...string) backs.Entry {
 	e := backs.Entry{ID: id, Service: "s", Domain: "d"}
 	for _, m := range models {
-		e.Models = append(e.Models, backs.Held{Model: m})
+		e.Models = append(e.Models, backs.LoadedModel{Model: m})
 	}
 	return e
 }
@@ -119,7 +119,7 @@
 func TestUnloadingModelIsNotServable(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1", "m2")
 	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1"}, steer.Accepted, 0)
-	require.Equal(t, []backs.Held{{Model: "m2"}}, s.ServableModels(at(1)))
+	require.Equal(t, []backs.LoadedModel{{Model: "m2"}}, s.ServableModels(at(1)))
 	require.False(t, s.AcceptsOrders(at(1)))
 	s.ApplyReport(at(2), at(2), steer.Report{Models: entry("", "m2").Models, Sequence: 1})
 	require.True(t, s.AcceptsOrders(at(2)))
--- a/steer/vmreports.go
+++ b/steer/vmreports.go
@@ -84,7 +84,7 @@
 // last changed.
 type ServerModels struct {
 	Server    string
-	Models    []backs.Held
+	Models    []backs.LoadedModel
 	ChangedAt time.Time
 }
 
