--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// dialTimeout bounds a new connection: servers are milliseconds away, and a
-	// dial that takes longer meets a cut.
+	// dialTimeout bounds a connection attempt. Servers are milliseconds away, so a longer attempt
+	// means a network partition.
 	dialTimeout = 250 * time.Millisecond
-	// straysAllowed is how many answers to other requests are passed over on a
-	// connection before it is given up.
-	straysAllowed = 2
-	// strayLimit bounds the body of an answer that is passed over.
-	strayLimit = 1 << 20
+	// maxForeignResponses is how many responses to other requests are discarded on a connection
+	// before the try fails.
+	maxForeignResponses = 2
+	// maxForeignBodyBytes bounds the body of a discarded response.
+	maxForeignBodyBytes = 1 << 20
 )
 
-// attempt sends a call to a server and passes its answer on. It reports whether
-// the caller has its final answer; otherwise c says what is known.
+// attempt sends a call to a server and forwards its response. It reports whether the caller has
+// received its final response; otherwise it has updated the state of c.
 func (g *Gateway) attempt(ctx context.Context, w http.ResponseWriter, c *call, choice pick.Choice) bool {
 	server := choice.Server.ID
 	c.tries++
@@ -38,54 +38,54 @@
 	if err != nil {
 		g.Book.Unreached(g.Now(), choice.Server)
 		g.noteConnectionRefused(choice.Server, err)
-		g.doubt(server)
-		g.note(c, choice, "not connected: "+err.Error())
-		c.avoid = append(c.avoid, server)
-		c.unreached = append(c.unreached, server)
+		g.markSuspect(server)
+		g.logFailedTry(c, choice, "connect: "+err.Error())
+		c.excluded = append(c.excluded, server)
+		c.unreachable = append(c.unreachable, server)
 		return false
 	}
-	// The server may have begun to leave, or the caller's time may have run
-	// out, while the connection was made or this VM stood still.
+	// While the connection was opened or this VM was suspended, the server may have started
+	// draining or the request deadline may have passed.
 	now = g.Now()
-	if left(c.request) {
-		c.left = true
+	if callerDisconnected(c.request) {
+		c.disconnected = true
 		g.Pool.Return(now, conn)
 		return false
 	}
 	if !g.Servers.Usable(now, server) || c.remaining(now) <= 0 {
 		g.Pool.Return(now, conn)
-		g.note(c, choice, "server left before the send")
-		c.avoid = append(c.avoid, server)
+		g.logFailedTry(c, choice, "server unavailable or deadline passed before the send")
+		c.excluded = append(c.excluded, server)
 		return false
 	}
 	if g.blocked(now, c) {
 		g.Pool.Return(now, conn)
 		return false
 	}
-	// Only what reaches a server feeds an overload, so only sends draw on the
-	// budget and failed connections do not.
+	// Only requests that reach a server contribute to an overload, so only sends count against the
+	// retry budget, and failed connections do not.
 	if c.sends > 0 && !c.takeRetry(now) {
-		c.broke = true
+		c.budgetExhausted = true
 		g.Pool.Return(now, conn)
-		g.note(c, choice, c.reason+", retry budget spent")
+		g.logFailedTry(c, choice, c.reason+"; retry budget exhausted")
 		return false
 	}
 	c.choice = choice
-	ticket := g.Book.Begin(now, choice, c.work, g.tokenMemory(c))
+	ticket := g.Book.Begin(now, choice, c.work, g.kvCacheTokens(c))
 	t := &try{g: g, c: c, choice: choice, conn: conn, ticket: ticket}
 	ctx, span := spans.Start(ctx, "attempt", attribute.String("server", server), attribute.Int64("predicted_ms", choice.Predicted.Milliseconds()))
-	defer func() { spans.End(span, t.failure) }()
+	defer func() { spans.End(span, t.err) }()
 	stop := context.AfterFunc(ctx, conn.Close)
 	done := t.run(ctx, w, now)
-	if !stop() && t.whole {
-		t.whole = false
+	if !stop() && t.complete {
+		t.complete = false
 	}
 	t.finish()
 	return done
 }
 
-func (g *Gateway) connect(ctx context.Context, now time.Time, server, address string, care bool) (*conns.Conn, error) {
-	if conn := g.Pool.Take(now, server, care); conn != nil {
+func (g *Gateway) connect(ctx context.Context, now time.Time, server, address string, avoidStale bool) (*conns.Conn, error) {
+	if conn := g.Pool.Take(now, server, avoidStale); conn != nil {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -94,21 +94,21 @@
 	return g.Pool.Dial(ctx, server, address)
 }
 
-func (g *Gateway) doubt(server string) {
+func (g *Gateway) markSuspect(server string) {
 	if g.Doubt != nil {
 		g.Doubt(server)
 	}
 }
 
-// note logs why a try did not answer.
-func (g *Gateway) note(c *call, choice pick.Choice, reason string) {
+// logFailedTry logs why a try got no response that can be forwarded.
+func (g *Gateway) logFailedTry(c *call, choice pick.Choice, reason string) {
 	c.reason = reason
 	g.Log.Info().Str("request", c.id).Str("fingerprint", string(c.fingerprint)).Str("server", choice.Server.ID).Str("address", choice.Server.Address).
 		Dur("predicted", choice.Predicted).Int("running", choice.Load.Running).
-		Bool("may_have_run", c.uncertain).Str("reason", reason).Msg("try failed")
+		Bool("may_have_run", c.mayHaveRun).Str("reason", reason).Msg("try failed")
 }
 
-// try is one send of a call.
+// try is one send of a call to one server.
 type try struct {
 	g        *Gateway
 	c        *call
@@ -118,233 +118,230 @@
 	sent     time.Time
 	exchange *conns.Exchange
 	resp     *http.Response
-	// whole is set when the answer was read to its end.
-	whole   bool
-	verdict pick.Verdict
-	// failure is why the try did not answer.
-	failure error
+	// complete is set when the response was read to its end.
+	complete bool
+	verdict  pick.Verdict
+	// err is why the try failed.
+	err error
 }
 
 func (t *try) finish() {
 	now := t.g.Now()
 	t.ticket.End(now, t.verdict)
-	if t.whole && t.verdict != pick.Refused {
+	if t.complete && t.verdict != pick.Refused {
 		t.g.Poison.Answered(now, t.c.fingerprint)
 	}
 	if t.exchange == nil {
 		t.g.Pool.Discard(t.conn)
 		return
 	}
-	t.exchange.Finish(now, t.g.Pool, t.resp, t.whole)
+	t.exchange.Finish(now, t.g.Pool, t.resp, t.complete)
 }
 
-// failed notes a try that may have run.
-func (t *try) failed(ctx context.Context, reason string) bool {
-	t.c.uncertain = true
+// failUncertain records the failure of a try that the server may have executed.
+func (t *try) failUncertain(ctx context.Context, reason string) bool {
+	t.c.mayHaveRun = true
 	t.verdict = pick.Bad
 	if ctx.Err() != nil {
-		// The caller left or its time ran out; silence until then counts, an
-		// answer on its way does not.
+		// The caller disconnected or the deadline passed. A server that had sent nothing by the
+		// deadline counts as failed, a server whose response had started does not.
 		t.verdict = pick.Neutral
 		if t.c.request.Context().Err() == nil && t.resp == nil {
 			t.verdict = pick.Bad
 		}
 	}
-	return t.gaveUp(reason)
+	return t.fail(reason)
 }
 
-// gaveUp notes why a try did not answer; the call avoids its server for now.
-func (t *try) gaveUp(reason string) bool {
-	t.failure = errors.New(reason)
-	t.c.avoid = append(t.c.avoid, t.choice.Server.ID)
-	t.g.note(t.c, t.choice, reason)
+// fail records why a try failed and excludes its server for now.
+func (t *try) fail(reason string) bool {
+	t.err = errors.New(reason)
+	t.c.excluded = append(t.c.excluded, t.choice.Server.ID)
+	t.g.logFailedTry(t.c, t.choice, reason)
 	return false
 }
 
-// refused notes a try that has provably not run.
-func (t *try) refused(reason string) bool {
+// failNotRun records the failure of a try that the server provably did not execute.
+func (t *try) failNotRun(reason string) bool {
 	t.verdict = pick.Refused
-	return t.gaveUp(reason)
+	return t.fail(reason)
 }
 
 func (t *try) run(ctx context.Context, w http.ResponseWriter, now time.Time) bool {
 	c, g := t.c, t.g
 	server := t.choice.Server.ID
 	c.sends++
-	if !slices.Contains(c.servers, server) {
-		c.servers = append(c.servers, server)
+	if !slices.Contains(c.sentTo, server) {
+		c.sentTo = append(c.sentTo, server)
 	}
 	t.sent = now
 	var err error
-	t.exchange, err = t.conn.Send(c.request.Method, c.head(g.Names, t.choice.Server.Called(), c.remaining(now)), c.body)
+	t.exchange, err = t.conn.Send(c.request.Method, c.requestHead(g.Names, t.choice.Server.Called(), c.remaining(now)), c.body)
 	if err != nil {
-		return t.connectionLost(ctx, "send: "+err.Error(), err)
+		return t.connectionLost(ctx, "send request: "+err.Error(), err)
 	}
-	t.conn.Watch(t.patience(), t.elsewhere)
-	if err := t.answer(); err != nil {
+	t.conn.Watch(t.headTimeout(), t.reserveFailover)
+	if err := t.readResponseHead(); err != nil {
 		return t.connectionLost(ctx, err.Error(), err)
 	}
 	t.conn.Watch(0, nil)
 	if t.notRun() {
-		return t.refuse()
+		return t.handleRefusal()
 	}
-	return t.pass(ctx, w)
+	return t.forward(ctx, w)
 }
 
 const (
-	// patientObjectives is how many objectives a server has for the first event
-	// of a request that may be repeated, before another server is asked. One
-	// that is slow but alive is nearly always faster.
-	patientObjectives = 3
-	// stallGaps is how many of a route's longest pauses a stream that may be
-	// resumed waits for its next event, and stallLeast the least: a preempted
-	// stream is read anew in some hundred milliseconds.
-	stallGaps  = 4
-	stallLeast = 900 * time.Millisecond
+	// headTimeoutObjectives is the response timeout of a repeatable request, in latency objectives,
+	// before another server is tried. A slow but healthy server nearly always responds sooner.
+	headTimeoutObjectives = 3
+	// eventTimeoutGaps is the event timeout of a resumable stream, in maximum event gaps of its
+	// route, and minEventTimeout is its lower bound: after a preemption, a server recomputes the
+	// prompt in some hundred milliseconds.
+	eventTimeoutGaps = 4
+	minEventTimeout  = 900 * time.Millisecond
 )
 
-// patience returns how long to wait for the head of the answer, 0 for as long
-// as the caller does.
-func (t *try) patience() time.Duration {
+// headTimeout returns how long to wait for the response head, or 0 if only the request deadline
+// applies.
+func (t *try) headTimeout() time.Duration {
 	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.Attempts || t.c.route.Objective == 0 {
 		return 0
 	}
-	return max(patientObjectives*t.c.route.Objective, 2*t.choice.Predicted+t.c.route.Objective)
+	return max(headTimeoutObjectives*t.c.route.Objective, 2*t.choice.Predicted+t.c.route.Objective)
 }
 
-// stall returns how long to wait for the next event, 0 for as long as the
-// caller does.
-func (t *try) stall() time.Duration {
+// eventTimeout returns how long to wait for the next event, or 0 if only the request deadline
+// applies.
+func (t *try) eventTimeout() time.Duration {
 	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.Attempts {
 		return 0
 	}
-	return max(stallGaps*t.c.route.Gap, stallLeast)
+	return max(eventTimeoutGaps*t.c.route.Gap, minEventTimeout)
 }
 
-// elsewhere reports whether a call whose server is silent is better sent to another
-// one, and takes what that needs: a retry of the budget, a server with room and time
-// for it. Without all three the answer would be cut off, and the caller lose what
-// the silent server may still go on with: mostly it has preempted the request and
-// reads its prompt anew.
-func (t *try) elsewhere() bool {
+// reserveFailover reports whether a call should move from its silent server to another one. If so,
+// it has reserved a retry from the budget, and another server has capacity and time for the call.
+// If any of the three is missing, failing over would abort the response, although the silent server
+// may still complete it: usually it has preempted the request and is recomputing its prompt.
+func (t *try) reserveFailover() bool {
 	c, g := t.c, t.g
 	now := g.Now()
 	if c.remaining(now) <= c.route.Objective || c.request.Context().Err() != nil {
 		return false
 	}
-	c.avoid = append(c.avoid, t.choice.Server.ID)
-	choice, ok := g.pick(now, c, g.Servers.Serving(now, c.service.Name))
+	c.excluded = append(c.excluded, t.choice.Server.ID)
+	choice, ok := g.pickServer(now, c, g.Servers.Serving(now, c.service.Name))
 	if ok = ok && choice.HasRoom() && c.takeRetry(now); ok {
-		c.reserved = true
+		c.retryReserved = true
 	} else {
-		c.avoid = c.avoid[:len(c.avoid)-1]
+		c.excluded = c.excluded[:len(c.excluded)-1]
 	}
 	g.Meter.Count("pass.silent", 1)
-	g.Log.Info().Str("request", c.id).Str("server", t.choice.Server.ID).Bool("started", c.started).Bool("given_up", ok).
+	g.Log.Info().Str("request", c.id).Str("server", t.choice.Server.ID).Bool("started", c.headSent).Bool("given_up", ok).
 		Str("instead", choice.Server.ID).Dur("predicted", choice.Predicted).Int("running", choice.Load.Running).Msg("server silent")
 	return ok
 }
 
-// answer reads the head of the answer to this call. Answers to other requests,
-// which a server may send late or twice, are passed over.
-func (t *try) answer() error {
-	for range straysAllowed + 1 {
+// readResponseHead reads the head of the response to this call. It discards responses to other
+// requests, which a server may send late or twice.
+func (t *try) readResponseHead() error {
+	for range maxForeignResponses + 1 {
 		resp, err := t.exchange.Answer()
 		if err != nil {
 			return err
 		}
 		id := resp.Header.Get(t.g.Names.ID)
-		if id == t.c.id || id == "" && t.refusal(resp) {
+		if id == t.c.id || id == "" && t.provesNotRun(resp) {
 			t.resp = resp
-			t.updateLimit()
+			t.updateRateLimit()
 			return nil
 		}
 		t.g.Meter.Count("pass.stray_answers", 1)
-		t.g.Log.Warn().Str("request", t.c.id).Str("server", t.choice.Server.ID).Str("answer_to", id).Msg("answer to another request dropped")
-		_, err = conns.ReadAll(resp.Body, strayLimit)
+		t.g.Log.Warn().Str("request", t.c.id).Str("server", t.choice.Server.ID).Str("answer_to", id).Msg("discarded a response to another request")
+		_, err = conns.ReadAll(resp.Body, maxForeignBodyBytes)
 		if err := errors.Join(err, resp.Body.Close()); err != nil {
-			return fmt.Errorf("answer to another request: %w", err)
+			return fmt.Errorf("read response to another request: %w", err)
 		}
 	}
-	return fmt.Errorf("only answers to other requests")
+	return fmt.Errorf("server sent only responses to other requests")
 }
 
-// refusal reports whether an answer proves that the server did not run the
-// request.
-func (t *try) refusal(resp *http.Response) bool {
+// provesNotRun reports whether a response proves that the server did not execute the request.
+func (t *try) provesNotRun(resp *http.Response) bool {
 	return resp.Header.Get(t.g.Names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (t *try) notRun() bool { return t.refusal(t.resp) }
+func (t *try) notRun() bool { return t.provesNotRun(t.resp) }
 
-func (t *try) refuse() bool {
-	_, err := conns.ReadAll(t.resp.Body, strayLimit)
-	t.whole = err == nil
+func (t *try) handleRefusal() bool {
+	_, err := conns.ReadAll(t.resp.Body, maxForeignBodyBytes)
+	t.complete = err == nil
 	if t.resp.StatusCode == http.StatusMisdirectedRequest {
-		// It does not hold the model or adapter, or another server has its
-		// address: what was believed of it is wrong.
+		// The server does not have the model or adapter, or another server has taken over its
+		// address. The cached state of the server is wrong.
 		t.g.Servers.Unlearn(t.choice.Server.ID, t.c.work.Model, t.c.work.Adapter)
-		t.g.doubt(t.choice.Server.ID)
+		t.g.markSuspect(t.choice.Server.ID)
 	}
-	return t.refused("refused with " + strconv.Itoa(t.resp.StatusCode))
+	return t.failNotRun("refused with " + strconv.Itoa(t.resp.StatusCode))
 }
 
-// pass hands the answer to the caller.
-func (t *try) pass(ctx context.Context, w http.ResponseWriter) bool {
+// forward forwards the response to the caller.
+func (t *try) forward(ctx context.Context, w http.ResponseWriter) bool {
 	resp := t.resp
 	if resp.Header.Get(headerEncoding) != "" || resp.Header.Get(t.g.Names.Stamp) == "" {
-		return t.failed(ctx, "answer is not the server's: status "+strconv.Itoa(resp.StatusCode))
+		return t.failUncertain(ctx, "response is not from the expected server: status "+strconv.Itoa(resp.StatusCode))
 	}
 	if t.c.route.Kind == "stream" && resp.StatusCode < 300 && strings.HasPrefix(resp.Header.Get(headerType), typeEvents) {
-		return t.stream(ctx, w)
+		return t.forwardStream(ctx, w)
 	}
-	if t.c.started {
-		return t.failed(ctx, "resumed with status "+strconv.Itoa(resp.StatusCode))
+	if t.c.headSent {
+		return t.failUncertain(ctx, "resume stream: status "+strconv.Itoa(resp.StatusCode))
 	}
-	return t.plain(ctx, w)
+	return t.forwardBuffered(ctx, w)
 }
 
-// plain passes on an answer that is read whole first: an answer that breaks off
-// can then still be replaced.
-func (t *try) plain(ctx context.Context, w http.ResponseWriter) bool {
-	body, err := conns.ReadAll(t.resp.Body, answerLimit)
+// forwardBuffered reads the whole response before forwarding it, so that a truncated response can
+// still be replaced by a retry.
+func (t *try) forwardBuffered(ctx context.Context, w http.ResponseWriter) bool {
+	body, err := conns.ReadAll(t.resp.Body, maxResponseBytes)
 	if err != nil {
 		return t.connectionLost(ctx, err.Error(), err)
 	}
-	t.whole = true
+	t.complete = true
 	t.verdict = pick.Good
 	if t.resp.StatusCode >= http.StatusInternalServerError {
 		t.verdict = pick.Bad
 		if t.c.route.Repeatable() && t.c.sends < t.c.route.Attempts && ctx.Err() == nil {
-			t.c.failed = &answer{status: t.resp.StatusCode, header: t.headers(), body: body}
-			return t.failed(ctx, "server failed with "+strconv.Itoa(t.resp.StatusCode))
+			t.c.errorResponse = &response{status: t.resp.StatusCode, header: t.responseHeaders(), body: body}
+			return t.failUncertain(ctx, "server error: status "+strconv.Itoa(t.resp.StatusCode))
 		}
 	}
-	t.g.write(w, t.c, &answer{status: t.resp.StatusCode, header: t.headers(), body: body})
+	t.g.writeResponse(w, t.c, &response{status: t.resp.StatusCode, header: t.responseHeaders(), body: body})
 	return true
 }
 
-// write passes a whole answer on.
-func (g *Gateway) write(w http.ResponseWriter, c *call, a *answer) {
-	for name, values := range a.header {
+// writeResponse writes a buffered response to the caller.
+func (g *Gateway) writeResponse(w http.ResponseWriter, c *call, resp *response) {
+	for name, values := range resp.header {
 		w.Header()[name] = values
 	}
-	w.Header().Set(headerLength, strconv.Itoa(len(a.body)))
-	c.status = a.status
-	w.WriteHeader(a.status)
-	if _, err := w.Write(a.body); err != nil {
-		c.reason = "caller left"
+	w.Header().Set(headerLength, strconv.Itoa(len(resp.body)))
+	c.status = resp.status
+	w.WriteHeader(resp.status)
+	if _, err := w.Write(resp.body); err != nil {
+		c.reason = "caller disconnected"
 	}
 }
 
-// headers returns the headers of the answer that are for the caller.
-func (t *try) headers() http.Header {
-	listed := connectionHeaders(t.resp.Header)
-	kept := make(http.Header, len(t.resp.Header))
+// responseHeaders returns the response headers without the hop-by-hop headers and Content-Length.
+func (t *try) responseHeaders() http.Header {
+	options := connectionOptions(t.resp.Header)
+	headers := make(http.Header, len(t.resp.Header))
 	for name, values := range t.resp.Header {
-		if !ends(name, listed) && name != headerLength {
-			kept[name] = values
+		if !isHopByHop(name, options) && name != headerLength {
+			headers[name] = values
 		}
 	}
-	return kept
+	return headers
 }
--- a/pass/call.go
+++ b/pass/call.go
@@ -17,92 +17,90 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// call is one request of a caller on its way.
+// call is the state of one request of a caller.
 type call struct {
 	id string
-	// fingerprint is shared by repeats of the same request, even if their ids differ.
+	// fingerprint is shared by repeats of the same request, even if their IDs differ.
 	fingerprint poison.Fingerprint
 
-	request *http.Request
-	body    []byte
-	route   routes.Route
-	service routes.Service
-	version int
-	work    pick.Work
-	// urgent says that no route of its service goes before its own.
-	urgent bool
-	// arrived and deadline are of the clock that counts through a freeze, as is leaves,
-	// when its caller gives up unless the answer has begun.
-	arrived, deadline, leaves time.Time
-
-	// tries counts the servers picked, sends how often it was sent, servers are
-	// those it was sent to; rounds is how often all of them were tried, roundTries
-	// the tries by then.
-	tries, sends, rounds, roundTries int
-	servers                          []string
-	// avoid are servers not to be asked again for now, unreached those that
-	// could not be connected to.
-	avoid, unreached []string
-	// uncertain is set once it may have run somewhere. A later refusal proves
-	// nothing about the earlier send, so from then on a caller is not told
-	// that it has not run.
-	uncertain bool
-	// budget is what retries draw on; broke is set when it had nothing left, and
-	// reserved when the next send has been taken from it already.
-	budget   *retry.Window
-	broke    bool
-	reserved bool
-	// choice is what the last send was decided on; firstEvent is when the first event
-	// came, longestPause the longest time between two reads of events, events how many
-	// were passed on.
-	choice                   pick.Choice
-	firstEvent, longestPause time.Duration
-	events                   int
-	// lastEvent is the id of the last event passed to the caller, started says
-	// that the head of the answer was.
-	lastEvent string
-	started   bool
-	// left is set once the caller has closed its connection.
-	left bool
-	// heldSince is from when it waits for room at the servers, zero when it does
-	// not; waited is how long it did before. comeBack is when its caller should try
-	// again, 0 for soon.
-	heldSince        time.Time
-	waited, comeBack time.Duration
+	request       *http.Request
+	body          []byte
+	route         routes.Route
+	service       routes.Service
+	configVersion int
+	work          pick.Work
+	// topPriority is set if no route to the same service has a higher priority.
+	topPriority bool
+	// All three times are of a clock that also advances while the VM is suspended.
+	// firstEventDeadline is when the caller disconnects if the response has not started.
+	arrived, deadline, firstEventDeadline time.Time
+
+	// tries counts the servers selected and sends the requests sent; sentTo lists the servers that
+	// received one. rounds counts the passes over all candidates, and roundStartTries is the value
+	// of tries at the end of the last pass.
+	tries, sends, rounds, roundStartTries int
+	sentTo                                []string
+	// excluded lists the servers that are not selected for now, unreachable those to which no
+	// connection could be opened.
+	excluded, unreachable []string
+	// mayHaveRun is set once a server may have executed the request. A later refusal proves nothing
+	// about the earlier send, so from then on the caller is not told that the request was not
+	// executed.
+	mayHaveRun bool
+	// retryBudget limits the retries. budgetExhausted is set when it allowed no more, and
+	// retryReserved when the next send is already counted.
+	retryBudget     *retry.Window
+	budgetExhausted bool
+	retryReserved   bool
+	// choice is the server selection of the last send. timeToFirstEvent is measured from the
+	// arrival of the request, maxEventGap is the longest time between two reads of events, and
+	// eventCount counts the events forwarded.
+	choice                        pick.Choice
+	timeToFirstEvent, maxEventGap time.Duration
+	eventCount                    int
+	// lastEventID is the ID of the last event sent to the caller. headSent is set once the response
+	// head was sent.
+	lastEventID string
+	headSent    bool
+	// disconnected is set once the caller has closed its connection.
+	disconnected bool
+	// admissionWaitStart is when the current wait for capacity at the servers began, zero if there
+	// is none; admissionWait is the total of the earlier waits. retryAfter is the minimum delay
+	// announced to a refused caller.
+	admissionWaitStart        time.Time
+	admissionWait, retryAfter time.Duration
 	// blocked is set when the request is not sent to servers because of earlier crashes.
 	blocked bool
-	// sought is how long it waited for a server with its model or adapter.
-	sought time.Duration
-	// failed is a failure that a server answered with and that no later try has
-	// bettered.
-	failed *answer
-	// reason is why the last try did not answer.
+	// modelWait is how long the request waited for a server with its model or adapter.
+	modelWait time.Duration
+	// errorResponse is an error response of a server; it is forwarded if no later try succeeds.
+	errorResponse *response
+	// reason is why the last try failed.
 	reason string
 	status int
 }
 
-// answer is a whole answer of a server.
-type answer struct {
+// response is a complete response of a server.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// newCall reads what the path of a request depends on. The body must have been
-// read.
+// newCall parses the headers that routing depends on. The request body must have been read.
 func newCall(now time.Time, n *Names, r *http.Request, body []byte, t *routes.Table, route routes.Route) *call {
 	c := &call{
-		id: r.Header.Get(n.ID), fingerprint: poison.FingerprintOf(r, body), request: r, body: body, route: route, version: t.Version(),
-		arrived: now, lastEvent: r.Header.Get(headerLastEvent),
+		id: r.Header.Get(n.ID), fingerprint: poison.FingerprintOf(r, body), request: r, body: body, route: route, configVersion: t.Version(),
+		arrived: now, lastEventID: r.Header.Get(headerLastEvent),
 	}
 	c.service, _ = t.Service(route.Service(xxhash.Sum64String(c.id)))
-	c.deadline = now.Add(patience(n, r, route))
-	c.leaves = c.deadline
-	if soon := now.Add(route.Leave); route.Leave > 0 && soon.Before(c.deadline) {
-		c.leaves = soon
+	c.deadline = now.Add(requestTimeout(n, r, route))
+	c.firstEventDeadline = c.deadline
+	if firstEventDeadline := now.Add(route.Leave); route.Leave > 0 && firstEventDeadline.Before(c.deadline) {
+		c.firstEventDeadline = firstEventDeadline
 	}
 	c.work.Objective = route.Objective
-	c.urgent = route.Priority <= t.First(c.service.Name)
+	c.topPriority = route.Priority <= t.First(c.service.Name)
 	if c.service.Engine != nil {
 		c.work.Model, c.work.Adapter = n.ParseModel(r.Header.Get(n.Model))
 		c.work.Route, c.work.Size = route.Name, c.service.Engine.Size(c.work.Model)
@@ -113,7 +111,7 @@
 	return c
 }
 
-// failure returns why the call was not answered by a server, nil when it was.
+// failure returns why no server answered the call, or nil if one did.
 func (c *call) failure() error {
 	if c.status < http.StatusInternalServerError {
 		return nil
@@ -121,87 +119,85 @@
 	return fmt.Errorf("status %d: %s", c.status, c.reason)
 }
 
-// patience is how long a request may take: what the caller waits, within the
-// route's timeout.
-func patience(n *Names, r *http.Request, route routes.Route) time.Duration {
-	limit := route.Timeout
+// requestTimeout returns the shorter of the caller's deadline and the route's timeout.
+func requestTimeout(n *Names, r *http.Request, route routes.Route) time.Duration {
+	timeout := route.Timeout
 	if ms, err := strconv.ParseInt(r.Header.Get(n.Deadline), 10, 64); err == nil && ms > 0 {
-		if wait := time.Duration(ms) * time.Millisecond; limit == 0 || wait < limit {
-			limit = wait
+		if callerTimeout := time.Duration(ms) * time.Millisecond; timeout == 0 || callerTimeout < timeout {
+			timeout = callerTimeout
 		}
 	}
-	if limit == 0 {
-		limit = defaultPatience
+	if timeout == 0 {
+		timeout = defaultRequestTimeout
 	}
-	return limit
+	return timeout
 }
 
-// defaultPatience bounds requests that neither the caller nor the route
-// bounds.
-const defaultPatience = 30 * time.Second
+// defaultRequestTimeout applies if neither the caller nor the route sets a limit.
+const defaultRequestTimeout = 30 * time.Second
 
-// sawEvents notes events that came together at a time, and when the ones before did,
-// the zero time for none.
-func (c *call) sawEvents(now, last time.Time, events []byte) {
+// recordEvents counts events that were read together. last is the time of the previous read, zero
+// for none.
+func (c *call) recordEvents(now, last time.Time, events []byte) {
 	if !last.IsZero() {
-		c.longestPause = max(c.longestPause, now.Sub(last))
+		c.maxEventGap = max(c.maxEventGap, now.Sub(last))
 	}
-	c.events += bytes.Count(events, eventEnd)
+	c.eventCount += bytes.Count(events, eventSeparator)
 }
 
-// takeRetry takes one more send from the retry budget, unless one is reserved, and
-// reports whether there was one.
+// takeRetry consumes the reserved retry or one of the retry budget, and reports whether there was
+// one.
 func (c *call) takeRetry(now time.Time) bool {
-	if c.reserved {
-		c.reserved = false
+	if c.retryReserved {
+		c.retryReserved = false
 		return true
 	}
-	return c.budget.Allow(now)
+	return c.retryBudget.Allow(now)
 }
 
-// remaining returns how much time is left.
+// remaining returns the time until the deadline.
 func (c *call) remaining(now time.Time) time.Duration { return c.deadline.Sub(now) }
 
-// holdTime returns how much longer the call may wait for a server. A stream that has begun
-// waits by the time for the whole answer: its caller has listened past the moment up to
-// which it waits for the first event, and would lose what it has.
-func (c *call) holdTime(now time.Time) time.Duration {
-	end := c.leaves
-	if c.started {
-		end = c.deadline
+// maxServerWait returns how much longer the call may wait for a server. A started stream may wait
+// until the deadline: its caller no longer waits for the first event, and would lose a partial
+// response.
+func (c *call) maxServerWait(now time.Time) time.Duration {
+	deadline := c.firstEventDeadline
+	if c.headSent {
+		deadline = c.deadline
 	}
-	return time.Duration(holdShare * float64(end.Sub(now)))
+	return time.Duration(maxServerWaitShare * float64(deadline.Sub(now)))
 }
 
-// priorityLimit is the least urgent rank that servers know.
-const priorityLimit = 9
+// lowestServerPriority is the lowest priority that servers accept.
+const lowestServerPriority = 9
 
-// rank returns the request's priority at the server, by the route's. Work with
-// a long objective is not put behind the rest: where its model has one copy
-// beside busy ones, it would wait until it is too late for its caller.
-func (c *call) rank() int { return min(1+2*c.route.Priority, priorityLimit) }
+// serverPriority returns the request's priority at the server, derived from that of its route.
+// Requests with a long latency objective are not ranked last: if one model copy shares a server
+// with busy models, they would wait until after their callers' deadlines.
+func (c *call) serverPriority() int { return min(1+2*c.route.Priority, lowestServerPriority) }
 
-// head returns the head of the request for a server.
-func (c *call) head(n *Names, server string, left time.Duration) []byte {
+// requestHead returns the head of the request for a server.
+func (c *call) requestHead(n *Names, server string, remaining time.Duration) []byte {
 	r := c.request
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.RequestURI, r.Host)
-	listed := connectionHeaders(r.Header)
+	options := connectionOptions(r.Header)
 	for name, values := range r.Header {
-		if ends(name, listed) || c.replaced(n, name) {
+		if isHopByHop(name, options) || c.overridden(n, name) {
 			continue
 		}
 		for _, v := range values {
 			fmt.Fprintf(&b, "%s: %s\r\n", name, v)
 		}
 	}
-	fmt.Fprintf(&b, "%s: %d\r\n", n.Deadline, max(left.Milliseconds(), 1))
+	fmt.Fprintf(&b, "%s: %d\r\n", n.Deadline, max(remaining.Milliseconds(), 1))
 	fmt.Fprintf(&b, "%s: %s\r\n", n.ExpectServer, server)
 	if c.work.Model != "" {
-		fmt.Fprintf(&b, "%s: %d\r\n", n.Priority, c.rank())
+		fmt.Fprintf(&b, "%s: %d\r\n", n.Priority, c.serverPriority())
 	}
-	if c.lastEvent != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", headerLastEvent, c.lastEvent)
+	if c.lastEventID != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", headerLastEvent, c.lastEventID)
 	}
 	if len(c.body) > 0 || r.ContentLength > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
 		fmt.Fprintf(&b, "%s: %d\r\n", headerLength, len(c.body))
@@ -210,9 +206,9 @@
 	return b.Bytes()
 }
 
-// replaced reports whether a caller's header is dropped because the system
-// writes it.
-func (c *call) replaced(n *Names, name string) bool {
+// overridden reports whether a header of the caller is dropped because the gateway sets it or
+// reserves it.
+func (c *call) overridden(n *Names, name string) bool {
 	switch name {
 	case headerLength, headerLastEvent, n.Deadline, n.ExpectServer, n.Priority:
 		return true
@@ -225,18 +221,17 @@
 	return false
 }
 
-func connectionHeaders(h http.Header) []string {
-	var listed []string
+func connectionOptions(h http.Header) []string {
+	var options []string
 	for _, v := range h.Values("Connection") {
-		for part := range strings.SplitSeq(v, ",") {
-			listed = append(listed, strings.TrimSpace(part))
+		for option := range strings.SplitSeq(v, ",") {
+			options = append(options, strings.TrimSpace(option))
 		}
 	}
-	return listed
+	return options
 }
 
-// context bounds the work for a call by its deadline and the caller's
-// connection.
+// context returns a context that ends at the deadline or when the caller disconnects.
 func (c *call) context(now time.Time) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.request.Context(), c.remaining(now))
 }
--- a/pass/call_test.go
+++ b/pass/call_test.go
@@ -37,12 +37,13 @@
 	return newCall(now, testNames, r, body, table, route)
 }
 
-// A caller hides a second request behind the first, by two lengths. The server
-// must see one request with the bytes that were read, framed anew.
-func TestHeadFramesTheBodyAnew(t *testing.T) {
+// Guards against request smuggling: a caller sends both Content-Length and chunked encoding, and
+// hides a second request behind the first. The server must receive a single request, framed by the
+// length of the body that was read.
+func TestRequestHeadReplacesFraming(t *testing.T) {
 	c := testCall(t, "POST /a%2Fb?x=1 HTTP/1.1\r\nHost: h.example\r\nAttempt: 7\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"3\r\nabc\r\n0\r\n\r\nGET /evil HTTP/1.1\r\nHost: h\r\n\r\n", routes.Route{})
-	sent := append(c.head(testNames, "srv", time.Second), c.body...)
+	sent := append(c.requestHead(testNames, "srv", time.Second), c.body...)
 	reader := bufio.NewReader(bytes.NewReader(sent))
 	r, err := http.ReadRequest(reader)
 	require.NoError(t, err)
@@ -51,13 +52,13 @@
 	require.Equal(t, "abc", string(body))
 	require.Equal(t, "/a%2Fb?x=1", r.RequestURI)
 	require.Equal(t, "h.example", r.Host)
-	require.Zero(t, reader.Buffered(), "bytes behind the request")
+	require.Zero(t, reader.Buffered(), "bytes after the request")
 }
 
-func TestHeadKeepsAndReplacesHeaders(t *testing.T) {
+func TestRequestHeadHeaders(t *testing.T) {
 	c := testCall(t, "POST /x HTTP/1.1\r\nHost: h\r\nAttempt: 7\r\nModel: m/a1\r\nDeadline: 6000\r\nPin: 5\r\nPriority: 0\r\n"+
 		"Expect-Server: other\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX-Own: a\r\nX-Own: b\r\nContent-Length: 1\r\n\r\nz", routes.Route{Priority: 2})
-	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(c.head(testNames, "srv", 1500*time.Millisecond), 'z'))))
+	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(c.requestHead(testNames, "srv", 1500*time.Millisecond), 'z'))))
 	require.NoError(t, err)
 	require.Equal(t, []string{"a", "b"}, r.Header["X-Own"])
 	tests := map[string]string{
@@ -68,18 +69,18 @@
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestRequestTimeout(t *testing.T) {
 	tests := map[string]struct {
 		header  string
 		timeout time.Duration
 		want    time.Duration
 	}{
-		"the caller's": {"2000", 5 * time.Second, 2 * time.Second},
-		"the route's":  {"9000", 5 * time.Second, 5 * time.Second},
-		"no header":    {"", 5 * time.Second, 5 * time.Second},
-		"not a number": {"soon", 5 * time.Second, 5 * time.Second},
-		"neither":      {"", 0, defaultPatience},
-		"negative":     {"-1", 5 * time.Second, 5 * time.Second},
+		"caller deadline": {"2000", 5 * time.Second, 2 * time.Second},
+		"route timeout":   {"9000", 5 * time.Second, 5 * time.Second},
+		"no header":       {"", 5 * time.Second, 5 * time.Second},
+		"not a number":    {"soon", 5 * time.Second, 5 * time.Second},
+		"default":         {"", 0, defaultRequestTimeout},
+		"negative":        {"-1", 5 * time.Second, 5 * time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -89,71 +90,71 @@
 	}
 }
 
-// A stream's caller leaves long before the time for its whole answer is over: what waits
-// for a server by that time waits for nobody.
-func TestStreamsAreHeldByWhenTheirCallersLeave(t *testing.T) {
+// Guards against requests that wait for a server after their callers have given up: callers of
+// streams disconnect long before the request deadline if no event arrives.
+func TestMaxServerWaitBeforeFirstEvent(t *testing.T) {
 	tests := map[string]struct {
-		header      string
-		leave, want time.Duration
+		header             string
+		eventTimeout, want time.Duration
 	}{
-		"the caller leaves first": {"10000", 2 * time.Second, time.Second},
-		"little time in all":      {"1000", 2 * time.Second, 500 * time.Millisecond},
-		"not known":               {"10000", 0, 5 * time.Second},
+		"event timeout first":    {"10000", 2 * time.Second, time.Second},
+		"request deadline first": {"1000", 2 * time.Second, 500 * time.Millisecond},
+		"no event timeout":       {"10000", 0, 5 * time.Second},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := testCall(t, "POST /x HTTP/1.1\r\nHost: h\r\nDeadline: "+tc.header+"\r\n\r\n", routes.Route{Leave: tc.leave})
-			require.Equal(t, tc.want, c.holdTime(now))
+			c := testCall(t, "POST /x HTTP/1.1\r\nHost: h\r\nDeadline: "+tc.header+"\r\n\r\n", routes.Route{Leave: tc.eventTimeout})
+			require.Equal(t, tc.want, c.maxServerWait(now))
 		})
 	}
 }
 
-// A request may have run at one server and was refused by the next. The refusal
-// proves nothing about the first: a caller that were told "not run" would send
-// it again, and it would run twice.
-func TestAnUncertainSendIsNotForgotten(t *testing.T) {
+// One server may have executed the request, and the next one refuses it. The refusal proves nothing
+// about the first send. A caller told that the request was not executed would repeat it, and it
+// would be executed twice.
+func TestMayRetryAfterUncertainSend(t *testing.T) {
 	tests := map[string]struct {
-		kind      routes.Kind
-		uncertain bool
-		again     bool
+		kind       routes.Kind
+		mayHaveRun bool
+		wantRetry  bool
 	}{
-		"once, refused":                {routes.Once, false, true},
-		"once, may have run":           {routes.Once, true, false},
-		"idempotent, may have run":     {routes.Idempotent, true, true},
-		"stream, may have run":         {routes.Stream, true, false},
-		"stream, refused":              {routes.Stream, false, true},
-		"idempotent, certainly no run": {routes.Idempotent, false, true},
+		"once, refused":            {routes.Once, false, true},
+		"once, may have run":       {routes.Once, true, false},
+		"idempotent, may have run": {routes.Idempotent, true, true},
+		"stream, may have run":     {routes.Stream, true, false},
+		"stream, refused":          {routes.Stream, false, true},
+		"idempotent, refused":      {routes.Idempotent, false, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := testCall(t, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", routes.Route{Kind: tc.kind, Timeout: time.Second})
-			c.uncertain = tc.uncertain
-			require.Equal(t, tc.again, (&Gateway{Poison: &poison.Tracker{}, Now: time.Now}).again(t.Context(), c))
+			c.mayHaveRun = tc.mayHaveRun
+			require.Equal(t, tc.wantRetry, (&Gateway{Poison: &poison.Tracker{}, Now: time.Now}).mayRetry(t.Context(), c))
 		})
 	}
 }
 
-// A stream's server crashes three seconds after the request, and no other one holds the model
-// for the moment. The caller would have left after two seconds without a first event, but has
-// most of the answer: broken off at once as too old, it was lost. It waits by the time for
-// the whole answer.
-func TestBegunStreamsWaitByTheTimeForTheWholeAnswer(t *testing.T) {
+// A stream's server crashes after three seconds, and no other server has the model yet. The caller
+// would have disconnected after two seconds without a first event, but it has received most of the
+// response. Guards against aborting such a stream because the first event timeout has passed: the
+// request deadline applies to it.
+func TestMaxServerWaitOfStartedStream(t *testing.T) {
 	tests := map[string]struct {
-		age     time.Duration
-		started bool
-		want    time.Duration
+		age      time.Duration
+		headSent bool
+		want     time.Duration
 	}{
-		"new":              {0, false, time.Second},
-		"not begun":        {time.Second, false, 500 * time.Millisecond},
-		"not begun, left":  {3 * time.Second, false, -500 * time.Millisecond},
-		"begun":            {3 * time.Second, true, 3500 * time.Millisecond},
-		"begun, time over": {10 * time.Second, true, 0},
+		"new":                         {0, false, time.Second},
+		"not started":                 {time.Second, false, 500 * time.Millisecond},
+		"not started, timeout passed": {3 * time.Second, false, -500 * time.Millisecond},
+		"started":                     {3 * time.Second, true, 3500 * time.Millisecond},
+		"started, deadline passed":    {10 * time.Second, true, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			arrived := now.Add(-tc.age)
-			c := &call{arrived: arrived, leaves: arrived.Add(2 * time.Second), deadline: arrived.Add(10 * time.Second), started: tc.started}
-			require.Equal(t, tc.want, c.holdTime(now))
+			c := &call{arrived: arrived, firstEventDeadline: arrived.Add(2 * time.Second), deadline: arrived.Add(10 * time.Second), headSent: tc.headSent}
+			require.Equal(t, tc.want, c.maxServerWait(now))
 		})
 	}
 }
--- a/pass/choose.go
+++ b/pass/choose.go
@@ -13,165 +13,166 @@
 )
 
 var (
-	errNoServer = errors.New("no server of the service")
-	errNoTime   = errors.New("no time left")
-	errAllTried = errors.New("all servers were tried")
-	errCutOff   = errors.New("this VM is cut off from the servers")
-	errStopping = errors.New("this VM stops and has no server for the request")
-	errNoRoom   = errors.New("the servers' queues are too long")
+	errNoServer         = errors.New("no server of the service is available")
+	errDeadlineExceeded = errors.New("request deadline exceeded")
+	errAllTried         = errors.New("all servers of the service failed or refused the request")
+	errIsolated         = errors.New("this VM is cut off from the servers")
+	errStopping         = errors.New("this VM is shutting down and has no server for the request")
+	errQueuesFull       = errors.New("the queues of the servers are too long")
 )
 
 const (
-	// maxRounds bounds how often all candidates are tried: one that refuses for
-	// an order under way takes requests again within some tens of milliseconds. A
-	// request whose servers can not be reached waits for the controller to load
-	// its model elsewhere: that takes some seconds, and its caller has the time.
+	// maxRounds bounds the passes over all candidates. A server that refuses because a load order
+	// is in progress accepts requests again within tens of milliseconds. If the servers are
+	// unreachable, the request waits for the controller to load its model elsewhere, which takes
+	// some seconds and fits into the request deadline.
 	maxRounds = 4
-	// roundPause lies between two rounds.
-	roundPause = 40 * time.Millisecond
-	// findAgain is the pause after a controller could not be asked.
-	findAgain = 150 * time.Millisecond
+	// roundInterval is the pause between two passes.
+	roundInterval = 40 * time.Millisecond
+	// findRetryInterval is the pause after a failed call to the controller.
+	findRetryInterval = 150 * time.Millisecond
 )
 
-// holdShare is the part of the time until its caller leaves that a request waits for a
-// server at most: one that is still without a server then is refused, and its caller comes
-// back or asks elsewhere. By the whole time for the answer instead, requests for models
-// that were being loaded waited for 5 s of 10 while their callers gave up after 2.
-const holdShare = 0.5
+// maxServerWaitShare is the part of the remaining time for which a request may wait for a server. A
+// request still without a server is then refused, so that its caller can retry or use another VM.
+// When the wait was based on the request deadline, requests for models that were being loaded
+// waited 5 s of 10 s, while their callers gave up after 2 s.
+const maxServerWaitShare = 0.5
 
-// choose returns the server to send a call to. A call whose model or adapter no
-// server holds waits for one to be loaded.
-func (g *Gateway) choose(ctx context.Context, c *call) (pick.Choice, error) {
+// chooseServer returns the server for a call. If no server has the model or adapter, the call waits
+// for one to load it.
+func (g *Gateway) chooseServer(ctx context.Context, c *call) (pick.Choice, error) {
 	start := g.Now()
-	deadline := start.Add(c.holdTime(start))
-	hold, cancel := context.WithTimeout(ctx, deadline.Sub(start))
+	deadline := start.Add(c.maxServerWait(start))
+	waitCtx, cancel := context.WithTimeout(ctx, deadline.Sub(start))
 	defer cancel()
 	if g.Closing != nil {
-		// A VM that stops has less time than the request: what still waits for a
-		// server then would be cut off without a word.
+		// A VM that shuts down may stop before the request deadline. Requests still waiting for a
+		// server would then lose their connections without a response.
 		defer context.AfterFunc(g.Closing, cancel)()
 	}
 	for {
 		now := g.Now()
 		if c.remaining(now) <= 0 || ctx.Err() != nil {
-			return pick.Choice{}, errNoTime
+			return pick.Choice{}, errDeadlineExceeded
 		}
 		if g.blocked(now, c) {
 			return pick.Choice{}, errBlocked
 		}
 		changed := g.Servers.Changed()
 		serving := g.Servers.Serving(now, c.service.Name)
-		if choice, ok := g.pick(now, c, serving); ok {
-			if g.admit(now, c, choice) {
-				if !g.acquirePermit(hold, choice.Server.ID) {
+		if choice, ok := g.pickServer(now, c, serving); ok {
+			if g.mayAdmit(now, c, choice) {
+				if !g.acquirePermit(waitCtx, choice.Server.ID) {
 					continue
 				}
 				return choice, nil
 			}
-			if !g.holdBack(hold, now, c, choice) {
-				return pick.Choice{}, errNoRoom
+			if !g.waitForAdmission(waitCtx, now, c, choice) {
+				return pick.Choice{}, errQueuesFull
 			}
 			continue
 		}
-		if waited, err := g.awaitPermit(hold, now, deadline, c, serving); err != nil {
+		if waited, err := g.awaitPermit(waitCtx, now, deadline, c, serving); err != nil {
 			return pick.Choice{}, err
 		} else if waited {
 			continue
 		}
-		if len(c.avoid) > 0 && (c.tries > c.roundTries || !g.replaced(now, c, serving)) {
-			// Every candidate was tried. One that refused may take the request
-			// after a pause; one that can not be reached is left to the controller
-			// to replace, until the last round.
-			c.roundTries = c.tries
+		if len(c.excluded) > 0 && (c.tries > c.roundStartTries || !g.replacementExpected(now, c, serving)) {
+			// Every candidate was tried. A server that refused may accept the request after a
+			// pause. An unreachable server is skipped until the last round, while the controller
+			// loads its model elsewhere.
+			c.roundStartTries = c.tries
 			c.rounds++
-			if g.cutOff(now, c, serving) {
-				return pick.Choice{}, errCutOff
+			if g.isolated(now, c, serving) {
+				return pick.Choice{}, errIsolated
 			}
-			if c.rounds > maxRounds && !g.replaced(now, c, serving) {
+			if c.rounds > maxRounds && !g.replacementExpected(now, c, serving) {
 				return pick.Choice{}, errAllTried
 			}
-			pause.For(hold, roundPause)
-			c.avoid = nil
+			pause.For(waitCtx, roundInterval)
+			c.excluded = nil
 			if c.rounds != maxRounds {
-				c.avoid = c.unreached
+				c.excluded = c.unreachable
 			}
-			if _, ok := g.pick(g.Now(), c, serving); ok || !g.replaced(now, c, serving) {
+			if _, ok := g.pickServer(g.Now(), c, serving); ok || !g.replacementExpected(now, c, serving) {
 				continue
 			}
 		}
-		err := g.await(hold, c, changed)
-		c.sought += g.Now().Sub(now)
+		err := g.awaitServer(waitCtx, c, changed)
+		c.modelWait += g.Now().Sub(now)
 		if err != nil {
 			if g.stopping() {
 				return pick.Choice{}, errStopping
 			}
-			c.comeBack = c.loadLeft(serving)
+			c.retryAfter = c.remainingLoadTime(serving)
 			return pick.Choice{}, err
 		}
 	}
 }
 
-// loadLeft returns how much longer the model of a call that has waited for a server will
-// take to be loaded, 0 where a server that can be reached holds it already: an adapter takes
-// milliseconds. A caller that came back sooner would wait in vain once more, and then give up.
-func (c *call) loadLeft(serving []backs.Entry) time.Duration {
-	if c.service.Engine == nil || slices.ContainsFunc(serving, c.mayHold) {
+// remainingLoadTime returns how much longer it will take to load the model of a call that has
+// waited for a server. It returns 0 if a reachable server has the model, because an adapter loads
+// in milliseconds. A caller that retried sooner would wait in vain once more, and then give up.
+func (c *call) remainingLoadTime(serving []backs.Entry) time.Duration {
+	if c.service.Engine == nil || slices.ContainsFunc(serving, c.holdsModel) {
 		return 0
 	}
-	return max(c.service.Engine.Models[c.work.Model].Load-c.sought, 0)
+	return max(c.service.Engine.Models[c.work.Model].Load-c.modelWait, 0)
 }
 
-// mayHold reports whether a server holds the call's model, and was not found dead by it.
-func (c *call) mayHold(e backs.Entry) bool {
-	return e.Holds(c.work.Model, "") && !slices.Contains(c.unreached, e.ID)
+// holdsModel reports whether a server has the call's model and was not found unreachable by the
+// call.
+func (c *call) holdsModel(e backs.Entry) bool {
+	return e.Holds(c.work.Model, "") && !slices.Contains(c.unreachable, e.ID)
 }
 
-// replaced reports whether a call's model can be expected to be loaded elsewhere,
-// as the servers that hold it can not be reached. Where this VM is the one that is cut
-// off, it can not be: its caller is better off with another VM, and is told so at once.
-func (g *Gateway) replaced(now time.Time, c *call, serving []backs.Entry) bool {
-	return c.work.Model != "" && len(c.unreached) > 0 && !g.Book.Isolated(now, serving)
+// replacementExpected reports whether the controller can be expected to load the call's model
+// elsewhere, because the servers that have it are unreachable. If this VM itself is isolated, no
+// replacement is expected, and the call is refused at once so that its caller can use another VM.
+func (g *Gateway) replacementExpected(now time.Time, c *call, serving []backs.Entry) bool {
+	return c.work.Model != "" && len(c.unreachable) > 0 && !g.Book.Isolated(now, serving)
 }
 
-// cutOff reports whether a call could reach none of its servers since this VM is cut off
-// from the other failure domains. Further rounds would hold its caller up for 0.2 s, with as
-// many as ten connections tried, for the same refusal.
-func (g *Gateway) cutOff(now time.Time, c *call, serving []backs.Entry) bool {
-	reached := slices.ContainsFunc(c.avoid, func(id string) bool { return !slices.Contains(c.unreached, id) })
-	return !reached && len(c.unreached) > 0 && g.Book.Isolated(now, serving)
+// isolated reports whether a call reached none of its servers because this VM is partitioned from
+// the other failure domains. Further rounds would end in the same refusal, after 0.2 s and up to
+// ten connection attempts.
+func (g *Gateway) isolated(now time.Time, c *call, serving []backs.Entry) bool {
+	reached := slices.ContainsFunc(c.excluded, func(id string) bool { return !slices.Contains(c.unreachable, id) })
+	return !reached && len(c.unreachable) > 0 && g.Book.Isolated(now, serving)
 }
 
-// pick chooses among the serving servers that hold what the call needs and that
-// it may still be sent to.
-func (g *Gateway) pick(now time.Time, c *call, serving []backs.Entry) (pick.Choice, bool) {
+// pickServer selects one of the serving servers that have what the call needs, are not in backoff
+// and may receive the call.
+func (g *Gateway) pickServer(now time.Time, c *call, serving []backs.Entry) (pick.Choice, bool) {
 	candidates := make([]backs.Entry, 0, len(serving))
 	for _, e := range serving {
 		if g.eligible(c, e) && g.Limits.Backoff(now, e.ID) == 0 {
 			candidates = append(candidates, e)
 		}
 	}
-	return g.Book.Choose(now, candidates, c.work, g.tokenMemory(c), c.avoid)
+	return g.Book.Choose(now, candidates, c.work, g.kvCacheTokens(c), c.excluded)
 }
 
-// eligible reports whether a server holds what a call needs, and the call may be sent to another
+// eligible reports whether a server has what a call needs, and the call may be sent to another
 // server or was already sent to this one.
 func (g *Gateway) eligible(c *call, e backs.Entry) bool {
 	if c.work.Model != "" && !e.Holds(c.work.Model, c.work.Adapter) {
 		return false
 	}
-	return len(c.servers) < max(c.route.Attempts, 1) || slices.Contains(c.servers, e.ID)
+	return len(c.sentTo) < max(c.route.Attempts, 1) || slices.Contains(c.sentTo, e.ID)
 }
 
-func (g *Gateway) tokenMemory(c *call) int {
+func (g *Gateway) kvCacheTokens(c *call) int {
 	if c.service.Engine == nil {
 		return 0
 	}
 	return c.service.Engine.KVTokens
 }
 
-// await waits until there may be a server: one is found for the model, or what
-// is known of the servers changes.
-func (g *Gateway) await(ctx context.Context, c *call, changed <-chan struct{}) error {
+// awaitServer waits until the controller has found a server for the model, or the server list
+// changes.
+func (g *Gateway) awaitServer(ctx context.Context, c *call, changed <-chan struct{}) error {
 	if c.work.Model == "" || g.Find == nil {
 		select {
 		case <-changed:
@@ -181,10 +182,10 @@
 		}
 	}
 	found := make(chan error, 1)
-	find, cancel := context.WithCancel(ctx)
+	findCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		_, err := g.Find(find, c.service.Name, c.work.Model, c.work.Adapter)
+		_, err := g.Find(findCtx, c.service.Name, c.work.Model, c.work.Adapter)
 		found <- err
 	}()
 	select {
@@ -192,15 +193,15 @@
 		return nil
 	case err := <-found:
 		if err == nil {
-			// It may be one that this VM can not reach, until the controller
-			// finds that out too.
-			pause.For(ctx, roundPause)
+			// This VM may be unable to reach the server that was found, until the controller
+			// detects that too.
+			pause.For(ctx, roundInterval)
 			return nil
 		}
-		// Without a controller another one takes over within seconds, or the
-		// entry of a server tells of the model.
+		// If no controller is reachable, another VM takes over the role within seconds, or a
+		// server's entry lists the model.
 		c.reason = fmt.Sprintf("find a server for %s: %v", c.work.Model, err)
-		pause.For(ctx, findAgain)
+		pause.For(ctx, findRetryInterval)
 		if ctx.Err() != nil {
 			return fmt.Errorf("find a server for %s: %w", c.work.Model, err)
 		}
--- a/pass/crash.go
+++ b/pass/crash.go
@@ -20,7 +20,7 @@
 	if remaining == 0 {
 		return false
 	}
-	c.blocked, c.reason, c.comeBack = true, errBlocked.Error(), remaining
+	c.blocked, c.reason, c.retryAfter = true, errBlocked.Error(), remaining
 	return true
 }
 
@@ -32,7 +32,7 @@
 		g.Poison.ConnectionLost(now, t.c.fingerprint, t.choice.Server.ID)
 		go g.probeServer(t.choice.Server)
 	}
-	return t.failed(ctx, reason)
+	return t.failUncertain(ctx, reason)
 }
 
 // probeServer opens a connection to a server to find out whether its process has ended. Requests
--- a/pass/events.go
+++ b/pass/events.go
@@ -5,52 +5,52 @@
 	"strconv"
 )
 
-// splitter cuts a stream of server-sent events at their ends. A server may stop
-// in the middle of an event; what it passes on is always whole events, so that
-// another server can go on behind the last one.
-type splitter struct {
-	rest []byte
-	// last is the id of the last event passed on, as the caller has it.
-	last string
-	// after drops events up to this id: those the caller already has.
-	after int64
+// eventSplitter splits a stream of server-sent events into complete events. A server may stop in
+// the middle of an event; only complete events are forwarded, so that another server can resume
+// after the last one.
+type eventSplitter struct {
+	partial []byte
+	// lastID is the ID of the last event forwarded to the caller.
+	lastID string
+	// skipThrough is the highest event ID that the caller already has. Events up to it are dropped.
+	skipThrough int64
 }
 
-var eventEnd = []byte("\n\n")
+var eventSeparator = []byte("\n\n")
 
-// take adds bytes and returns the whole events among what there is now.
-func (s *splitter) take(data []byte) []byte {
-	s.rest = append(s.rest, data...)
-	end := bytes.LastIndex(s.rest, eventEnd)
+// add appends bytes to the stream and returns the events that are now complete.
+func (s *eventSplitter) add(data []byte) []byte {
+	s.partial = append(s.partial, data...)
+	end := bytes.LastIndex(s.partial, eventSeparator)
 	if end < 0 {
 		return nil
 	}
-	end += len(eventEnd)
-	whole := s.fresh(s.rest[:end])
-	s.rest = append([]byte(nil), s.rest[end:]...)
-	return whole
+	end += len(eventSeparator)
+	complete := s.dropRepeated(s.partial[:end])
+	s.partial = append([]byte(nil), s.partial[end:]...)
+	return complete
 }
 
-// fresh drops the events that the caller already has and notes the last id.
-func (s *splitter) fresh(events []byte) []byte {
-	var out []byte
+// dropRepeated removes the events that the caller already has and records the last ID.
+func (s *eventSplitter) dropRepeated(events []byte) []byte {
+	var fresh []byte
 	for len(events) > 0 {
-		end := bytes.Index(events, eventEnd) + len(eventEnd)
+		end := bytes.Index(events, eventSeparator) + len(eventSeparator)
 		event := events[:end]
 		events = events[end:]
 		id, ok := eventID(event)
-		if ok && s.after > 0 && id <= s.after {
+		if ok && s.skipThrough > 0 && id <= s.skipThrough {
 			continue
 		}
 		if ok {
-			s.last = strconv.FormatInt(id, 10)
+			s.lastID = strconv.FormatInt(id, 10)
 		}
-		out = append(out, event...)
+		fresh = append(fresh, event...)
 	}
-	return out
+	return fresh
 }
 
-// eventID returns the number in an event's id line.
+// eventID returns the number in the id line of an event.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -26,8 +26,8 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// backend starts a server that answers each request with a status and its stamp.
-func backend(t *testing.T, status int) string {
+// startBackend starts a server that answers each request with a status and its stamp.
+func startBackend(t *testing.T, status int) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt", r.Header.Get("Attempt"))
@@ -39,10 +39,10 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-var errRefused = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
-// testGateway returns a gateway before servers of service "s", which runs models.
-// Addresses that begin with "dead" refuse connections.
+// testGateway returns a gateway with the given servers of service "s", which runs models. Addresses
+// that begin with "dead" refuse connections.
 func testGateway(servers ...backs.Entry) *Gateway {
 	view := &backs.View{}
 	view.Replace(clock.Now(), servers)
@@ -56,7 +56,7 @@
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{}, Names: testNames, Table: func() *routes.Table { return table }, Servers: view, Book: &pick.Book{Domain: "d"},
 		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
-				return nil, errRefused
+				return nil, errConnectionRefused
 			}
 			return conns.Dial(ctx, address)
 		}},
@@ -68,7 +68,7 @@
 	return backs.Entry{ID: id, Service: "s", Domain: domain, Address: address, Slots: 8, Models: []backs.Held{{Model: "m"}}}
 }
 
-func ask(g *Gateway) *httptest.ResponseRecorder {
+func sendRequest(g *Gateway) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	r.Header.Set("Attempt", "a1")
 	r.Header.Set("Model", "m")
@@ -77,93 +77,92 @@
 	return w
 }
 
-// requireRefused asks and requires a refusal that says when to come back, long before
-// the half hour is over for which a request may wait.
+// requireRefused sends a request and requires a refusal with a Retry-After header, long before the
+// maximum wait of half an hour.
 func requireRefused(t *testing.T, g *Gateway) *httptest.ResponseRecorder {
 	t.Helper()
 	done := make(chan *httptest.ResponseRecorder, 1)
-	go func() { done <- ask(g) }()
+	go func() { done <- sendRequest(g) }()
 	select {
 	case w := <-done:
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.NotEmpty(t, w.Header().Get("Retry-After"))
 		return w
 	case <-time.After(time.Minute):
-		require.FailNow(t, "the request waits on")
+		require.FailNow(t, "the request is still waiting")
 		return nil
 	}
 }
 
-// The only server that holds a model crashes; the controller loads the model
-// elsewhere within seconds. Meanwhile dozens of servers come and go, and each
-// change wakes the request. Counted as a round over the servers each, they made it
-// give up after a fifth of a second with an hour to go.
-func TestRequestsWaitForTheModelOfACrashedServer(t *testing.T) {
+// The only server with a model crashes, and the controller loads the model elsewhere within
+// seconds. Meanwhile, dozens of other server list changes wake the request. Guards against counting
+// each change as a round: the request was refused after 0.2 s although its deadline was an hour
+// away.
+func TestRequestWaitsForReplacementOfCrashedServer(t *testing.T) {
 	g := testGateway(server("a", "d", "dead:1"))
-	address := backend(t, http.StatusOK)
-	asked := 0
+	address := startBackend(t, http.StatusOK)
+	finds := 0
 	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
-		asked++
-		if asked < 50 {
+		finds++
+		if finds < 50 {
 			g.Servers.Put(clock.Now(), server("a", "d", "dead:1"))
 			return "a", nil
 		}
 		g.Servers.Put(clock.Now(), server("b", "d", address))
 		return "b", nil
 	}
-	w := ask(g)
+	w := sendRequest(g)
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 	require.Equal(t, "server", w.Header().Get("Stamp"))
 }
 
-// This VM is cut off from another failure domain, whose servers hold the model.
-// Its caller is better off with another VM: it is refused at once, and truthfully. It was
-// refused after four rounds over the servers, which took 0.2 s.
-func TestACutOffVMRefusesAtOnce(t *testing.T) {
+// This VM is partitioned from the failure domain whose servers have the model. The request must be
+// refused at once, so that its caller can use another VM, and not after four rounds over the
+// servers, which took 0.2 s.
+func TestIsolatedVMRefusesImmediately(t *testing.T) {
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"))
-	var tried []string
-	g.Doubt = func(server string) { tried = append(tried, server) }
+	var suspects []string
+	g.Doubt = func(server string) { suspects = append(suspects, server) }
 	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
 		<-ctx.Done()
 		return "", ctx.Err()
 	}
 	requireRefused(t, g)
-	require.ElementsMatch(t, []string{"a", "b"}, tried)
+	require.ElementsMatch(t, []string{"a", "b"}, suspects)
 }
 
-// The two servers that hold a model are in one other failure domain and have crashed, as has
-// a fifth of all. Two failed connections made that domain look cut off, and the caller was
-// refused at once, while the controller was loading the model. With a third domain that is
-// reached, this VM is not the one that is cut off: the request waits.
-func TestRequestsWaitWhileAnotherDomainIsReached(t *testing.T) {
+// Both servers with a model are in one other failure domain and have crashed, along with a fifth of
+// all servers. Guards against taking two failed connections for a partition: the request was
+// refused at once while the controller was loading the model. As a third domain is reachable, this
+// VM is not isolated and the request waits.
+func TestRequestWaitsWhileAnotherDomainIsReachable(t *testing.T) {
 	third := backs.Entry{ID: "c", Service: "s", Domain: "third", Address: "dead:3", Slots: 8}
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"), third)
-	address := backend(t, http.StatusOK)
+	address := startBackend(t, http.StatusOK)
 	g.Find = func(context.Context, string, string, string) (string, error) {
 		g.Servers.Put(clock.Now(), server("d", "third", address))
 		return "d", nil
 	}
-	w := ask(g)
+	w := sendRequest(g)
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
 
-// A server fails a request that may be repeated, and the retry budget is spent. The
-// caller gets the server's failure with its stamp, not a word of our own that
-// hides it.
-func TestAServersFailureIsPassedOnWhenNothingBetters(t *testing.T) {
-	address := backend(t, http.StatusInternalServerError)
+// A server responds to a repeatable request with an error, and the retry budget is exhausted.
+// Guards against replacing the server's response and stamp with an error of the gateway.
+func TestServerErrorForwardedWithoutRetry(t *testing.T) {
+	address := startBackend(t, http.StatusInternalServerError)
 	g := testGateway(server("a", "d", address), server("b", "d", address))
-	w := ask(g)
+	w := sendRequest(g)
 	require.Equal(t, http.StatusInternalServerError, w.Code)
 	require.Equal(t, "server", w.Header().Get("Stamp"))
 	require.Equal(t, "body", w.Body.String())
 }
 
-// A VM gets SIGTERM while a request waits for an adapter that no server holds. Its
-// caller has an hour, the VM eight seconds: the connection was closed without a word
-// when they were over, and the caller could not know whether the request had run.
-// It is refused when the VM stops taking requests, and its caller goes elsewhere.
-func TestWaitingRequestsAreRefusedWhenTheVMStops(t *testing.T) {
+// A VM receives SIGTERM while a request waits for an adapter that no server has. The request may
+// wait an hour, the VM stops within eight seconds. Guards against closing the connection without a
+// response, which leaves the caller unable to tell whether the request was executed: the request
+// must be refused when the VM begins to shut down, so that its caller can use another VM.
+func TestShutdownRefusesWaitingRequest(t *testing.T) {
 	g := testGateway()
 	closing, stop := context.WithCancel(t.Context())
 	g.Closing = closing
@@ -175,29 +174,28 @@
 	requireRefused(t, g)
 }
 
-// A model has no copy, and its load takes longer than callers wait for the first event of a
-// stream, though the whole answer may take an hour. Its caller is refused while it still
-// listens, and told to come back when the model is there: held back, it would leave with
-// nothing; told to come back at once, it would be refused again. The same holds where the
-// servers that are listed with the model have crashed.
-func TestStreamsWaitForAServerNoLongerThanTheirCallers(t *testing.T) {
+// No server has the model, and loading it takes longer than callers wait for the first event of a
+// stream, although the request deadline is an hour away. The request must be refused before its
+// caller disconnects, with a Retry-After that covers the load: after a shorter delay it would be
+// refused again. The same holds if the servers listed with the model have crashed.
+func TestWaitForModelEndsBeforeCallerTimeout(t *testing.T) {
 	tests := map[string][]backs.Entry{
-		"no copy":        nil,
-		"copies crashed": {server("a", "d", "dead:1"), server("b", "far", "dead:2"), {ID: "c", Service: "s", Domain: "third", Slots: 8}},
+		"no server":       nil,
+		"servers crashed": {server("a", "d", "dead:1"), server("b", "far", "dead:2"), {ID: "c", Service: "s", Domain: "third", Slots: 8}},
 	}
 	for name, servers := range tests {
-		t.Run(name, func(t *testing.T) { requireRefusedUntilLoaded(t, testGateway(servers...)) })
+		t.Run(name, func(t *testing.T) { requireRetryAfterLoad(t, testGateway(servers...)) })
 	}
 }
 
-func requireRefusedUntilLoaded(t *testing.T, g *Gateway) {
+func requireRetryAfterLoad(t *testing.T, g *Gateway) {
 	t.Helper()
-	const load = 50 * time.Second
+	const loadTime = 50 * time.Second
 	route := routes.Route{
 		Name: "r", Host: "h", Prefix: "/", Kind: routes.Stream, Timeout: time.Hour, Leave: 100 * time.Millisecond, Attempts: 1,
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
-	engine := &routes.Engine{Models: map[string]routes.Model{"m": {Name: "m", Load: load}}}
+	engine := &routes.Engine{Models: map[string]routes.Model{"m": {Name: "m", Load: loadTime}}}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	g.Table = func() *routes.Table { return table }
 	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
@@ -205,7 +203,7 @@
 		return "", ctx.Err()
 	}
 	w := requireRefused(t, g)
-	wait, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
+	retryAfter, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	require.NoError(t, err)
-	require.Greater(t, wait, (load / 2).Seconds())
+	require.Greater(t, retryAfter, (loadTime / 2).Seconds())
 }
--- a/pass/limit.go
+++ b/pass/limit.go
@@ -10,12 +10,12 @@
 	"github.com/hibiscuscart/hibiscuscart/pause"
 )
 
-// updateLimit updates the known rate limit of the server from the headers of its answer. An invalid
+// updateRateLimit updates the known rate limit of the server from its response headers. An invalid
 // value is logged and leaves the limit unchanged.
-func (t *try) updateLimit() {
+func (t *try) updateRateLimit() {
 	n, server := t.g.Names, t.choice.Server.ID
 	if t.resp.Header.Get(n.Stamp) == "" && t.resp.Header.Get(n.NotRun) == "" {
-		return // The answer may come from another server at the same address.
+		return // The response may come from another server at the same address.
 	}
 	value := t.resp.Header.Get(n.Limit)
 	if value == "" {
@@ -69,7 +69,7 @@
 	if server == "" {
 		return false, nil
 	}
-	c.comeBack = wait
+	c.retryAfter = wait
 	if ctx.Err() != nil || now.Add(wait).After(deadline) || !g.addPermitWaiter(deadline.Sub(now), server) {
 		return true, errRateLimited
 	}
@@ -82,7 +82,7 @@
 // to, or "" if none is in backoff.
 func (g *Gateway) shortestBackoff(now time.Time, c *call, serving []backs.Entry) (server string, wait time.Duration) {
 	for _, e := range serving {
-		if !g.eligible(c, e) || slices.Contains(c.avoid, e.ID) {
+		if !g.eligible(c, e) || slices.Contains(c.excluded, e.ID) {
 			continue
 		}
 		if backoff := g.Limits.Backoff(now, e.ID); backoff > 0 && (server == "" || backoff < wait) {
--- a/pass/limit_test.go
+++ b/pass/limit_test.go
@@ -17,7 +17,7 @@
 // available in time.
 func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
 	const wait = 2 * time.Second
-	g := testGateway(server("a", "d", backend(t, http.StatusOK)))
+	g := testGateway(server("a", "d", startBackend(t, http.StatusOK)))
 	route := routes.Route{
 		Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Hour, Leave: 2 * wait, Attempts: 2,
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
@@ -32,11 +32,11 @@
 	now := clock.Now()
 	g.Limits.Update(now, now, "a", 0.5, true)
 	for range 3 {
-		got := ask(g)
+		got := sendRequest(g)
 		require.Equal(t, http.StatusServiceUnavailable, got.Code)
-		after, err := strconv.ParseFloat(got.Header().Get(headerRetryAfter), 64)
+		retryAfter, err := strconv.ParseFloat(got.Header().Get(headerRetryAfter), 64)
 		require.NoError(t, err)
-		require.Greater(t, after, wait.Seconds())
+		require.Greater(t, retryAfter, wait.Seconds())
 	}
 	require.Equal(t, 1, calls, "no permit is requested during the backoff")
 }
--- a/pass/names.go
+++ b/pass/names.go
@@ -1,7 +1,6 @@
-// Package pass passes callers' requests on to backend servers unchanged and
-// their answers back unchanged: any method, path and body under a route, plain
-// answers and event streams. It decides how often a request is sent and what a
-// caller may be told when it was not answered.
+// Package pass forwards requests of callers to backend servers, and their responses back, without
+// changing them: any method, path and body under a route, plain responses and event streams. It
+// decides how often a request is sent, and what the caller is told if no server answered it.
 package pass
 
 import (
@@ -10,47 +9,45 @@
 	"github.com/hibiscuscart/hibiscuscart/pick"
 )
 
-// Names are the names of headers on the wire of a deployment, and how their
-// values are read. The adapter of the deployment fills it.
+// Names holds the header names of a deployment and the parsers of their values. The platform
+// adapter of the deployment sets it.
 type Names struct {
-	// ID names an attempt of a caller; servers echo it.
+	// ID identifies one attempt of a caller; servers echo it.
 	ID string
-	// Deadline is how many milliseconds the caller will wait, or the server may
-	// take.
+	// Deadline is how many milliseconds the caller waits, or the server may take.
 	Deadline string
-	// ExpectServer makes any server but the named one refuse.
+	// ExpectServer is the server that the request is for; any other server refuses it.
 	ExpectServer string
-	// Stamp proves that an answer is a server's own.
+	// Stamp proves that a response was sent by the server itself.
 	Stamp string
-	// NotRun says that the server did not run the request.
+	// NotRun marks a response as proof that the server did not execute the request.
 	NotRun string
 	// Load is the server's running requests, waiting requests and slots.
 	Load string
 	// Limit is the maximum number of requests per second that the server accepts from all VMs
-	// together. It applies for as long as the server's answers contain it.
+	// together. It applies for as long as the server's responses contain it.
 	Limit string
-	// Model is the model, with an adapter after a slash.
+	// Model is the model, followed by a slash and the adapter if there is one.
 	Model string
-	// Usage is prompt tokens and the most output tokens.
+	// Usage is the number of prompt tokens and the maximum number of output tokens.
 	Usage string
 	// Prefix lists the parts of the prompt.
 	Prefix string
-	// Priority ranks a request at the server, 0 to 9, 0 first.
+	// Priority is the request's priority at the server, from 0 to 9; 0 is the highest.
 	Priority string
-	// Reserved are headers that only the system may set at servers.
+	// Reserved lists headers that only the gateway may send to servers.
 	Reserved []string
 
-	// ParseUsage and ParsePrefix read the values; a value that can not be read
-	// gives zeros.
+	// ParseUsage and ParsePrefix parse the header values, and return zeros for an invalid value.
 	ParseUsage  func(string) (prompt, output int)
 	ParsePrefix func(string) []pick.Part
-	// ParseModel splits the model from the adapter.
+	// ParseModel splits a header value into the model and the adapter.
 	ParseModel func(string) (model, adapter string)
 	// ParseLimit parses a rate in requests per second and reports whether it is valid.
 	ParseLimit func(string) (rate float64, ok bool)
 }
 
-// Headers of HTTP that this package sets or reads.
+// HTTP headers and values that this package sets or reads.
 const (
 	headerTrace      = "Traceparent"
 	headerLastEvent  = "Last-Event-Id"
@@ -61,21 +58,21 @@
 	typeEvents       = "text/event-stream"
 )
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1).
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Expect": true,
 }
 
-// ends reports whether a header ends at this hop: by its name or because the
-// Connection header lists it.
-func ends(name string, listed []string) bool {
-	if hopHeaders[name] {
+// isHopByHop reports whether a header must not be forwarded, by its name or because the Connection
+// header lists it.
+func isHopByHop(name string, options []string) bool {
+	if hopByHopHeaders[name] {
 		return true
 	}
-	for _, l := range listed {
-		if http.CanonicalHeaderKey(l) == name {
+	for _, option := range options {
+		if http.CanonicalHeaderKey(option) == name {
 			return true
 		}
 	}
--- a/pass/silence_test.go
+++ b/pass/silence_test.go
@@ -19,10 +19,10 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// pausing starts a server of streams of three events that falls silent behind the
-// first, which it tells, until wait is closed. A resumed stream goes on behind its
-// last event at once.
-func pausing(t *testing.T, name string, silent chan<- string, wait <-chan struct{}) string {
+// startPausingBackend starts a server of streams of three events. It pauses after the first event,
+// sends its name to pausedAt and continues when resume is closed. A resumed stream continues after
+// its last event at once.
+func startPausingBackend(t *testing.T, name string, pausedAt chan<- string, resume <-chan struct{}) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt", r.Header.Get("Attempt"))
@@ -38,9 +38,9 @@
 			if n > 1 {
 				continue
 			}
-			silent <- name
+			pausedAt <- name
 			select {
-			case <-wait:
+			case <-resume:
 			case <-r.Context().Done():
 				return
 			}
@@ -50,8 +50,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// streamRoute makes the gateway's route one of streams that may be resumed.
-func streamRoute(g *Gateway) {
+// useResumableRoute replaces the gateway's route with one for resumable streams.
+func useResumableRoute(g *Gateway) {
 	route := routes.Route{
 		Name: "r", Host: "h", Prefix: "/", Kind: routes.Stream, Resumable: true, Timeout: time.Hour, Attempts: 2,
 		Gap: time.Millisecond, Targets: []routes.Target{{Service: "s", Weight: 1}},
@@ -60,89 +60,87 @@
 	g.Table = func() *routes.Table { return table }
 }
 
-// A server preempts a stream that may be resumed and reads its prompt anew; for a
-// second and more no event comes. The VM gave the server up, and only then found
-// that it had no retry left, or no other server: the caller's answer was broken off,
-// while the server would have gone on. The server is given up only for a place where
-// the stream can go on.
-func TestASilentServerIsLeftOnlyForABetterPlace(t *testing.T) {
+// A server preempts a resumable stream and recomputes its prompt, so that no event arrives for a
+// second or more. Guards against giving up the server before a retry and another server are
+// available: the response was aborted although the first server would have completed it.
+func TestSilentServerFailover(t *testing.T) {
 	tests := map[string]struct {
-		retries float64
-		other   bool
-		want    string
+		retries     float64
+		otherServer bool
+		want        string
 	}{
-		"a retry and another server": {retries: 10, other: true, want: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: b\n\n"},
-		"no retry left":              {other: true, want: "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: a\n\n"},
-		"no other server":            {retries: 10, want: "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: a\n\n"},
+		"retry and other server": {retries: 10, otherServer: true, want: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: b\n\n"},
+		"no retry":               {otherServer: true, want: "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: a\n\n"},
+		"no other server":        {retries: 10, want: "id: 1\ndata: a\n\nid: 2\ndata: a\n\nid: 3\ndata: a\n\n"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			wait, silent := make(chan struct{}), make(chan string, 1)
-			g := testGateway(server("a", "d", pausing(t, "a", silent, wait)))
-			streamRoute(g)
+			resume, pausedAt := make(chan struct{}), make(chan string, 1)
+			g := testGateway(server("a", "d", startPausingBackend(t, "a", pausedAt, resume)))
+			useResumableRoute(g)
 			g.Budget("s").Limit(0, tc.retries, 10*time.Second)
 			go func() {
-				defer close(wait)
-				<-silent
-				if tc.other {
-					g.Servers.Put(clock.Now(), server("b", "d", pausing(t, "b", nil, nil)))
+				defer close(resume)
+				<-pausedAt
+				if tc.otherServer {
+					g.Servers.Put(clock.Now(), server("b", "d", startPausingBackend(t, "b", nil, nil)))
 				}
 				for g.Meter.Counter("pass.silent") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 			}()
-			got := ask(g)
+			got := sendRequest(g)
 			require.Equal(t, http.StatusOK, got.Code)
 			require.Equal(t, tc.want, got.Body.String())
 		})
 	}
 }
 
-// writes is a caller that tells when the first bytes of its answer came.
-type writes struct {
+// firstWriteRecorder is a caller that signals the first bytes of its response.
+type firstWriteRecorder struct {
 	*httptest.ResponseRecorder
-	once  sync.Once
-	began chan struct{}
+	once       sync.Once
+	firstWrite chan struct{}
 }
 
-func (w *writes) Write(b []byte) (int, error) {
-	w.once.Do(func() { close(w.began) })
+func (w *firstWriteRecorder) Write(b []byte) (int, error) {
+	w.once.Do(func() { close(w.firstWrite) })
 	return w.ResponseRecorder.Write(b)
 }
 
-// A caller leaves in the middle of its stream, or this VM stops then. The connection to the
-// server is closed for it, and the log said in both cases that the VM had broken the
-// stream off: on call looked for a fault where there was none.
-func TestStreamsOfCallersThatLeftAreNotBrokenOff(t *testing.T) {
+// A caller disconnects in the middle of its stream, or this VM shuts down; both close the
+// connection to the server. Guards against logging the status of an aborted stream in both cases,
+// which made operators on call search for a fault that did not exist.
+func TestStatusOfInterruptedStream(t *testing.T) {
 	tests := map[string]struct {
 		stopping bool
 		want     string
 	}{
-		"the caller leaves": {false, `"status":499`},
-		"the VM stops":      {true, `"status":599`},
+		"caller disconnects": {false, `"status":499`},
+		"VM shuts down":      {true, `"status":599`},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			silent := make(chan string, 1)
-			g := testGateway(server("a", "d", pausing(t, "a", silent, nil)))
-			streamRoute(g)
+			pausedAt := make(chan string, 1)
+			g := testGateway(server("a", "d", startPausingBackend(t, "a", pausedAt, nil)))
+			useResumableRoute(g)
 			var log bytes.Buffer
 			g.Log = zerolog.New(&log)
 			closing, stop := context.WithCancel(t.Context())
 			defer stop()
 			g.Closing = closing
-			ctx, leave := context.WithCancel(t.Context())
-			w := &writes{ResponseRecorder: httptest.NewRecorder(), began: make(chan struct{})}
+			ctx, disconnect := context.WithCancel(t.Context())
+			w := &firstWriteRecorder{ResponseRecorder: httptest.NewRecorder(), firstWrite: make(chan struct{})}
 			r := httptest.NewRequest(http.MethodGet, "http://h/x", nil).WithContext(ctx)
 			r.Header.Set("Attempt", "a1")
 			r.Header.Set("Model", "m")
 			go func() {
-				<-w.began
+				<-w.firstWrite
 				if tc.stopping {
 					stop()
 				}
-				leave()
+				disconnect()
 			}()
 			require.PanicsWithValue(t, http.ErrAbortHandler, func() { g.ServeHTTP(w, r) })
 			require.Contains(t, log.String(), tc.want)
@@ -150,10 +148,9 @@
 	}
 }
 
-// A server crashes with a stream that may be resumed, and the queue of the only other one is
-// long. Held back and then refused as a new request would be, the stream was broken off; it
-// goes on behind that queue.
-func TestBegunStreamsGoOnBehindALongQueue(t *testing.T) {
+// The server of a resumable stream crashes, and the only other server has a long queue. Guards
+// against refusing the stream like a new request, which aborted it: it must resume on that server.
+func TestStartedStreamIgnoresQueueLimit(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt", r.Header.Get("Attempt"))
 		w.Header().Set("Stamp", "a")
@@ -163,12 +160,12 @@
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(s.Close)
-	crowded := server("b", "d", pausing(t, "b", nil, nil))
-	g := testGateway(server("a", "d", strings.TrimPrefix(s.URL, "http://")), crowded)
-	streamRoute(g)
+	overloaded := server("b", "d", startPausingBackend(t, "b", nil, nil))
+	g := testGateway(server("a", "d", strings.TrimPrefix(s.URL, "http://")), overloaded)
+	useResumableRoute(g)
 	g.Budget("s").Limit(0, 10, 10*time.Second)
-	g.Book.Begin(clock.Now(), pick.Choice{Server: crowded, Reading: time.Hour}, pick.Work{Model: "m"}, 0)
-	got := ask(g)
+	g.Book.Begin(clock.Now(), pick.Choice{Server: overloaded, Reading: time.Hour}, pick.Work{Model: "m"}, 0)
+	got := sendRequest(g)
 	require.Equal(t, http.StatusOK, got.Code)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: b\n\n", got.Body.String())
 }
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -10,86 +10,86 @@
 	"github.com/hibiscuscart/hibiscuscart/pick"
 )
 
-// streamBuffer is one read of a stream: some events at most.
-const streamBuffer = 4 << 10
+// streamBufferBytes is the size of one read from a stream, enough for some events.
+const streamBufferBytes = 4 << 10
 
-// stream passes events on as they arrive; those that are ready together go out
-// in one write.
-func (t *try) stream(ctx context.Context, w http.ResponseWriter) bool {
-	events := t.splitter()
-	buffer := make([]byte, streamBuffer)
-	out := http.NewResponseController(w)
-	stall := t.stall()
+// forwardStream forwards events as they arrive. Events that are ready at the same time are written
+// together.
+func (t *try) forwardStream(ctx context.Context, w http.ResponseWriter) bool {
+	events := t.newSplitter()
+	buffer := make([]byte, streamBufferBytes)
+	controller := http.NewResponseController(w)
+	eventTimeout := t.eventTimeout()
 	var first, last time.Time
 	for {
-		if events.last != t.c.request.Header.Get(headerLastEvent) {
-			t.conn.Watch(stall, t.elsewhere)
+		if events.lastID != t.c.request.Header.Get(headerLastEvent) {
+			t.conn.Watch(eventTimeout, t.reserveFailover)
 		}
 		n, err := t.resp.Body.Read(buffer)
-		if whole := events.take(buffer[:n]); len(whole) > 0 {
+		if complete := events.add(buffer[:n]); len(complete) > 0 {
 			now := t.g.Now()
 			t.ticket.First(now)
-			t.c.sawEvents(now, last, whole)
+			t.c.recordEvents(now, last, complete)
 			if last = now; first.IsZero() {
 				first = now
 			}
-			if !t.deliver(w, out, whole) {
-				t.c.reason = "caller left"
+			if !t.writeEvents(w, controller, complete) {
+				t.c.reason = "caller disconnected"
 				return true
 			}
-			t.c.lastEvent = events.last
+			t.c.lastEventID = events.lastID
 		}
 		if err == io.EOF {
 			if t.c.sends == 1 {
-				t.ticket.Streamed(t.c.events, last.Sub(first))
+				t.ticket.Streamed(t.c.eventCount, last.Sub(first))
 			}
-			return t.streamEnd(w, out, events)
+			return t.finishStream(w, controller, events)
 		}
 		if err != nil {
-			return t.connectionLost(ctx, "stream broke off: "+err.Error(), err)
+			return t.connectionLost(ctx, "read stream: "+err.Error(), err)
 		}
 	}
 }
 
-func (t *try) splitter() *splitter {
-	s := &splitter{last: t.c.lastEvent}
-	if t.c.started {
-		s.after, _ = strconv.ParseInt(t.c.lastEvent, 10, 64)
+func (t *try) newSplitter() *eventSplitter {
+	s := &eventSplitter{lastID: t.c.lastEventID}
+	if t.c.headSent {
+		s.skipThrough, _ = strconv.ParseInt(t.c.lastEventID, 10, 64)
 	}
 	return s
 }
 
-// deliver writes events to the caller, the head of the answer first.
-func (t *try) deliver(w http.ResponseWriter, out *http.ResponseController, data []byte) bool {
-	t.begin(w)
+// writeEvents writes events to the caller, preceded by the response head if it was not sent.
+func (t *try) writeEvents(w http.ResponseWriter, controller *http.ResponseController, data []byte) bool {
+	t.writeHead(w)
 	if _, err := w.Write(data); err != nil {
 		return false
 	}
-	return out.Flush() == nil
+	return controller.Flush() == nil
 }
 
-// begin writes the head. A resumed stream keeps that of its first server.
-func (t *try) begin(w http.ResponseWriter) {
-	if t.c.started {
+// writeHead writes the response head. A resumed stream keeps the head of its first server.
+func (t *try) writeHead(w http.ResponseWriter) {
+	if t.c.headSent {
 		return
 	}
-	t.c.started = true
+	t.c.headSent = true
 	t.c.status = t.resp.StatusCode
-	for name, values := range t.headers() {
+	for name, values := range t.responseHeaders() {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(t.resp.StatusCode)
-	t.c.firstEvent = t.g.Now().Sub(t.c.arrived)
-	t.g.Meter.Time("pass.first_event", t.c.firstEvent)
+	t.c.timeToFirstEvent = t.g.Now().Sub(t.c.arrived)
+	t.g.Meter.Time("pass.first_event", t.c.timeToFirstEvent)
 }
 
-func (t *try) streamEnd(w http.ResponseWriter, out *http.ResponseController, events *splitter) bool {
-	t.begin(w)
-	if len(events.rest) > 0 {
-		t.deliver(w, out, events.rest)
+func (t *try) finishStream(w http.ResponseWriter, controller *http.ResponseController, events *eventSplitter) bool {
+	t.writeHead(w)
+	if len(events.partial) > 0 {
+		t.writeEvents(w, controller, events.partial)
 	}
 	t.conn.Watch(0, nil)
-	t.whole = true
+	t.complete = true
 	t.verdict = pick.Good
 	return true
 }
