--- a/demo/site.go
+++ b/demo/site.go
@@ -370,15 +370,15 @@
 		return nil, fmt.Errorf("build request: %w", err)
 	}
 	req.Host = SiteHost
-	req.Header.Set(platform.Names.ID, id)
+	req.Header.Set(platform.Names.AttemptID, id)
 	req.Header.Set(platform.Names.Deadline, "6000")
 	if model != "" {
 		req.Header.Set(platform.Names.Model, model)
-		req.Header.Set(platform.Names.Usage, "100,32")
-		req.Header.Set(platform.Names.Prefix, "aa:60,"+id+":40")
+		req.Header.Set(platform.Names.TokenUsage, "100,32")
+		req.Header.Set(platform.Names.PromptPrefix, "aa:60,"+id+":40")
 	}
 	return client.Do(req)
 }
 
 // StampOf returns the proof that an answer is a server's own, "" for none.
-func StampOf(resp *http.Response) string { return resp.Header.Get(platform.Names.Stamp) }
+func StampOf(resp *http.Response) string { return resp.Header.Get(platform.Names.ServerStamp) }
--- a/node/node.go
+++ b/node/node.go
@@ -65,7 +65,7 @@
 	Settings *conf.Settings
 	Objects  store.Objects
 	Commands steer.Commands
-	Names    *pass.Names
+	Names    *pass.HeaderNames
 	// ConfigKind and ConfigName are where the configuration lies, ServerKind
 	// where the servers' entries do.
 	ConfigKind, ConfigName, ServerKind string
@@ -154,9 +154,9 @@
 	n.lease.Count = n.peers.VMs
 	n.closing, n.endWaits = context.WithCancel(context.Background())
 	n.gateway = &pass.Gateway{
-		Closing: n.closing,
-		Names:   c.Names, Table: n.table.Load, Servers: n.servers, Book: n.book, Pool: n.pool, Poison: n.poison, Limits: n.limits, Budget: n.budget,
-		Wanted: n.peers.Want, Find: n.peers.Find, Doubt: n.peers.Doubt, Permit: n.peers.Permit, VMs: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
+		ShutdownContext: n.closing,
+		HeaderNames:     c.Names, Table: n.table.Load, Servers: n.servers, Balancer: n.book, Pool: n.pool, Poison: n.poison, RateLimits: n.limits, RetryBudget: n.budget,
+		RecordDemand: n.peers.Want, FindServer: n.peers.Find, ReportSuspect: n.peers.Doubt, RequestPermit: n.peers.Permit, VMCount: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	return n
 }
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -36,9 +36,9 @@
 	now := g.Now()
 	conn, err := g.connect(ctx, now, server, choice.Server.Address, !c.route.Repeatable())
 	if err != nil {
-		g.Book.Unreached(g.Now(), choice.Server)
+		g.Balancer.Unreached(g.Now(), choice.Server)
 		g.noteConnectionRefused(choice.Server, err)
-		g.markSuspect(server)
+		g.reportSuspect(server)
 		g.logFailedTry(c, choice, "connect: "+err.Error())
 		c.excluded = append(c.excluded, server)
 		c.unreachable = append(c.unreachable, server)
@@ -71,7 +71,7 @@
 		return false
 	}
 	c.choice = choice
-	ticket := g.Book.Begin(now, choice, c.work, g.kvCacheTokens(c))
+	ticket := g.Balancer.Begin(now, choice, c.work, g.kvCacheTokens(c))
 	t := &try{g: g, c: c, choice: choice, conn: conn, ticket: ticket}
 	ctx, span := spans.Start(ctx, "attempt", attribute.String("server", server), attribute.Int64("predicted_ms", choice.Predicted.Milliseconds()))
 	defer func() { spans.End(span, t.err) }()
@@ -94,9 +94,9 @@
 	return g.Pool.Dial(ctx, server, address)
 }
 
-func (g *Gateway) markSuspect(server string) {
-	if g.Doubt != nil {
-		g.Doubt(server)
+func (g *Gateway) reportSuspect(server string) {
+	if g.ReportSuspect != nil {
+		g.ReportSuspect(server)
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	t.sent = now
 	var err error
-	t.exchange, err = t.conn.Send(c.request.Method, c.requestHead(g.Names, t.choice.Server.Called(), c.remaining(now)), c.body)
+	t.exchange, err = t.conn.Send(c.request.Method, c.requestHead(g.HeaderNames, t.choice.Server.Called(), c.remaining(now)), c.body)
 	if err != nil {
 		return t.connectionLost(ctx, "send request: "+err.Error(), err)
 	}
@@ -251,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		id := resp.Header.Get(t.g.Names.ID)
+		id := resp.Header.Get(t.g.HeaderNames.AttemptID)
 		if id == t.c.id || id == "" && t.provesNotRun(resp) {
 			t.resp = resp
 			t.updateRateLimit()
@@ -269,7 +269,7 @@
 
 // provesNotRun reports whether a response proves that the server did not execute the request.
 func (t *try) provesNotRun(resp *http.Response) bool {
-	return resp.Header.Get(t.g.Names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
+	return resp.Header.Get(t.g.HeaderNames.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
 func (t *try) notRun() bool { return t.provesNotRun(t.resp) }
@@ -281,7 +281,7 @@
 		// The server does not have the model or adapter, or another server has taken over its
 		// address. The cached state of the server is wrong.
 		t.g.Servers.Unlearn(t.choice.Server.ID, t.c.work.Model, t.c.work.Adapter)
-		t.g.markSuspect(t.choice.Server.ID)
+		t.g.reportSuspect(t.choice.Server.ID)
 	}
 	return t.failNotRun("refused with " + strconv.Itoa(t.resp.StatusCode))
 }
@@ -289,7 +289,7 @@
 // forward forwards the response to the caller.
 func (t *try) forward(ctx context.Context, w http.ResponseWriter) bool {
 	resp := t.resp
-	if resp.Header.Get(headerEncoding) != "" || resp.Header.Get(t.g.Names.Stamp) == "" {
+	if resp.Header.Get(headerEncoding) != "" || resp.Header.Get(t.g.HeaderNames.ServerStamp) == "" {
 		return t.failUncertain(ctx, "response is not from the expected server: status "+strconv.Itoa(resp.StatusCode))
 	}
 	if t.c.route.Kind == "stream" && resp.StatusCode < 300 && strings.HasPrefix(resp.Header.Get(headerType), typeEvents) {
--- a/pass/call.go
+++ b/pass/call.go
@@ -88,9 +88,9 @@
 }
 
 // newCall parses the headers that routing depends on. The request body must have been read.
-func newCall(now time.Time, n *Names, r *http.Request, body []byte, t *routes.Table, route routes.Route) *call {
+func newCall(now time.Time, n *HeaderNames, r *http.Request, body []byte, t *routes.Table, route routes.Route) *call {
 	c := &call{
-		id: r.Header.Get(n.ID), fingerprint: poison.FingerprintOf(r, body), request: r, body: body, route: route, configVersion: t.Version(),
+		id: r.Header.Get(n.AttemptID), fingerprint: poison.FingerprintOf(r, body), request: r, body: body, route: route, configVersion: t.Version(),
 		arrived: now, lastEventID: r.Header.Get(headerLastEvent),
 	}
 	c.service, _ = t.Service(route.Service(xxhash.Sum64String(c.id)))
@@ -105,8 +105,8 @@
 		c.work.Model, c.work.Adapter = n.ParseModel(r.Header.Get(n.Model))
 		c.work.Route, c.work.Size = route.Name, c.service.Engine.Size(c.work.Model)
 		c.work.Slots, c.work.Stride = c.service.Engine.Slots, c.service.Engine.StrideTokens
-		c.work.Prompt, c.work.Output = n.ParseUsage(r.Header.Get(n.Usage))
-		c.work.Parts = n.ParsePrefix(r.Header.Get(n.Prefix))
+		c.work.Prompt, c.work.Output = n.ParseTokenUsage(r.Header.Get(n.TokenUsage))
+		c.work.Parts = n.ParsePromptPrefix(r.Header.Get(n.PromptPrefix))
 	}
 	return c
 }
@@ -120,7 +120,7 @@
 }
 
 // requestTimeout returns the shorter of the caller's deadline and the route's timeout.
-func requestTimeout(n *Names, r *http.Request, route routes.Route) time.Duration {
+func requestTimeout(n *HeaderNames, r *http.Request, route routes.Route) time.Duration {
 	timeout := route.Timeout
 	if ms, err := strconv.ParseInt(r.Header.Get(n.Deadline), 10, 64); err == nil && ms > 0 {
 		if callerTimeout := time.Duration(ms) * time.Millisecond; timeout == 0 || callerTimeout < timeout {
@@ -178,7 +178,7 @@
 func (c *call) serverPriority() int { return min(1+2*c.route.Priority, lowestServerPriority) }
 
 // requestHead returns the head of the request for a server.
-func (c *call) requestHead(n *Names, server string, remaining time.Duration) []byte {
+func (c *call) requestHead(n *HeaderNames, server string, remaining time.Duration) []byte {
 	r := c.request
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.RequestURI, r.Host)
@@ -208,7 +208,7 @@
 
 // overridden reports whether a header of the caller is dropped because the gateway sets it or
 // reserves it.
-func (c *call) overridden(n *Names, name string) bool {
+func (c *call) overridden(n *HeaderNames, name string) bool {
 	switch name {
 	case headerLength, headerLastEvent, n.Deadline, n.ExpectServer, n.Priority:
 		return true
--- a/pass/call_test.go
+++ b/pass/call_test.go
@@ -16,12 +16,12 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-var testNames = &Names{
-	ID: "Attempt", Deadline: "Deadline", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
-	Model: "Model", Usage: "Usage", Prefix: "Prefix", Priority: "Priority", Reserved: []string{"Pin"},
-	ParseModel:  func(s string) (string, string) { m, a, _ := strings.Cut(s, "/"); return m, a },
-	ParseUsage:  func(string) (int, int) { return 10, 20 },
-	ParsePrefix: func(string) []pick.Part { return nil },
+var testNames = &HeaderNames{
+	AttemptID: "Attempt", Deadline: "Deadline", ExpectServer: "Expect-Server", ServerStamp: "Stamp", NotExecuted: "Not-Run",
+	Model: "Model", TokenUsage: "Usage", PromptPrefix: "Prefix", Priority: "Priority", Reserved: []string{"Pin"},
+	ParseModel:        func(s string) (string, string) { m, a, _ := strings.Cut(s, "/"); return m, a },
+	ParseTokenUsage:   func(string) (int, int) { return 10, 20 },
+	ParsePromptPrefix: func(string) []pick.Part { return nil },
 }
 
 var now = time.Unix(1000, 0)
--- a/pass/choose.go
+++ b/pass/choose.go
@@ -46,10 +46,10 @@
 	deadline := start.Add(c.maxServerWait(start))
 	waitCtx, cancel := context.WithTimeout(ctx, deadline.Sub(start))
 	defer cancel()
-	if g.Closing != nil {
+	if g.ShutdownContext != nil {
 		// A VM that shuts down may stop before the request deadline. Requests still waiting for a
 		// server would then lose their connections without a response.
-		defer context.AfterFunc(g.Closing, cancel)()
+		defer context.AfterFunc(g.ShutdownContext, cancel)()
 	}
 	for {
 		now := g.Now()
@@ -131,7 +131,7 @@
 // elsewhere, because the servers that have it are unreachable. If this VM itself is isolated, no
 // replacement is expected, and the call is refused at once so that its caller can use another VM.
 func (g *Gateway) replacementExpected(now time.Time, c *call, serving []backs.Entry) bool {
-	return c.work.Model != "" && len(c.unreachable) > 0 && !g.Book.Isolated(now, serving)
+	return c.work.Model != "" && len(c.unreachable) > 0 && !g.Balancer.Isolated(now, serving)
 }
 
 // isolated reports whether a call reached none of its servers because this VM is partitioned from
@@ -139,7 +139,7 @@
 // ten connection attempts.
 func (g *Gateway) isolated(now time.Time, c *call, serving []backs.Entry) bool {
 	reached := slices.ContainsFunc(c.excluded, func(id string) bool { return !slices.Contains(c.unreachable, id) })
-	return !reached && len(c.unreachable) > 0 && g.Book.Isolated(now, serving)
+	return !reached && len(c.unreachable) > 0 && g.Balancer.Isolated(now, serving)
 }
 
 // pickServer selects one of the serving servers that have what the call needs, are not in backoff
@@ -147,11 +147,11 @@
 func (g *Gateway) pickServer(now time.Time, c *call, serving []backs.Entry) (pick.Choice, bool) {
 	candidates := make([]backs.Entry, 0, len(serving))
 	for _, e := range serving {
-		if g.eligible(c, e) && g.Limits.Backoff(now, e.ID) == 0 {
+		if g.eligible(c, e) && g.RateLimits.Backoff(now, e.ID) == 0 {
 			candidates = append(candidates, e)
 		}
 	}
-	return g.Book.Choose(now, candidates, c.work, g.kvCacheTokens(c), c.excluded)
+	return g.Balancer.Choose(now, candidates, c.work, g.kvCacheTokens(c), c.excluded)
 }
 
 // eligible reports whether a server has what a call needs, and the call may be sent to another
@@ -173,7 +173,7 @@
 // awaitServer waits until the controller has found a server for the model, or the server list
 // changes.
 func (g *Gateway) awaitServer(ctx context.Context, c *call, changed <-chan struct{}) error {
-	if c.work.Model == "" || g.Find == nil {
+	if c.work.Model == "" || g.FindServer == nil {
 		select {
 		case <-changed:
 			return nil
@@ -185,7 +185,7 @@
 	findCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		_, err := g.Find(findCtx, c.service.Name, c.work.Model, c.work.Adapter)
+		_, err := g.FindServer(findCtx, c.service.Name, c.work.Model, c.work.Adapter)
 		found <- err
 	}()
 	select {
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -46,38 +46,38 @@
 }
 
 // Gateway forwards requests to backend servers. All fields must be set, except those described as
-// optional; Wanted and Find may be nil if no service runs models.
+// optional; RecordDemand and FindServer may be nil if no service runs models.
 type Gateway struct {
-	Names *Names
+	HeaderNames *HeaderNames
 	// Table returns the current configuration, or nil before the first one is loaded.
-	Table   func() *routes.Table
-	Servers *backs.View
-	Book    *pick.Book
-	Pool    *conns.Pool
+	Table    func() *routes.Table
+	Servers  *backs.View
+	Balancer *pick.Book
+	Pool     *conns.Pool
 	// Poison tracks server crashes by request and blocks requests that cause them.
 	Poison *poison.Tracker
-	// Limits holds the request rate limits that servers have announced.
-	Limits *limit.Limits
-	// Budget returns the retry budget of a service.
-	Budget func(service string) *retry.Window
-	// Wanted records the demand for a model: one request, and its cost in server time.
-	Wanted func(service string, w pick.Work, cost time.Duration)
-	// Find requests a server for a model and adapter from the controller, waits until the server
+	// RateLimits holds the request rate limits that servers have announced.
+	RateLimits *limit.Limits
+	// RetryBudget returns the retry budget of a service.
+	RetryBudget func(service string) *retry.Window
+	// RecordDemand records the demand for a model: one request, and its cost in server time.
+	RecordDemand func(service string, w pick.Work, cost time.Duration)
+	// FindServer requests a server for a model and adapter from the controller, waits until the server
 	// has them, and returns its ID.
-	Find func(ctx context.Context, service, model, adapter string) (string, error)
-	// Permit requests a permit for one request to a server with a rate limit. It returns 0 if the
+	FindServer func(ctx context.Context, service, model, adapter string) (string, error)
+	// RequestPermit requests a permit for one request to a server with a rate limit. It returns 0 if the
 	// permit was granted, and otherwise how long to wait before the next attempt.
-	Permit func(ctx context.Context, server string) time.Duration
-	// Closing ends when the VM starts to shut down: from then on, requests without a server are
+	RequestPermit func(ctx context.Context, server string) time.Duration
+	// ShutdownContext ends when the VM starts to shut down: from then on, requests without a server are
 	// refused. Optional.
-	Closing context.Context
-	// VMs returns how many VMs send requests to the same servers. Optional; the default is 1.
-	VMs func() int
-	// Doubt reports that a server is unreachable or does not hold the model it was listed with.
+	ShutdownContext context.Context
+	// VMCount returns how many VMCount send requests to the same servers. Optional; the default is 1.
+	VMCount func() int
+	// ReportSuspect reports that a server is unreachable or does not hold the model it was listed with.
 	// Optional.
-	Doubt func(server string)
-	Now   func() time.Time
-	Log   zerolog.Logger
+	ReportSuspect func(server string)
+	Now           func() time.Time
+	Log           zerolog.Logger
 	// Meter receives counters and durations.
 	Meter *meter.Set
 
@@ -126,7 +126,7 @@
 		g.rejectBody(w, r, err)
 		return
 	}
-	c := newCall(now, g.Names, r, body, table, route)
+	c := newCall(now, g.HeaderNames, r, body, table, route)
 	g.serveCall(w, c)
 	g.Meter.Time("pass.request", g.Now().Sub(c.arrived))
 	g.Meter.Count("pass.status."+strconv.Itoa(c.status), 1)
@@ -139,14 +139,14 @@
 		return
 	}
 	// The caller disconnected while sending the request, so no response can be sent.
-	g.Log.Info().Str("request", r.Header.Get(g.Names.ID)).Err(err).Msg("reading the request body failed")
+	g.Log.Info().Str("request", r.Header.Get(g.HeaderNames.AttemptID)).Err(err).Msg("reading the request body failed")
 	panic(http.ErrAbortHandler)
 }
 
 // reject responds to a request that has no route or can not be read.
 func (g *Gateway) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	g.Meter.Count("pass.status."+strconv.Itoa(status), 1)
-	g.Log.Info().Str("request", r.Header.Get(g.Names.ID)).Str("host", r.Host).Str("path", r.URL.Path).
+	g.Log.Info().Str("request", r.Header.Get(g.HeaderNames.AttemptID)).Str("host", r.Host).Str("path", r.URL.Path).
 		Int("status", status).Str("reason", reason).Msg("request rejected")
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set(headerRetryAfter, g.retryAfter(0))
@@ -181,10 +181,10 @@
 		g.fail(ctx, w, c)
 		return
 	}
-	c.retryBudget = g.Budget(c.service.Name)
+	c.retryBudget = g.RetryBudget(c.service.Name)
 	c.retryBudget.Request(c.arrived)
-	if g.Wanted != nil && c.work.Model != "" {
-		g.Wanted(c.service.Name, c.work, g.Book.Cost(c.work))
+	if g.RecordDemand != nil && c.work.Model != "" {
+		g.RecordDemand(c.service.Name, c.work, g.Balancer.Cost(c.work))
 	}
 	defer g.finishCall(c)
 	for {
@@ -264,7 +264,7 @@
 		c.status = http.StatusGatewayTimeout
 	}
 	if c.id != "" {
-		w.Header().Set(g.Names.ID, c.id)
+		w.Header().Set(g.HeaderNames.AttemptID, c.id)
 	}
 	text := errorBodies[c.status]
 	if c.blocked && !c.mayHaveRun {
@@ -275,7 +275,7 @@
 
 // stopping reports whether this VM is shutting down. It then closes the callers' connections
 // itself.
-func (g *Gateway) stopping() bool { return g.Closing != nil && g.Closing.Err() != nil }
+func (g *Gateway) stopping() bool { return g.ShutdownContext != nil && g.ShutdownContext.Err() != nil }
 
 // errorBodies are the response bodies sent to callers. The reason, which contains addresses, is
 // only logged.
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -53,14 +53,14 @@
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
 	budget := &retry.Window{}
 	return &Gateway{
-		Poison: &poison.Tracker{}, Limits: &limit.Limits{}, Names: testNames, Table: func() *routes.Table { return table }, Servers: view, Book: &pick.Book{Domain: "d"},
+		Poison: &poison.Tracker{}, RateLimits: &limit.Limits{}, HeaderNames: testNames, Table: func() *routes.Table { return table }, Servers: view, Balancer: &pick.Book{Domain: "d"},
 		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
 				return nil, errConnectionRefused
 			}
 			return conns.Dial(ctx, address)
 		}},
-		Budget: func(string) *retry.Window { return budget }, Permit: func(context.Context, string) time.Duration { return 0 }, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
+		RetryBudget: func(string) *retry.Window { return budget }, RequestPermit: func(context.Context, string) time.Duration { return 0 }, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 	}
 }
 
@@ -102,7 +102,7 @@
 	g := testGateway(server("a", "d", "dead:1"))
 	address := startBackend(t, http.StatusOK)
 	finds := 0
-	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
+	g.FindServer = func(ctx context.Context, _, _, _ string) (string, error) {
 		finds++
 		if finds < 50 {
 			g.Servers.Put(clock.Now(), server("a", "d", "dead:1"))
@@ -122,8 +122,8 @@
 func TestIsolatedVMRefusesImmediately(t *testing.T) {
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"))
 	var suspects []string
-	g.Doubt = func(server string) { suspects = append(suspects, server) }
-	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
+	g.ReportSuspect = func(server string) { suspects = append(suspects, server) }
+	g.FindServer = func(ctx context.Context, _, _, _ string) (string, error) {
 		<-ctx.Done()
 		return "", ctx.Err()
 	}
@@ -139,7 +139,7 @@
 	third := backs.Entry{ID: "c", Service: "s", Domain: "third", Address: "dead:3", Slots: 8}
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"), third)
 	address := startBackend(t, http.StatusOK)
-	g.Find = func(context.Context, string, string, string) (string, error) {
+	g.FindServer = func(context.Context, string, string, string) (string, error) {
 		g.Servers.Put(clock.Now(), server("d", "third", address))
 		return "d", nil
 	}
@@ -164,9 +164,9 @@
 // must be refused when the VM begins to shut down, so that its caller can use another VM.
 func TestShutdownRefusesWaitingRequest(t *testing.T) {
 	g := testGateway()
-	closing, stop := context.WithCancel(t.Context())
-	g.Closing = closing
-	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
+	shutdown, stop := context.WithCancel(t.Context())
+	g.ShutdownContext = shutdown
+	g.FindServer = func(ctx context.Context, _, _, _ string) (string, error) {
 		stop()
 		<-ctx.Done()
 		return "", ctx.Err()
@@ -198,7 +198,7 @@
 	engine := &routes.Engine{Models: map[string]routes.Model{"m": {Name: "m", Load: loadTime}}}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	g.Table = func() *routes.Table { return table }
-	g.Find = func(ctx context.Context, _, _, _ string) (string, error) {
+	g.FindServer = func(ctx context.Context, _, _, _ string) (string, error) {
 		<-ctx.Done()
 		return "", ctx.Err()
 	}
--- a/pass/hold.go
+++ b/pass/hold.go
@@ -18,8 +18,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	admission := pick.Room{VMs: 1, Objective: c.work.Objective, Urgent: c.topPriority}
-	if g.VMs != nil {
-		admission.VMs = g.VMs()
+	if g.VMCount != nil {
+		admission.VMs = g.VMCount()
 	}
 	if c.admissionWaitStart.IsZero() {
 		return admission.Admit(choice, 0)
--- a/pass/limit.go
+++ b/pass/limit.go
@@ -13,23 +13,23 @@
 // updateRateLimit updates the known rate limit of the server from its response headers. An invalid
 // value is logged and leaves the limit unchanged.
 func (t *try) updateRateLimit() {
-	n, server := t.g.Names, t.choice.Server.ID
-	if t.resp.Header.Get(n.Stamp) == "" && t.resp.Header.Get(n.NotRun) == "" {
+	n, server := t.g.HeaderNames, t.choice.Server.ID
+	if t.resp.Header.Get(n.ServerStamp) == "" && t.resp.Header.Get(n.NotExecuted) == "" {
 		return // The response may come from another server at the same address.
 	}
-	value := t.resp.Header.Get(n.Limit)
+	value := t.resp.Header.Get(n.RateLimit)
 	if value == "" {
-		if t.g.Limits.Update(t.g.Now(), t.sent, server, 0, false) {
+		if t.g.RateLimits.Update(t.g.Now(), t.sent, server, 0, false) {
 			t.g.Log.Info().Str("server", server).Msg("server rate limit removed")
 		}
 		return
 	}
-	rate, ok := n.ParseLimit(value)
+	rate, ok := n.ParseRateLimit(value)
 	if !ok {
 		t.g.Log.Warn().Str("request", t.c.id).Str("server", server).Str("limit", value).Msg("invalid server rate limit")
 		return
 	}
-	if t.g.Limits.Update(t.g.Now(), t.sent, server, rate, true) {
+	if t.g.RateLimits.Update(t.g.Now(), t.sent, server, rate, true) {
 		t.g.Log.Info().Str("server", server).Float64("rate", rate).Msg("server rate limit changed")
 	}
 }
@@ -48,12 +48,12 @@
 // acquirePermit reports whether a call may be sent to the server chosen for it. If the server has a
 // rate limit, it requests a permit, and a refusal sets the server's backoff.
 func (g *Gateway) acquirePermit(ctx context.Context, server string) bool {
-	if _, limited := g.Limits.Rate(server); !limited {
+	if _, limited := g.RateLimits.Rate(server); !limited {
 		return true
 	}
-	g.Limits.SetBackoff(g.Now(), server, permitCallBackoff)
-	wait := g.Permit(ctx, server)
-	g.Limits.SetBackoff(g.Now(), server, wait)
+	g.RateLimits.SetBackoff(g.Now(), server, permitCallBackoff)
+	wait := g.RequestPermit(ctx, server)
+	g.RateLimits.SetBackoff(g.Now(), server, wait)
 	if wait > 0 {
 		g.Meter.Count("pass.permits_refused", 1)
 	}
@@ -85,7 +85,7 @@
 		if !g.eligible(c, e) || slices.Contains(c.excluded, e.ID) {
 			continue
 		}
-		if backoff := g.Limits.Backoff(now, e.ID); backoff > 0 && (server == "" || backoff < wait) {
+		if backoff := g.RateLimits.Backoff(now, e.ID); backoff > 0 && (server == "" || backoff < wait) {
 			server, wait = e.ID, backoff
 		}
 	}
@@ -95,10 +95,10 @@
 // addPermitWaiter registers a request that waits for a permit. It reports false if the waiting
 // requests will use this VM's share of the permits in the remaining time.
 func (g *Gateway) addPermitWaiter(remaining time.Duration, server string) bool {
-	rate, _ := g.Limits.Rate(server)
+	rate, _ := g.RateLimits.Rate(server)
 	vms := 1
-	if g.VMs != nil {
-		vms = g.VMs()
+	if g.VMCount != nil {
+		vms = g.VMCount()
 	}
 	maxWaiters := max(1, int(rate*remaining.Seconds()/float64(max(vms, 1))))
 	g.mu.Lock()
--- a/pass/limit_test.go
+++ b/pass/limit_test.go
@@ -25,12 +25,12 @@
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s"}}, routes.Limits{})
 	g.Table = func() *routes.Table { return table }
 	calls := 0
-	g.Permit = func(context.Context, string) time.Duration {
+	g.RequestPermit = func(context.Context, string) time.Duration {
 		calls++
 		return wait + time.Second
 	}
 	now := clock.Now()
-	g.Limits.Update(now, now, "a", 0.5, true)
+	g.RateLimits.Update(now, now, "a", 0.5, true)
 	for range 3 {
 		got := sendRequest(g)
 		require.Equal(t, http.StatusServiceUnavailable, got.Code)
--- a/pass/names.go
+++ b/pass/names.go
@@ -9,42 +9,42 @@
 	"github.com/hibiscuscart/hibiscuscart/pick"
 )
 
-// Names holds the header names of a deployment and the parsers of their values. The platform
+// HeaderNames holds the header names of a deployment and the parsers of their values. The platform
 // adapter of the deployment sets it.
-type Names struct {
-	// ID identifies one attempt of a caller; servers echo it.
-	ID string
+type HeaderNames struct {
+	// AttemptID identifies one attempt of a caller; servers echo it.
+	AttemptID string
 	// Deadline is how many milliseconds the caller waits, or the server may take.
 	Deadline string
 	// ExpectServer is the server that the request is for; any other server refuses it.
 	ExpectServer string
-	// Stamp proves that a response was sent by the server itself.
-	Stamp string
-	// NotRun marks a response as proof that the server did not execute the request.
-	NotRun string
-	// Load is the server's running requests, waiting requests and slots.
-	Load string
-	// Limit is the maximum number of requests per second that the server accepts from all VMs
+	// ServerStamp proves that a response was sent by the server itself.
+	ServerStamp string
+	// NotExecuted marks a response as proof that the server did not execute the request.
+	NotExecuted string
+	// ServerLoad is the server's running requests, waiting requests and slots.
+	ServerLoad string
+	// RateLimit is the maximum number of requests per second that the server accepts from all VMCount
 	// together. It applies for as long as the server's responses contain it.
-	Limit string
+	RateLimit string
 	// Model is the model, followed by a slash and the adapter if there is one.
 	Model string
-	// Usage is the number of prompt tokens and the maximum number of output tokens.
-	Usage string
-	// Prefix lists the parts of the prompt.
-	Prefix string
+	// TokenUsage is the number of prompt tokens and the maximum number of output tokens.
+	TokenUsage string
+	// PromptPrefix lists the parts of the prompt.
+	PromptPrefix string
 	// Priority is the request's priority at the server, from 0 to 9; 0 is the highest.
 	Priority string
 	// Reserved lists headers that only the gateway may send to servers.
 	Reserved []string
 
-	// ParseUsage and ParsePrefix parse the header values, and return zeros for an invalid value.
-	ParseUsage  func(string) (prompt, output int)
-	ParsePrefix func(string) []pick.Part
+	// ParseTokenUsage and ParsePromptPrefix parse the header values, and return zeros for an invalid value.
+	ParseTokenUsage   func(string) (prompt, output int)
+	ParsePromptPrefix func(string) []pick.Part
 	// ParseModel splits a header value into the model and the adapter.
 	ParseModel func(string) (model, adapter string)
-	// ParseLimit parses a rate in requests per second and reports whether it is valid.
-	ParseLimit func(string) (rate float64, ok bool)
+	// ParseRateLimit parses a rate in requests per second and reports whether it is valid.
+	ParseRateLimit func(string) (rate float64, ok bool)
 }
 
 // HTTP headers and values that this package sets or reads.
--- a/pass/silence_test.go
+++ b/pass/silence_test.go
@@ -79,7 +79,7 @@
 			resume, pausedAt := make(chan struct{}), make(chan string, 1)
 			g := testGateway(server("a", "d", startPausingBackend(t, "a", pausedAt, resume)))
 			useResumableRoute(g)
-			g.Budget("s").Limit(0, tc.retries, 10*time.Second)
+			g.RetryBudget("s").Limit(0, tc.retries, 10*time.Second)
 			go func() {
 				defer close(resume)
 				<-pausedAt
@@ -127,9 +127,9 @@
 			useResumableRoute(g)
 			var log bytes.Buffer
 			g.Log = zerolog.New(&log)
-			closing, stop := context.WithCancel(t.Context())
+			shutdown, stop := context.WithCancel(t.Context())
 			defer stop()
-			g.Closing = closing
+			g.ShutdownContext = shutdown
 			ctx, disconnect := context.WithCancel(t.Context())
 			w := &firstWriteRecorder{ResponseRecorder: httptest.NewRecorder(), firstWrite: make(chan struct{})}
 			r := httptest.NewRequest(http.MethodGet, "http://h/x", nil).WithContext(ctx)
@@ -163,8 +163,8 @@
 	overloaded := server("b", "d", startPausingBackend(t, "b", nil, nil))
 	g := testGateway(server("a", "d", strings.TrimPrefix(s.URL, "http://")), overloaded)
 	useResumableRoute(g)
-	g.Budget("s").Limit(0, 10, 10*time.Second)
-	g.Book.Begin(clock.Now(), pick.Choice{Server: overloaded, Reading: time.Hour}, pick.Work{Model: "m"}, 0)
+	g.RetryBudget("s").Limit(0, 10, 10*time.Second)
+	g.Balancer.Begin(clock.Now(), pick.Choice{Server: overloaded, Reading: time.Hour}, pick.Work{Model: "m"}, 0)
 	got := sendRequest(g)
 	require.Equal(t, http.StatusOK, got.Code)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: b\n\n", got.Body.String())
