--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,6 +1,5 @@
-// Package retry bounds how often requests are tried again: a budget that keeps
-// retries a fixed share of the requests, and a back-off with jitter. It does no
-// I/O and reads no clock.
+// Package retry limits retries: by a budget that keeps them to a fixed share of the requests, and
+// by an exponential backoff with jitter. It performs no I/O and reads no clock.
 package retry
 
 import (
@@ -9,16 +8,15 @@
 	"time"
 )
 
-const defaultReserve = 10
+const defaultReserveRetries = 10
 
-// Budget lets retries be at most a share of the requests, over a reserve for
-// when there are few. Without it every request that meets an overloaded server
-// comes back, and the overload feeds itself. The zero value allows the reserve
-// only. It is safe for use by several goroutines.
+// Budget limits retries to a share of the requests, plus a reserve for times with few requests.
+// Without it, every request refused by an overloaded server is retried, which increases the
+// overload. The zero value allows only the reserve. It is safe for concurrent use.
 type Budget struct {
 	// Share is how many retries each request earns.
 	Share float64
-	// Reserve bounds what can be saved up; 0 takes 10.
+	// Reserve bounds the retries that can accumulate; 0 means 10.
 	Reserve float64
 
 	mu     sync.Mutex
@@ -30,10 +28,10 @@
 	if b.Reserve > 0 {
 		return b.Reserve
 	}
-	return defaultReserve
+	return defaultReserveRetries
 }
 
-// Request earns the share of one request.
+// Request records a request, which earns Share retries.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +41,7 @@
 	}
 }
 
-// Allow takes one retry from the budget and reports whether there was one.
+// Allow consumes one retry and reports whether one was available.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,25 +52,25 @@
 	return true
 }
 
-// Backoff bounds the wait between tries.
+// Backoff is an exponential backoff with jitter.
 type Backoff struct {
 	First time.Duration
 	Max   time.Duration
 }
 
-// Wait returns how long to wait before try n, from 1: a random time up to an
-// exponentially growing bound ("full jitter"), so that requests which failed
-// together do not come back together.
-func (b Backoff) Wait(rng *rand.Rand, n int) time.Duration {
+// Wait returns the delay before an attempt, counted from 1. The delay is random up to an
+// exponentially growing limit ("full jitter"), so that requests that failed together are not
+// retried together.
+func (b Backoff) Wait(rng *rand.Rand, attempt int) time.Duration {
 	if b.First <= 0 {
 		return 0
 	}
-	bound := b.First << min(max(n-1, 0), 16)
-	if bound <= 0 || bound > b.Max {
-		bound = b.Max
+	limit := b.First << min(max(attempt-1, 0), 16)
+	if limit <= 0 || limit > b.Max {
+		limit = b.Max
 	}
-	if bound <= 0 {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(rng.Int64N(int64(bound)) + 1)
+	return time.Duration(rng.Int64N(int64(limit)) + 1)
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -9,10 +9,10 @@
 	"github.com/hibiscuscart/hibiscuscart/retry"
 )
 
-// Requests come steadily and none fails for a while; then all fail. A budget
-// that had saved up would let twice the bound through in one span, and the
-// servers that fail would get them all.
-func TestWindowSavesNothingUp(t *testing.T) {
+// Requests arrive at a steady rate without failures, then all of them fail. Guards against
+// accumulated retries, which would let twice the limit through in one window, all of them to the
+// failing servers.
+func TestWindowAccumulatesNoRetries(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var w retry.Window
 	w.Limit(0.2, 10, 10*time.Second)
@@ -31,7 +31,7 @@
 				n++
 			}
 		}
-		require.LessOrEqual(t, n, 50, "in the span from %v", from.Sub(start))
+		require.LessOrEqual(t, n, 50, "in the window from %v", from.Sub(start))
 	}
 	require.Greater(t, len(allowed), 100)
 }
@@ -42,7 +42,7 @@
 	require.False(t, w.Allow(time.Unix(1, 0)))
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpires(t *testing.T) {
 	var w retry.Window
 	w.Limit(0, 1, 10*time.Second)
 	now := time.Unix(1000, 0)
