--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,7 +1,6 @@
-// Package routes holds what the operators configure for requests that are
-// passed on unchanged: which service a host and path lead to, how often and how
-// long a request may be tried, and the models of each service. A Table is
-// immutable; a new version replaces it whole.
+// Package routes holds the operators' configuration for requests that are forwarded unchanged: the
+// service of each host and path, how often and how long a request may be tried, and the models of
+// each service. A Table is immutable; a new version replaces it as a whole.
 package routes
 
 import (
@@ -11,63 +10,65 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is how often a request of a route may be executed.
 type Kind string
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// Idempotent requests may run any number of times.
+	// Idempotent requests may be executed any number of times.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once.
+	// Once requests are executed at most once.
 	Once Kind = "once"
-	// Stream requests are answered by server-sent events. They run at most
-	// once unless the route is resumable.
+	// Stream requests are answered with server-sent events. They are executed at most once unless
+	// the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Target is a service and its share of a route's requests.
+// Target is a service and its weight among the targets of a route.
 type Target struct {
 	Service string
 	// Weight is relative to the other targets of the route.
 	Weight int
 }
 
-// Route is one rule. It is a plain record: the adapter of a deployment fills it.
+// Route is one routing rule. It has no encoding of its own; the platform adapter of a deployment
+// fills it.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is how long a request may be kept waiting.
+	// Timeout bounds the time for the whole request.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event, within which
-	// it is worth most.
+	// Objective is the latency objective: the time to the response, or to the first event of a
+	// stream.
 	Objective time.Duration
-	// Gap is the longest pause between two events of a timely stream.
+	// Gap is the maximum time between two events of a stream that meets its objective.
 	Gap time.Duration
-	// Leave is how long callers wait for an event, the first one too, before they give
-	// the stream up; 0 for as long as for the whole answer.
+	// Leave is how long callers wait for each event, including the first one, before they abort the
+	// stream; 0 if they wait for the whole response.
 	Leave time.Duration
-	// Priority is the rank among routes; 0 is first.
+	// Priority is the priority among routes; 0 is the highest.
 	Priority int
-	// Attempts bounds the servers one request may be sent to.
+	// Attempts bounds the number of servers that one request may be sent to.
 	Attempts int
-	// Affinity says that requests share prompt prefixes worth keeping together.
+	// Affinity is set if requests share prompt prefixes, so that sending them to the same server
+	// saves work.
 	Affinity bool
-	// Resumable streams may go on at another server after their last event.
+	// Resumable streams may continue at another server after their last event.
 	Resumable bool
 	Targets   []Target
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have been executed may be sent again.
 func (r Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the target for a request, by a number that is uniform over
-// requests. It returns "" when the route has no target.
-func (r Route) Service(draw uint64) string {
+// Service returns the target service of a request, selected by weight with a number that is
+// uniformly distributed over requests. It returns "" if the route has no target.
+func (r Route) Service(random uint64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -78,52 +79,52 @@
 		}
 		return ""
 	}
-	n := int(draw % uint64(total))
+	remaining := int(random % uint64(total))
 	for _, t := range r.Targets {
-		if n -= t.Weight; n < 0 {
+		if remaining -= t.Weight; remaining < 0 {
 			return t.Service
 		}
 	}
 	return ""
 }
 
-// Model is a set of weights that a service's servers can load.
+// Model is a set of weights that the servers of a service can load.
 type Model struct {
 	Name string
-	// MB is the size of the weights in megabytes, as operators give it.
+	// MB is the size of the weights in megabytes, as configured by the operators.
 	MB float64
-	// Load, Warm and Disk are the times to load from the weight store, from a
-	// copy in the server's memory and from one on its disk.
+	// Load, Warm and Disk are the load times from the weight store, from a copy in the server's
+	// memory and from a copy on its disk.
 	Load, Warm, Disk time.Duration
-	// Adapters is how many adapters the model has.
+	// Adapters is the number of adapters of the model.
 	Adapters  int
 	AdapterMB float64
 }
 
 // Engine describes the servers of a service that runs models.
 type Engine struct {
-	// Slots is how many requests a server batches.
+	// Slots is how many requests a server executes in one batch.
 	Slots int
-	// KVTokens is the memory for prompts and answers, in tokens.
+	// KVTokens is the capacity for prompts and responses, in tokens.
 	KVTokens int
-	// StrideTokens is how many tokens an event of a stream holds.
+	// StrideTokens is the number of tokens in one event of a stream.
 	StrideTokens int
-	// MemoryMB is for weights and adapters together.
+	// MemoryMB is the memory for weights and adapters together.
 	MemoryMB     float64
 	AdapterSlots int
-	// HostMB and DiskMB are a server's room for copies of weights that load without the
-	// weight store, in its memory and on its disk; 0 when not known.
+	// HostMB and DiskMB are a server's capacity, in its memory and on its disk, for copies of
+	// weights that load without the weight store; 0 if unknown.
 	HostMB, DiskMB float64
-	// LoadsPerSecond bounds loads from the weight store over all servers.
+	// LoadsPerSecond limits the loads from the weight store over all servers.
 	LoadsPerSecond float64
-	// EventWatchers is how many waiting cache-event calls a server keeps.
+	// EventWatchers is how many open calls for cache events a server keeps.
 	EventWatchers int
 	Models        map[string]Model
 	// LargestMB is the size of the largest model.
 	LargestMB float64
 }
 
-// Size returns a model's size against the largest, 0 for one that is unknown.
+// Size returns the size of a model relative to the largest, or 0 if the model is unknown.
 func (e *Engine) Size(model string) float64 {
 	if e.LargestMB <= 0 {
 		return 0
@@ -135,13 +136,13 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections a server takes from all VMs together.
+	// MaxConns is how many connections a server accepts from all VMs together.
 	MaxConns int
 	// Engine is nil for services that run no models.
 	Engine *Engine
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -149,27 +150,27 @@
 
 // Table is one version of the whole configuration.
 type Table struct {
-	version  int
-	byHost   map[string][]Route
-	services map[string]Service
-	// first is the highest priority of the routes to each service.
-	first  map[string]int
-	limits Limits
+	version      int
+	routesByHost map[string][]Route
+	services     map[string]Service
+	// topPriority is the highest priority of the routes to each service.
+	topPriority map[string]int
+	limits      Limits
 }
 
-// NewTable builds a table. Routes may come in any order.
-func NewTable(version int, all []Route, services []Service, limits Limits) *Table {
-	t := &Table{version: version, byHost: make(map[string][]Route), services: make(map[string]Service), first: make(map[string]int), limits: limits}
-	for _, r := range all {
+// NewTable builds a table. Routes may be given in any order.
+func NewTable(version int, routes []Route, services []Service, limits Limits) *Table {
+	t := &Table{version: version, routesByHost: make(map[string][]Route), services: make(map[string]Service), topPriority: make(map[string]int), limits: limits}
+	for _, r := range routes {
 		host := strings.ToLower(r.Host)
-		t.byHost[host] = append(t.byHost[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 		for _, target := range r.Targets {
-			if p, ok := t.first[target.Service]; !ok || r.Priority < p {
-				t.first[target.Service] = r.Priority
+			if priority, ok := t.topPriority[target.Service]; !ok || r.Priority < priority {
+				t.topPriority[target.Service] = r.Priority
 			}
 		}
 	}
-	for _, list := range t.byHost {
+	for _, list := range t.routesByHost {
 		slices.SortStableFunc(list, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for _, s := range services {
@@ -178,10 +179,10 @@
 	return t
 }
 
-// Version returns the operators' version number.
+// Version returns the version number set by the operators.
 func (t *Table) Version() int { return t.version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Service returns a service by name.
@@ -191,7 +192,7 @@
 }
 
 // First returns the highest priority of the routes to a service.
-func (t *Table) First(service string) int { return t.first[service] }
+func (t *Table) First(service string) int { return t.topPriority[service] }
 
 // Services returns all services in no particular order.
 func (t *Table) Services() []Service {
@@ -202,11 +203,11 @@
 	return list
 }
 
-// Match returns the route of a host and path: of the host's routes, the one
-// with the longest prefix that begins the path.
+// Match returns the route for a host and path: among the routes of the host, the one with the
+// longest prefix of the path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
-	for _, r := range t.byHost[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -8,19 +8,19 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	table := routes.NewTable(1, []routes.Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		{Name: "other", Host: "b.example", Prefix: "/"},
 	}, nil, routes.Limits{})
 	tests := map[string]struct{ host, path, want string }{
-		"longest":      {"a.example", "/x/y/z", "long"},
-		"shorter":      {"a.example", "/x/z", "short"},
+		"long prefix":  {"a.example", "/x/y/z", "long"},
+		"short prefix": {"a.example", "/x/z", "short"},
 		"no slash":     {"a.example", "/xy", ""},
 		"port ignored": {"A.example:80", "/x/", "short"},
 		"root":         {"b.example", "/anything", "other"},
-		"no host":      {"c.example", "/x/", ""},
+		"unknown host": {"c.example", "/x/", ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -31,11 +31,11 @@
 	}
 }
 
-func TestServiceFollowsWeights(t *testing.T) {
+func TestTargetWeights(t *testing.T) {
 	r := routes.Route{Targets: []routes.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
-	for draw := range uint64(1000) {
-		count[r.Service(draw)]++
+	for random := range uint64(1000) {
+		count[r.Service(random)]++
 	}
 	require.Equal(t, map[string]int{"a": 900, "b": 100}, count)
 	require.Empty(t, routes.Route{}.Service(3))
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestFirstPriorityOfAService(t *testing.T) {
+func TestTopPriority(t *testing.T) {
 	to := func(priority int, services ...string) routes.Route {
 		r := routes.Route{Priority: priority}
 		for _, s := range services {
