--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -125,7 +125,7 @@
 		choosePolicy: func(c []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool) {
 			return policy.Choose(rng, c, prefix, tried)
 		},
-		budget: &retry.Budget{Share: d.config.RetryShare}, backoff: retry.Backoff{First: retryFirst, Max: retryMax},
+		budget: &retry.Budget{RetriesPerRequest: d.config.RetryShare}, backoff: retry.Backoff{Initial: retryFirst, Max: retryMax},
 		engines: d.engines, plain: d.plain, now: d.now, meter: d.meter, usage: d.usage,
 		rng: rng,
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -65,7 +65,7 @@
 }
 
 func (s *relayStage) run(ctx context.Context, x *Exchange, _ Next) error {
-	s.budget.Request()
+	s.budget.RecordRequest()
 	var asm relay.Assembly
 	var tried []string
 	for try := 1; ; try++ {
--- a/node/node.go
+++ b/node/node.go
@@ -108,7 +108,7 @@
 	contact map[string]time.Time
 	// failed counts the calls in a row that the store did not answer, by kind.
 	failed  map[string]int
-	budgets map[string]*retry.Window
+	budgets map[string]*retry.SlidingWindow
 
 	stopping atomic.Bool
 	// closing is done when requests that wait for a server are given up.
@@ -127,7 +127,7 @@
 		config: c, now: c.Now, meter: meter.New(), servers: &backs.View{Heartbeat: s.Duration("servers", "heartbeat")}, pool: &conns.Pool{}, limits: &limit.Limits{},
 		log:     c.Log.With().Str("vm", s.Text("vm", "name")).Logger(),
 		book:    &pick.Book{Domain: s.Text("vm", "failure_domain"), Seed: xxhash.Sum64String(s.Text("vm", "name"))},
-		budgets: make(map[string]*retry.Window), configured: make(chan struct{}), contact: make(map[string]time.Time),
+		budgets: make(map[string]*retry.SlidingWindow), configured: make(chan struct{}), contact: make(map[string]time.Time),
 		failed: make(map[string]int),
 	}
 	n.active.Store(s)
@@ -171,13 +171,13 @@
 const weakest = 1.14
 
 // budget returns the retry budget of a service.
-func (n *Node) budget(service string) *retry.Window {
+func (n *Node) budget(service string) *retry.SlidingWindow {
 	vms := n.peers.VMs()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := n.budgets[service]
 	if b == nil {
-		b = &retry.Window{}
+		b = &retry.SlidingWindow{}
 		n.limit(b, vms)
 		n.budgets[service] = b
 	}
@@ -187,9 +187,9 @@
 // limit gives a budget this VM's part of what all may retry. The number of VMs
 // is asked of the peers before n.mu is taken: the peers ask this node for its
 // configuration under their own lock.
-func (n *Node) limit(b *retry.Window, vms int) {
+func (n *Node) limit(b *retry.SlidingWindow, vms int) {
 	s := n.settings()
-	b.Limit(budgetShare*s.Float("retries", "share"), budgetShare*s.Float("retries", "extra")/float64(vms), s.Duration("retries", "window"))
+	b.SetLimit(budgetShare*s.Float("retries", "share"), budgetShare*s.Float("retries", "extra")/float64(vms), s.Duration("retries", "window"))
 }
 
 // Start listens and begins to serve.
--- a/pass/call.go
+++ b/pass/call.go
@@ -49,7 +49,7 @@
 	mayHaveRun bool
 	// retryBudget limits the retries. budgetExhausted is set when it allowed no more, and
 	// retryReserved when the next send is already counted.
-	retryBudget     *retry.Window
+	retryBudget     *retry.SlidingWindow
 	budgetExhausted bool
 	retryReserved   bool
 	// choice is the server selection of the last send. timeToFirstEvent is measured from the
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -59,7 +59,7 @@
 	// RateLimits holds the request rate limits that servers have announced.
 	RateLimits *limit.Limits
 	// RetryBudget returns the retry budget of a service.
-	RetryBudget func(service string) *retry.Window
+	RetryBudget func(service string) *retry.SlidingWindow
 	// RecordDemand records the demand for a model: one request, and its cost in server time.
 	RecordDemand func(service string, w pick.Work, cost time.Duration)
 	// FindServer requests a server for a model and adapter from the controller, waits until the server
@@ -182,7 +182,7 @@
 		return
 	}
 	c.retryBudget = g.RetryBudget(c.service.Name)
-	c.retryBudget.Request(c.arrived)
+	c.retryBudget.RecordRequest(c.arrived)
 	if g.RecordDemand != nil && c.work.Model != "" {
 		g.RecordDemand(c.service.Name, c.work, g.Balancer.Cost(c.work))
 	}
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -51,7 +51,7 @@
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
-	budget := &retry.Window{}
+	budget := &retry.SlidingWindow{}
 	return &Gateway{
 		Poison: &poison.Tracker{}, RateLimits: &limit.Limits{}, HeaderNames: testNames, Table: func() *routes.Table { return table }, Servers: view, Balancer: &pick.Book{Domain: "d"},
 		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
@@ -60,7 +60,7 @@
 			}
 			return conns.Dial(ctx, address)
 		}},
-		RetryBudget: func(string) *retry.Window { return budget }, RequestPermit: func(context.Context, string) time.Duration { return 0 }, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
+		RetryBudget: func(string) *retry.SlidingWindow { return budget }, RequestPermit: func(context.Context, string) time.Duration { return 0 }, Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 	}
 }
 
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -21,7 +21,7 @@
 	place  int
 	domain int
 	book   *pick.Book
-	budget *retry.Window
+	budget *retry.SlidingWindow
 	rng    *rand.Rand
 	// waiting counts the requests for a model that wait for room.
 	waiting map[string]int
@@ -47,7 +47,7 @@
 
 func (v *vm) arrive(r *request) {
 	now := v.w.time()
-	v.budget.Request(now)
+	v.budget.RecordRequest(now)
 	cost := v.book.Cost(r.work)
 	key := r.work.Model + "/" + r.work.Adapter
 	want := v.wants[key]
--- a/replay/world.go
+++ b/replay/world.go
@@ -106,14 +106,14 @@
 		d := i % f.Domains
 		v := &vm{
 			w: w, name: fmt.Sprintf("v%04d", i), place: i, domain: d, rng: rand.New(rand.NewPCG(seed, uint64(1000+i))),
-			budget: &retry.Window{}, waiting: make(map[string]int), wants: make(map[string]*steer.Want), open: make(map[string]bool),
+			budget: &retry.SlidingWindow{}, waiting: make(map[string]int), wants: make(map[string]*steer.Want), open: make(map[string]bool),
 			pending: make(map[*request]*send),
 		}
 		v.book = &pick.Book{Domain: domainName(d), Seed: seed*1e6 + uint64(i), Idle: func(id string) bool { return v.open[id] }}
 		if w.variant.Exact && i > 0 {
 			v.book = w.vms[0].book
 		}
-		v.budget.Limit(f.RetryShare, f.RetryExtra/float64(f.VMs), 10*time.Second)
+		v.budget.SetLimit(f.RetryShare, f.RetryExtra/float64(f.VMs), 10*time.Second)
 		w.vms = append(w.vms, v)
 		w.byZone[d] = append(w.byZone[d], v)
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -14,8 +14,8 @@
 // Without it, every request refused by an overloaded server is retried, which increases the
 // overload. The zero value allows only the reserve. It is safe for concurrent use.
 type Budget struct {
-	// Share is how many retries each request earns.
-	Share float64
+	// RetriesPerRequest is how many retries each request earns.
+	RetriesPerRequest float64
 	// Reserve bounds the retries that can accumulate; 0 means 10.
 	Reserve float64
 
@@ -31,11 +31,11 @@
 	return defaultReserveRetries
 }
 
-// Request records a request, which earns Share retries.
-func (b *Budget) Request() {
+// RecordRequest records a request, which earns RetriesPerRequest retries.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned += b.Share
+	b.earned += b.RetriesPerRequest
 	if saved := b.earned - b.spent; saved > 0 {
 		b.earned, b.spent = min(saved, b.reserve()), 0
 	}
@@ -54,18 +54,18 @@
 
 // Backoff is an exponential backoff with jitter.
 type Backoff struct {
-	First time.Duration
-	Max   time.Duration
+	Initial time.Duration
+	Max     time.Duration
 }
 
 // Wait returns the delay before an attempt, counted from 1. The delay is random up to an
 // exponentially growing limit ("full jitter"), so that requests that failed together are not
 // retried together.
 func (b Backoff) Wait(rng *rand.Rand, attempt int) time.Duration {
-	if b.First <= 0 {
+	if b.Initial <= 0 {
 		return 0
 	}
-	limit := b.First << min(max(attempt-1, 0), 16)
+	limit := b.Initial << min(max(attempt-1, 0), 16)
 	if limit <= 0 || limit > b.Max {
 		limit = b.Max
 	}
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Window limits the retries in any time window to a share of the requests in it and a fixed number.
-// Unlike a Budget, it accumulates no unused retries: a burst of failures after a quiet period is
-// subject to the same limit. The zero value allows no retries. It is safe for concurrent use.
-type Window struct {
-	mu           sync.Mutex
-	share        float64
-	extraRetries float64
-	window       time.Duration
-	slots        [windowSlotCount]windowSlot
+// SlidingWindow limits the retries in any time window to a share of the requests in it and a fixed
+// number. Unlike a Budget, it accumulates no unused retries: a burst of failures after a quiet
+// period is subject to the same limit. The zero value allows no retries. It is safe for concurrent
+// use.
+type SlidingWindow struct {
+	mu                sync.Mutex
+	retriesPerRequest float64
+	extraRetries      float64
+	window            time.Duration
+	slots             [windowSlotCount]windowSlot
 }
 
 // windowSlotCount is the number of slots, one more than the window spans. Retries are counted over
@@ -25,15 +26,15 @@
 	requests, retries float64
 }
 
-// Limit sets the limit for any window: share retries per request, and extraRetries on top.
-func (w *Window) Limit(share, extraRetries float64, window time.Duration) {
+// SetLimit sets the limit for any window: retriesPerRequest for each request in it, plus extraRetries.
+func (w *SlidingWindow) SetLimit(retriesPerRequest, extraRetries float64, window time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.share, w.extraRetries, w.window = share, extraRetries, window
+	w.retriesPerRequest, w.extraRetries, w.window = retriesPerRequest, extraRetries, window
 }
 
 // slot returns the slot of a time, and clears it if it holds older counts. w.mu is held.
-func (w *Window) slot(now time.Time) *windowSlot {
+func (w *SlidingWindow) slot(now time.Time) *windowSlot {
 	index := w.slotIndex(now)
 	s := &w.slots[index%windowSlotCount]
 	if s.index != index {
@@ -42,19 +43,19 @@
 	return s
 }
 
-func (w *Window) slotIndex(now time.Time) int64 {
+func (w *SlidingWindow) slotIndex(now time.Time) int64 {
 	return now.UnixNano() / max(int64(w.window)/(windowSlotCount-1), 1)
 }
 
-// Request records a request.
-func (w *Window) Request(now time.Time) {
+// RecordRequest records a request.
+func (w *SlidingWindow) RecordRequest(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slot(now).requests++
 }
 
 // Allow consumes one retry and reports whether the limit permits it.
-func (w *Window) Allow(now time.Time) bool {
+func (w *SlidingWindow) Allow(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	current := w.slot(now)
@@ -68,7 +69,7 @@
 			requests += s.requests
 		}
 	}
-	if w.window <= 0 || retries > w.share*requests+w.extraRetries {
+	if w.window <= 0 || retries > w.retriesPerRequest*requests+w.extraRetries {
 		return false
 	}
 	current.retries++
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -14,12 +14,12 @@
 // failing servers.
 func TestWindowAccumulatesNoRetries(t *testing.T) {
 	start := time.Unix(1000, 0)
-	var w retry.Window
-	w.Limit(0.2, 10, 10*time.Second)
+	var w retry.SlidingWindow
+	w.SetLimit(0.2, 10, 10*time.Second)
 	var allowed []time.Time
 	for ms := 0; ms < 60_000; ms += 50 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		w.Request(now)
+		w.RecordRequest(now)
 		if ms >= 30_000 && w.Allow(now) {
 			allowed = append(allowed, now)
 		}
@@ -37,14 +37,14 @@
 }
 
 func TestWindowZeroValueAllowsNothing(t *testing.T) {
-	var w retry.Window
-	w.Request(time.Unix(1, 0))
+	var w retry.SlidingWindow
+	w.RecordRequest(time.Unix(1, 0))
 	require.False(t, w.Allow(time.Unix(1, 0)))
 }
 
 func TestWindowExpires(t *testing.T) {
-	var w retry.Window
-	w.Limit(0, 1, 10*time.Second)
+	var w retry.SlidingWindow
+	w.SetLimit(0, 1, 10*time.Second)
 	now := time.Unix(1000, 0)
 	require.True(t, w.Allow(now))
 	require.False(t, w.Allow(now.Add(9*time.Second)))
