--- a/demo/site.go
+++ b/demo/site.go
@@ -77,10 +77,10 @@
 func SiteRoutes() []routes.Route {
 	plain, models := []routes.Target{{Service: SitePlain, Weight: 1}}, []routes.Target{{Service: SiteModel, Weight: 1}}
 	return []routes.Route{
-		{Name: "look", Host: SiteHost, Prefix: "/look/", Kind: routes.Idempotent, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, Attempts: 3, Targets: plain},
-		{Name: "book", Host: SiteHost, Prefix: "/book/", Kind: routes.Once, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, Attempts: 3, Targets: plain},
-		{Name: "draft", Host: SiteHost, Prefix: "/draft/", Kind: routes.Stream, Resumable: true, Timeout: 8 * time.Second, Objective: time.Second, Gap: time.Second, Attempts: 3, Targets: models},
-		{Name: "batch", Host: SiteHost, Prefix: "/batch/", Kind: routes.Stream, Timeout: 8 * time.Second, Objective: 4 * time.Second, Gap: time.Second, Attempts: 1, Targets: models},
+		{Name: "look", Host: SiteHost, PathPrefix: "/look/", Kind: routes.Idempotent, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, MaxServers: 3, Targets: plain},
+		{Name: "book", Host: SiteHost, PathPrefix: "/book/", Kind: routes.AtMostOnce, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, MaxServers: 3, Targets: plain},
+		{Name: "draft", Host: SiteHost, PathPrefix: "/draft/", Kind: routes.Stream, Resumable: true, Timeout: 8 * time.Second, Objective: time.Second, MaxEventGap: time.Second, MaxServers: 3, Targets: models},
+		{Name: "batch", Host: SiteHost, PathPrefix: "/batch/", Kind: routes.Stream, Timeout: 8 * time.Second, Objective: 4 * time.Second, MaxEventGap: time.Second, MaxServers: 1, Targets: models},
 	}
 }
 
@@ -101,12 +101,12 @@
 func siteServices() []routes.Service {
 	models := make(map[string]routes.Model)
 	for _, m := range SiteModels {
-		models[m] = routes.Model{Name: m, MB: siteModel, Load: siteLoad, Warm: siteLoad, Disk: siteLoad, Adapters: 4}
+		models[m] = routes.Model{Name: m, SizeMB: siteModel, LoadTime: siteLoad, MemoryLoadTime: siteLoad, DiskLoadTime: siteLoad, AdapterCount: 4}
 	}
 	return []routes.Service{
 		{Name: SitePlain, MaxConns: 100},
 		{Name: SiteModel, MaxConns: 100, Engine: &routes.Engine{
-			Slots: 8, KVTokens: 100_000, MemoryMB: siteMemory, AdapterSlots: 4, LoadsPerSecond: 20, Models: models,
+			Slots: 8, KVCacheTokens: 100_000, WeightMemoryMB: siteMemory, AdapterSlots: 4, StoreLoadsPerSecond: 20, Models: models,
 		}},
 	}
 }
@@ -162,7 +162,7 @@
 
 // Configure writes the operators' configuration.
 func (s *Site) Configure(version int, all []routes.Route) error {
-	value, err := platform.TableValue(version, all, siteServices(), routes.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20})
+	value, err := platform.TableValue(version, all, siteServices(), routes.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20})
 	if err != nil {
 		return fmt.Errorf("configure: %w", err)
 	}
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -182,7 +182,7 @@
 func TestConfigurationChanges(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	moved := demo.SiteRoutes()
-	moved[0].Prefix = "/seen/"
+	moved[0].PathPrefix = "/seen/"
 	require.NoError(t, s.Configure(5, moved))
 	for i, address := range s.Addresses() {
 		require.Eventually(t, func() bool {
@@ -205,7 +205,7 @@
 	}
 	s.Objects.SetFaults(stand.ObjectFaults{})
 	moved := demo.SiteRoutes()
-	moved[0].Prefix = "/seen/"
+	moved[0].PathPrefix = "/seen/"
 	require.NoError(t, s.Configure(9, moved))
 	for i, address := range s.Addresses() {
 		require.Eventually(t, func() bool {
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -205,7 +205,7 @@
 // headTimeout returns how long to wait for the response head, or 0 if only the request deadline
 // applies.
 func (t *try) headTimeout() time.Duration {
-	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.Attempts || t.c.route.Objective == 0 {
+	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.MaxServers || t.c.route.Objective == 0 {
 		return 0
 	}
 	return max(headTimeoutObjectives*t.c.route.Objective, 2*t.choice.Predicted+t.c.route.Objective)
@@ -214,10 +214,10 @@
 // eventTimeout returns how long to wait for the next event, or 0 if only the request deadline
 // applies.
 func (t *try) eventTimeout() time.Duration {
-	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.Attempts {
+	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.MaxServers {
 		return 0
 	}
-	return max(eventTimeoutGaps*t.c.route.Gap, minEventTimeout)
+	return max(eventTimeoutGaps*t.c.route.MaxEventGap, minEventTimeout)
 }
 
 // reserveFailover reports whether a call should move from its silent server to another one. If so,
@@ -312,7 +312,7 @@
 	t.verdict = pick.Good
 	if t.resp.StatusCode >= http.StatusInternalServerError {
 		t.verdict = pick.Bad
-		if t.c.route.Repeatable() && t.c.sends < t.c.route.Attempts && ctx.Err() == nil {
+		if t.c.route.Repeatable() && t.c.sends < t.c.route.MaxServers && ctx.Err() == nil {
 			t.c.errorResponse = &response{status: t.resp.StatusCode, header: t.responseHeaders(), body: body}
 			return t.failUncertain(ctx, "server error: status "+strconv.Itoa(t.resp.StatusCode))
 		}
--- a/pass/call.go
+++ b/pass/call.go
@@ -93,18 +93,18 @@
 		id: r.Header.Get(n.AttemptID), fingerprint: poison.FingerprintOf(r, body), request: r, body: body, route: route, configVersion: t.Version(),
 		arrived: now, lastEventID: r.Header.Get(headerLastEvent),
 	}
-	c.service, _ = t.Service(route.Service(xxhash.Sum64String(c.id)))
+	c.service, _ = t.Service(route.PickService(xxhash.Sum64String(c.id)))
 	c.deadline = now.Add(requestTimeout(n, r, route))
 	c.firstEventDeadline = c.deadline
-	if firstEventDeadline := now.Add(route.Leave); route.Leave > 0 && firstEventDeadline.Before(c.deadline) {
+	if firstEventDeadline := now.Add(route.EventTimeout); route.EventTimeout > 0 && firstEventDeadline.Before(c.deadline) {
 		c.firstEventDeadline = firstEventDeadline
 	}
 	c.work.Objective = route.Objective
-	c.topPriority = route.Priority <= t.First(c.service.Name)
+	c.topPriority = route.Priority <= t.TopPriority(c.service.Name)
 	if c.service.Engine != nil {
 		c.work.Model, c.work.Adapter = n.ParseModel(r.Header.Get(n.Model))
-		c.work.Route, c.work.Size = route.Name, c.service.Engine.Size(c.work.Model)
-		c.work.Slots, c.work.Stride = c.service.Engine.Slots, c.service.Engine.StrideTokens
+		c.work.Route, c.work.Size = route.Name, c.service.Engine.RelativeSize(c.work.Model)
+		c.work.Slots, c.work.Stride = c.service.Engine.Slots, c.service.Engine.TokensPerEvent
 		c.work.Prompt, c.work.Output = n.ParseTokenUsage(r.Header.Get(n.TokenUsage))
 		c.work.Parts = n.ParsePromptPrefix(r.Header.Get(n.PromptPrefix))
 	}
--- a/pass/call_test.go
+++ b/pass/call_test.go
@@ -103,7 +103,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := testCall(t, "POST /x HTTP/1.1\r\nHost: h\r\nDeadline: "+tc.header+"\r\n\r\n", routes.Route{Leave: tc.eventTimeout})
+			c := testCall(t, "POST /x HTTP/1.1\r\nHost: h\r\nDeadline: "+tc.header+"\r\n\r\n", routes.Route{EventTimeout: tc.eventTimeout})
 			require.Equal(t, tc.want, c.maxServerWait(now))
 		})
 	}
@@ -118,8 +118,8 @@
 		mayHaveRun bool
 		wantRetry  bool
 	}{
-		"once, refused":            {routes.Once, false, true},
-		"once, may have run":       {routes.Once, true, false},
+		"once, refused":            {routes.AtMostOnce, false, true},
+		"once, may have run":       {routes.AtMostOnce, true, false},
 		"idempotent, may have run": {routes.Idempotent, true, true},
 		"stream, may have run":     {routes.Stream, true, false},
 		"stream, refused":          {routes.Stream, false, true},
--- a/pass/choose.go
+++ b/pass/choose.go
@@ -118,7 +118,7 @@
 	if c.service.Engine == nil || slices.ContainsFunc(serving, c.holdsModel) {
 		return 0
 	}
-	return max(c.service.Engine.Models[c.work.Model].Load-c.modelWait, 0)
+	return max(c.service.Engine.Models[c.work.Model].LoadTime-c.modelWait, 0)
 }
 
 // holdsModel reports whether a server has the call's model and was not found unreachable by the
@@ -160,14 +160,14 @@
 	if c.work.Model != "" && !e.Holds(c.work.Model, c.work.Adapter) {
 		return false
 	}
-	return len(c.sentTo) < max(c.route.Attempts, 1) || slices.Contains(c.sentTo, e.ID)
+	return len(c.sentTo) < max(c.route.MaxServers, 1) || slices.Contains(c.sentTo, e.ID)
 }
 
 func (g *Gateway) kvCacheTokens(c *call) int {
 	if c.service.Engine == nil {
 		return 0
 	}
-	return c.service.Engine.KVTokens
+	return c.service.Engine.KVCacheTokens
 }
 
 // awaitServer waits until the controller has found a server for the model, or the server list
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -65,13 +65,13 @@
 	// FindServer requests a server for a model and adapter from the controller, waits until the server
 	// has them, and returns its ID.
 	FindServer func(ctx context.Context, service, model, adapter string) (string, error)
-	// RequestPermit requests a permit for one request to a server with a rate limit. It returns 0 if the
-	// permit was granted, and otherwise how long to wait before the next attempt.
+	// RequestPermit requests a permit for one request to a server with a rate limit. It returns 0
+	// if the permit was granted, and otherwise how long to wait before the next attempt.
 	RequestPermit func(ctx context.Context, server string) time.Duration
 	// ShutdownContext ends when the VM starts to shut down: from then on, requests without a server are
 	// refused. Optional.
 	ShutdownContext context.Context
-	// VMCount returns how many VMCount send requests to the same servers. Optional; the default is 1.
+	// VMCount returns how many VMs send requests to the same servers. Optional; the default is 1.
 	VMCount func() int
 	// ReportSuspect reports that a server is unreachable or does not hold the model it was listed with.
 	// Optional.
@@ -117,7 +117,7 @@
 		g.reject(w, r, http.StatusNotFound, "no route")
 		return
 	}
-	maxBodyBytes := table.Limits().BodyBytes
+	maxBodyBytes := table.Limits().MaxBodyBytes
 	if maxBodyBytes == 0 {
 		maxBodyBytes = defaultMaxBodyBytes
 	}
@@ -159,7 +159,7 @@
 		Str("service", c.service.Name).Str("model", c.work.Model).Str("adapter", c.work.Adapter).
 		Strs("servers", c.sentTo).Int("sends", c.sends).Int("status", c.status).
 		Bool("may_have_run", c.mayHaveRun).Str("reason", c.reason).
-		Dur("objective", c.route.Objective).Dur("pause_limit", c.route.Gap).Int("prompt", c.work.Prompt).Int("output", c.work.Output).
+		Dur("objective", c.route.Objective).Dur("pause_limit", c.route.MaxEventGap).Int("prompt", c.work.Prompt).Int("output", c.work.Output).
 		Dur("predicted", c.choice.Predicted).Dur("queue", c.choice.Queue).Int("missing", c.choice.Missing).
 		Int("running", c.choice.Load.Running).Int("tokens", c.choice.Load.Tokens).
 		Dur("first_event", c.timeToFirstEvent).Dur("longest_pause", c.maxEventGap).Int("events", c.eventCount).Dur("held", c.admissionWait).Dur("sought", c.modelWait).
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -47,7 +47,7 @@
 	view := &backs.View{}
 	view.Replace(clock.Now(), servers)
 	route := routes.Route{
-		Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Hour, Attempts: 2,
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Idempotent, Timeout: time.Hour, MaxServers: 2,
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
@@ -192,10 +192,10 @@
 	t.Helper()
 	const loadTime = 50 * time.Second
 	route := routes.Route{
-		Name: "r", Host: "h", Prefix: "/", Kind: routes.Stream, Timeout: time.Hour, Leave: 100 * time.Millisecond, Attempts: 1,
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Timeout: time.Hour, EventTimeout: 100 * time.Millisecond, MaxServers: 1,
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
-	engine := &routes.Engine{Models: map[string]routes.Model{"m": {Name: "m", Load: loadTime}}}
+	engine := &routes.Engine{Models: map[string]routes.Model{"m": {Name: "m", LoadTime: loadTime}}}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	g.Table = func() *routes.Table { return table }
 	g.FindServer = func(ctx context.Context, _, _, _ string) (string, error) {
--- a/pass/limit_test.go
+++ b/pass/limit_test.go
@@ -19,7 +19,7 @@
 	const wait = 2 * time.Second
 	g := testGateway(server("a", "d", startBackend(t, http.StatusOK)))
 	route := routes.Route{
-		Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Hour, Leave: 2 * wait, Attempts: 2,
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Idempotent, Timeout: time.Hour, EventTimeout: 2 * wait, MaxServers: 2,
 		Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s"}}, routes.Limits{})
--- a/pass/names.go
+++ b/pass/names.go
@@ -24,7 +24,7 @@
 	NotExecuted string
 	// ServerLoad is the server's running requests, waiting requests and slots.
 	ServerLoad string
-	// RateLimit is the maximum number of requests per second that the server accepts from all VMCount
+	// RateLimit is the maximum number of requests per second that the server accepts from all VMs
 	// together. It applies for as long as the server's responses contain it.
 	RateLimit string
 	// Model is the model, followed by a slash and the adapter if there is one.
@@ -38,7 +38,8 @@
 	// Reserved lists headers that only the gateway may send to servers.
 	Reserved []string
 
-	// ParseTokenUsage and ParsePromptPrefix parse the header values, and return zeros for an invalid value.
+	// ParseTokenUsage and ParsePromptPrefix parse the header values, and return zeros for an
+	// invalid value.
 	ParseTokenUsage   func(string) (prompt, output int)
 	ParsePromptPrefix func(string) []pick.Part
 	// ParseModel splits a header value into the model and the adapter.
--- a/pass/silence_test.go
+++ b/pass/silence_test.go
@@ -53,8 +53,8 @@
 // useResumableRoute replaces the gateway's route with one for resumable streams.
 func useResumableRoute(g *Gateway) {
 	route := routes.Route{
-		Name: "r", Host: "h", Prefix: "/", Kind: routes.Stream, Resumable: true, Timeout: time.Hour, Attempts: 2,
-		Gap: time.Millisecond, Targets: []routes.Target{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Resumable: true, Timeout: time.Hour, MaxServers: 2,
+		MaxEventGap: time.Millisecond, Targets: []routes.Target{{Service: "s", Weight: 1}},
 	}
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
 	g.Table = func() *routes.Table { return table }
--- a/replay/traffic.go
+++ b/replay/traffic.go
@@ -62,7 +62,7 @@
 	s := w.p.Fleet.Server
 	return pick.Work{
 		Route: k.Name, Model: modelName(model), Slots: s.Slots, Stride: s.Stride,
-		Size: w.engine.Size(modelName(model)), Output: int(k.Output.Most), Objective: k.Objective,
+		Size: w.engine.RelativeSize(modelName(model)), Output: int(k.Output.Most), Objective: k.Objective,
 	}
 }
 
--- a/replay/world.go
+++ b/replay/world.go
@@ -94,12 +94,12 @@
 func (w *world) build(seed uint64) {
 	f := &w.p.Fleet
 	w.engine = &routes.Engine{
-		Slots: f.Server.Slots, KVTokens: f.Server.Memory, StrideTokens: f.Server.Stride, MemoryMB: f.MemoryMB,
-		HostMB: f.HostMB, DiskMB: f.DiskMB, AdapterSlots: f.AdapterSlots, LoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
+		Slots: f.Server.Slots, KVCacheTokens: f.Server.Memory, TokensPerEvent: f.Server.Stride, WeightMemoryMB: f.MemoryMB,
+		HostCacheMB: f.HostMB, DiskCacheMB: f.DiskMB, AdapterSlots: f.AdapterSlots, StoreLoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
 	}
 	for i, m := range f.Models {
-		w.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), MB: m.MB, Load: m.Load, Disk: m.Disk, Warm: m.Warm, Adapters: m.Adapters, AdapterMB: f.AdapterMB}
-		w.engine.LargestMB = max(w.engine.LargestMB, m.MB)
+		w.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), SizeMB: m.MB, LoadTime: m.Load, DiskLoadTime: m.Disk, MemoryLoadTime: m.Warm, AdapterCount: m.Adapters, AdapterSizeMB: f.AdapterMB}
+		w.engine.LargestModelMB = max(w.engine.LargestModelMB, m.MB)
 	}
 	w.byZone = make([][]*vm, f.Domains)
 	for i := range f.VMs {
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -17,8 +17,8 @@
 const (
 	// Idempotent requests may be executed any number of times.
 	Idempotent Kind = "idempotent"
-	// Once requests are executed at most once.
-	Once Kind = "once"
+	// AtMostOnce requests are executed at most once.
+	AtMostOnce Kind = "once"
 	// Stream requests are answered with server-sent events. They are executed at most once unless
 	// the route is resumable.
 	Stream Kind = "stream"
@@ -36,26 +36,26 @@
 type Route struct {
 	Name string
 	Host string
-	// Prefix is the path prefix. It begins and ends with a slash.
-	Prefix string
-	Kind   Kind
+	// PathPrefix is the path prefix. It begins and ends with a slash.
+	PathPrefix string
+	Kind       Kind
 	// Timeout bounds the time for the whole request.
 	Timeout time.Duration
 	// Objective is the latency objective: the time to the response, or to the first event of a
 	// stream.
 	Objective time.Duration
-	// Gap is the maximum time between two events of a stream that meets its objective.
-	Gap time.Duration
-	// Leave is how long callers wait for each event, including the first one, before they abort the
-	// stream; 0 if they wait for the whole response.
-	Leave time.Duration
+	// MaxEventGap is the maximum time between two events of a stream that meets its objective.
+	MaxEventGap time.Duration
+	// EventTimeout is how long callers wait for each event, including the first one, before they
+	// abort the stream; 0 if they wait for the whole response.
+	EventTimeout time.Duration
 	// Priority is the priority among routes; 0 is the highest.
 	Priority int
-	// Attempts bounds the number of servers that one request may be sent to.
-	Attempts int
-	// Affinity is set if requests share prompt prefixes, so that sending them to the same server
+	// MaxServers bounds the number of servers that one request may be sent to.
+	MaxServers int
+	// PrefixAffinity is set if requests share prompt prefixes, so that sending them to the same server
 	// saves work.
-	Affinity bool
+	PrefixAffinity bool
 	// Resumable streams may continue at another server after their last event.
 	Resumable bool
 	Targets   []Target
@@ -66,9 +66,9 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the target service of a request, selected by weight with a number that is
+// PickService returns the target service of a request, selected by weight with a number that is
 // uniformly distributed over requests. It returns "" if the route has no target.
-func (r Route) Service(random uint64) string {
+func (r Route) PickService(random uint64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -91,45 +91,45 @@
 // Model is a set of weights that the servers of a service can load.
 type Model struct {
 	Name string
-	// MB is the size of the weights in megabytes, as configured by the operators.
-	MB float64
-	// Load, Warm and Disk are the load times from the weight store, from a copy in the server's
-	// memory and from a copy on its disk.
-	Load, Warm, Disk time.Duration
-	// Adapters is the number of adapters of the model.
-	Adapters  int
-	AdapterMB float64
+	// SizeMB is the size of the weights in megabytes, as configured by the operators.
+	SizeMB float64
+	// LoadTime, MemoryLoadTime and DiskLoadTime are the load times from the weight store, from a
+	// copy in the server's memory and from a copy on its disk.
+	LoadTime, MemoryLoadTime, DiskLoadTime time.Duration
+	// AdapterCount is the number of adapters of the model.
+	AdapterCount  int
+	AdapterSizeMB float64
 }
 
 // Engine describes the servers of a service that runs models.
 type Engine struct {
 	// Slots is how many requests a server executes in one batch.
 	Slots int
-	// KVTokens is the capacity for prompts and responses, in tokens.
-	KVTokens int
-	// StrideTokens is the number of tokens in one event of a stream.
-	StrideTokens int
-	// MemoryMB is the memory for weights and adapters together.
-	MemoryMB     float64
-	AdapterSlots int
-	// HostMB and DiskMB are a server's capacity, in its memory and on its disk, for copies of
-	// weights that load without the weight store; 0 if unknown.
-	HostMB, DiskMB float64
-	// LoadsPerSecond limits the loads from the weight store over all servers.
-	LoadsPerSecond float64
-	// EventWatchers is how many open calls for cache events a server keeps.
-	EventWatchers int
-	Models        map[string]Model
-	// LargestMB is the size of the largest model.
-	LargestMB float64
+	// KVCacheTokens is the capacity for prompts and responses, in tokens.
+	KVCacheTokens int
+	// TokensPerEvent is the number of tokens in one event of a stream.
+	TokensPerEvent int
+	// WeightMemoryMB is the memory for weights and adapters together.
+	WeightMemoryMB float64
+	AdapterSlots   int
+	// HostCacheMB and DiskCacheMB are a server's capacity, in its memory and on its disk, for
+	// copies of weights that load without the weight store; 0 if unknown.
+	HostCacheMB, DiskCacheMB float64
+	// StoreLoadsPerSecond limits the loads from the weight store over all servers.
+	StoreLoadsPerSecond float64
+	// MaxCacheEventCalls is how many open calls for cache events a server keeps.
+	MaxCacheEventCalls int
+	Models             map[string]Model
+	// LargestModelMB is the size of the largest model.
+	LargestModelMB float64
 }
 
-// Size returns the size of a model relative to the largest, or 0 if the model is unknown.
-func (e *Engine) Size(model string) float64 {
-	if e.LargestMB <= 0 {
+// RelativeSize returns the size of a model relative to the largest, or 0 if the model is unknown.
+func (e *Engine) RelativeSize(model string) float64 {
+	if e.LargestModelMB <= 0 {
 		return 0
 	}
-	return e.Models[model].MB / e.LargestMB
+	return e.Models[model].SizeMB / e.LargestModelMB
 }
 
 // Service is a group of interchangeable servers.
@@ -144,8 +144,8 @@
 
 // Limits bounds what callers may send.
 type Limits struct {
-	HeaderBytes, BodyBytes     int
-	HeaderTimeout, IdleTimeout time.Duration
+	MaxHeaderBytes, MaxBodyBytes int
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // Table is one version of the whole configuration.
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, list := range t.routesByHost {
-		slices.SortStableFunc(list, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+		slices.SortStableFunc(list, func(a, b Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	for _, s := range services {
 		t.services[s.Name] = s
@@ -191,8 +191,8 @@
 	return s, ok
 }
 
-// First returns the highest priority of the routes to a service.
-func (t *Table) First(service string) int { return t.topPriority[service] }
+// TopPriority returns the highest priority of the routes to a service.
+func (t *Table) TopPriority(service string) int { return t.topPriority[service] }
 
 // Services returns all services in no particular order.
 func (t *Table) Services() []Service {
@@ -208,7 +208,7 @@
 func (t *Table) Match(host, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.routesByHost[host] {
-		if strings.HasPrefix(path, r.Prefix) {
+		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
 	}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -10,9 +10,9 @@
 
 func TestMatchLongestPrefix(t *testing.T) {
 	table := routes.NewTable(1, []routes.Route{
-		{Name: "short", Host: "a.example", Prefix: "/x/"},
-		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
-		{Name: "other", Host: "b.example", Prefix: "/"},
+		{Name: "short", Host: "a.example", PathPrefix: "/x/"},
+		{Name: "long", Host: "a.example", PathPrefix: "/x/y/"},
+		{Name: "other", Host: "b.example", PathPrefix: "/"},
 	}, nil, routes.Limits{})
 	tests := map[string]struct{ host, path, want string }{
 		"long prefix":  {"a.example", "/x/y/z", "long"},
@@ -35,10 +35,10 @@
 	r := routes.Route{Targets: []routes.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
 	for random := range uint64(1000) {
-		count[r.Service(random)]++
+		count[r.PickService(random)]++
 	}
 	require.Equal(t, map[string]int{"a": 900, "b": 100}, count)
-	require.Empty(t, routes.Route{}.Service(3))
+	require.Empty(t, routes.Route{}.PickService(3))
 }
 
 func TestRepeatable(t *testing.T) {
@@ -47,10 +47,10 @@
 		want  bool
 	}{
 		"idempotent":       {routes.Route{Kind: routes.Idempotent}, true},
-		"once":             {routes.Route{Kind: routes.Once}, false},
+		"once":             {routes.Route{Kind: routes.AtMostOnce}, false},
 		"stream":           {routes.Route{Kind: routes.Stream}, false},
 		"resumable stream": {routes.Route{Kind: routes.Stream, Resumable: true}, true},
-		"resumable once":   {routes.Route{Kind: routes.Once, Resumable: true}, false},
+		"resumable once":   {routes.Route{Kind: routes.AtMostOnce, Resumable: true}, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) { require.Equal(t, tc.want, tc.route.Repeatable()) })
@@ -68,6 +68,6 @@
 	table := routes.NewTable(1, []routes.Route{to(2, "a", "b"), to(1, "a"), to(3, "b"), to(0, "c")}, nil, routes.Limits{})
 	want := map[string]int{"a": 1, "b": 2, "c": 0}
 	for service, priority := range want {
-		require.Equal(t, priority, table.First(service), service)
+		require.Equal(t, priority, table.TopPriority(service), service)
 	}
 }
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -180,7 +180,7 @@
 // orderAdapter orders an adapter, or first the unloading of another that has
 // not been asked for lately.
 func (c *Controller) orderAdapter(ctx context.Context, now time.Time, s *Server, service routes.Service, model, adapter string) {
-	if s.Places() < service.Engine.AdapterSlots && s.weight(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
+	if s.Places() < service.Engine.AdapterSlots && s.weight(service.Engine)+service.Engine.Models[model].AdapterSizeMB <= service.Engine.WeightMemoryMB {
 		c.start(context.WithoutCancel(ctx), s, Order{Model: model, Adapter: adapter}, adapterReady)
 		return
 	}
@@ -261,7 +261,7 @@
 	}
 	orders, places := make(map[*Server][]Order), make(map[*Server]int)
 	for _, model := range c.busyModels(now, service) {
-		for i := range model.Adapters {
+		for i := range model.AdapterCount {
 			adapter := adapterOf(i)
 			if present[model.Name+"/"+adapter] || now.Sub(c.adapters.Last(adapterName(service.Name, model.Name, adapter))) > wantedFor {
 				continue
@@ -308,7 +308,7 @@
 	o.Expect = s.sequence
 	r := s.models[o.Model]
 	room := s.Places() < service.Engine.AdapterSlots &&
-		s.weight(service.Engine)+service.Engine.Models[o.Model].AdapterMB <= service.Engine.MemoryMB
+		s.weight(service.Engine)+service.Engine.Models[o.Model].AdapterSizeMB <= service.Engine.WeightMemoryMB
 	return o, r != nil && r.phase == held && room && s.Free(c.Now())
 }
 
@@ -326,7 +326,7 @@
 		return
 	}
 	for _, model := range c.busyModels(now, service) {
-		for i := range model.Adapters {
+		for i := range model.AdapterCount {
 			adapter := adapterOf(i)
 			if present[model.Name+"/"+adapter] {
 				continue
@@ -368,7 +368,7 @@
 	total := demand.Total(now)
 	var list []routes.Model
 	for name, m := range service.Engine.Models {
-		if m.Adapters > 0 && total > 0 && demand.Work(now, name) >= busyShare*total/float64(max(1, len(service.Engine.Models)/busyModels)) {
+		if m.AdapterCount > 0 && total > 0 && demand.Work(now, name) >= busyShare*total/float64(max(1, len(service.Engine.Models)/busyModels)) {
 			list = append(list, m)
 		}
 	}
@@ -384,7 +384,7 @@
 	var best *Server
 	var bestCost uint64
 	for _, s := range servers {
-		if c.busy[s.entry.ID] || s.weight(service.Engine)+m.AdapterMB > service.Engine.MemoryMB {
+		if c.busy[s.entry.ID] || s.weight(service.Engine)+m.AdapterSizeMB > service.Engine.WeightMemoryMB {
 			continue
 		}
 		if cost := c.adapterCost(s, service, m.Name, adapter); best == nil || cost < bestCost {
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -85,10 +85,10 @@
 		request = 0.03
 		ramp    = 6.0
 	)
-	engine := &routes.Engine{MemoryMB: 30, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 30, Models: make(map[string]routes.Model)}
 	for i := range 21 {
 		name := fmt.Sprintf("m%02d", i)
-		engine.Models[name] = routes.Model{Name: name, MB: 10, Load: 5800 * time.Millisecond}
+		engine.Models[name] = routes.Model{Name: name, SizeMB: 10, LoadTime: 5800 * time.Millisecond}
 	}
 	start := time.Unix(1000, 0)
 	var servers []*Server
@@ -206,9 +206,9 @@
 // those at once, as all callers would feel it. A model that stays away for longer gets
 // its place.
 func TestRareModelsOfCrashedServersWait(t *testing.T) {
-	engine := &routes.Engine{MemoryMB: 20, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 20, Models: make(map[string]routes.Model)}
 	for _, m := range []string{"busy", "rare", "other"} {
-		engine.Models[m] = routes.Model{Name: m, MB: 10, Load: time.Second}
+		engine.Models[m] = routes.Model{Name: m, SizeMB: 10, LoadTime: time.Second}
 	}
 	now := time.Unix(1000, 0)
 	var servers []*Server
@@ -219,7 +219,7 @@
 		}
 		if i == 1 {
 			e.Models = append(e.Models, backs.Held{Model: "filler"})
-			engine.Models["filler"] = routes.Model{Name: "filler", MB: 10, Load: time.Second}
+			engine.Models["filler"] = routes.Model{Name: "filler", SizeMB: 10, LoadTime: time.Second}
 		}
 		s := NewServer(now, e)
 		s.Reported(now, now, Report{Models: e.Models})
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -280,7 +280,7 @@
 		ceiling = &Ceiling{Window: window}
 		c.ceilings[service.Name] = ceiling
 	}
-	ceiling.PerSecond = service.Engine.LoadsPerSecond
+	ceiling.PerSecond = service.Engine.StoreLoadsPerSecond
 	return ceiling
 }
 
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -20,8 +20,8 @@
 	now := time.Unix(1000, 0)
 	view := &backs.View{}
 	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.Held{{Model: "m1"}}}})
-	engine := &routes.Engine{MemoryMB: 20, AdapterSlots: 2, LoadsPerSecond: 1, Models: map[string]routes.Model{
-		"m1": {Name: "m1", MB: 10, Adapters: 3}, "m2": {Name: "m2", MB: 10},
+	engine := &routes.Engine{WeightMemoryMB: 20, AdapterSlots: 2, StoreLoadsPerSecond: 1, Models: map[string]routes.Model{
+		"m1": {Name: "m1", SizeMB: 10, AdapterCount: 3}, "m2": {Name: "m2", SizeMB: 10},
 	}}
 	table := routes.NewTable(1, nil, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	orders := make(chan Order, 16)
@@ -92,10 +92,10 @@
 func TestOnePlanKeepsTheBoundOnLoads(t *testing.T) {
 	c, orders := testController(func(time.Time) (int, bool) { return 5, true })
 	now := c.Now()
-	engine := &routes.Engine{MemoryMB: 10, AdapterSlots: 2, LoadsPerSecond: 0.4, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 10, AdapterSlots: 2, StoreLoadsPerSecond: 0.4, Models: make(map[string]routes.Model)}
 	var entries []backs.Entry
 	for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6"} {
-		engine.Models[name] = routes.Model{Name: name, MB: 10, Load: time.Second}
+		engine.Models[name] = routes.Model{Name: name, SizeMB: 10, LoadTime: time.Second}
 		entries = append(entries, backs.Entry{ID: "at-" + name, Service: "s"})
 	}
 	c.Servers.Replace(now, entries)
@@ -126,10 +126,10 @@
 		now = now.Add(500 * time.Millisecond)
 		return send(ctx, e, o)
 	}
-	engine := &routes.Engine{MemoryMB: 10, AdapterSlots: 2, LoadsPerSecond: 0.2, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 10, AdapterSlots: 2, StoreLoadsPerSecond: 0.2, Models: make(map[string]routes.Model)}
 	var entries []backs.Entry
 	for _, name := range []string{"m1", "m2", "m3"} {
-		engine.Models[name] = routes.Model{Name: name, MB: 10, Load: time.Second}
+		engine.Models[name] = routes.Model{Name: name, SizeMB: 10, LoadTime: time.Second}
 		entries = append(entries, backs.Entry{ID: "at-" + name, Service: "s"})
 	}
 	c.Servers.Replace(now, entries)
--- a/steer/holds.go
+++ b/steer/holds.go
@@ -67,7 +67,7 @@
 	mb := 0.0
 	for name, r := range s.models {
 		m := e.Models[name]
-		mb += m.MB + m.AdapterMB*float64(len(r.adapters))
+		mb += m.SizeMB + m.AdapterSizeMB*float64(len(r.adapters))
 	}
 	return mb
 }
@@ -76,10 +76,10 @@
 // comes from the weight store.
 func (s *Server) loadTime(m routes.Model) (time.Duration, bool) {
 	switch {
-	case slices.Contains(s.stock.memory, m.Name) && m.Warm > 0:
-		return m.Warm, false
-	case s.stock.has(m.Name) && m.Disk > 0:
-		return m.Disk, false
+	case slices.Contains(s.stock.memory, m.Name) && m.MemoryLoadTime > 0:
+		return m.MemoryLoadTime, false
+	case s.stock.has(m.Name) && m.DiskLoadTime > 0:
+		return m.DiskLoadTime, false
 	}
-	return m.Load, true
+	return m.LoadTime, true
 }
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -137,7 +137,7 @@
 	var steps []Step
 	for i, s := range p.staying {
 		m, ok := p.Engine.Models[s.Intent(p.Now)]
-		if !ok || !s.free || s.mb+m.MB > p.Engine.MemoryMB {
+		if !ok || !s.free || s.mb+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		took, store := s.loadTime(m)
@@ -200,7 +200,7 @@
 	if p.Ahead == nil {
 		return e
 	}
-	then, mean := p.Ahead(m.Name, min(m.Load, trustTrend))
+	then, mean := p.Ahead(m.Name, min(m.LoadTime, trustTrend))
 	if then < work {
 		return estimate{low: min(e.low, then), mean: mean, high: mean + spread}
 	}
@@ -287,13 +287,13 @@
 	s := p.staying[i]
 	took, store := s.loadTime(m)
 	o := option{step: Step{Server: s.Server, Model: m, Store: store, Time: took}, server: i}
-	if s.mb+m.MB <= p.Engine.MemoryMB {
+	if s.mb+m.SizeMB <= p.Engine.WeightMemoryMB {
 		return p.weigh(o, p.balance.util[i], 0, took)
 	}
 	var best option
 	found := false
 	for name, r := range s.models {
-		if r.phase != held || len(p.present.copies[name]) < 2 || s.mb-p.Engine.Models[name].MB+m.MB > p.Engine.MemoryMB {
+		if r.phase != held || len(p.present.copies[name]) < 2 || s.mb-p.Engine.Models[name].SizeMB+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		loss, util := p.balance.loss(name, i)
--- a/steer/plan_test.go
+++ b/steer/plan_test.go
@@ -13,9 +13,9 @@
 )
 
 func engine(memory float64, models ...string) *routes.Engine {
-	e := &routes.Engine{MemoryMB: memory, Models: make(map[string]routes.Model)}
+	e := &routes.Engine{WeightMemoryMB: memory, Models: make(map[string]routes.Model)}
 	for _, m := range models {
-		e.Models[m] = routes.Model{Name: m, MB: 10, Load: time.Second}
+		e.Models[m] = routes.Model{Name: m, SizeMB: 10, LoadTime: time.Second}
 	}
 	return e
 }
@@ -105,7 +105,7 @@
 func TestARestartedServerLoadsFromItsDiskFirst(t *testing.T) {
 	e := engine(20, "kept", "hot")
 	for name, m := range e.Models {
-		m.Load, m.Disk = 6*time.Second, time.Second
+		m.LoadTime, m.DiskLoadTime = 6*time.Second, time.Second
 		e.Models[name] = m
 	}
 	back := steer.NewServer(at(0), entry("a"))
@@ -149,7 +149,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := engine(10, "low", "high")
 			for n, m := range e.Models {
-				m.Load, m.Disk = tc.load, tc.disk
+				m.LoadTime, m.DiskLoadTime = tc.load, tc.disk
 				e.Models[n] = m
 			}
 			require.Equal(t, tc.want, steps(planner(at(1), e, work, servers()...)))
--- a/steer/scale_test.go
+++ b/steer/scale_test.go
@@ -29,10 +29,10 @@
 
 func scaled(servers, models int) *Controller {
 	now := time.Unix(1000, 0)
-	engine := &routes.Engine{MemoryMB: 83, AdapterSlots: 5, LoadsPerSecond: 20, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 83, AdapterSlots: 5, StoreLoadsPerSecond: 20, Models: make(map[string]routes.Model)}
 	for m := range models {
 		name := fmt.Sprintf("m%04d", m)
-		engine.Models[name] = routes.Model{Name: name, MB: 20, Load: time.Second, Adapters: 4}
+		engine.Models[name] = routes.Model{Name: name, SizeMB: 20, LoadTime: time.Second, AdapterCount: 4}
 	}
 	var entries []backs.Entry
 	for s := range servers {
--- a/steer/stock.go
+++ b/steer/stock.go
@@ -14,8 +14,8 @@
 // make way. Where the sizes are not known, nothing is left to rely on until the next
 // report.
 func (k *stock) loaded(e *routes.Engine, model string) {
-	k.memory = keep(e, k.memory, e.HostMB, model)
-	k.disk = keep(e, k.disk, e.DiskMB, model)
+	k.memory = keep(e, k.memory, e.HostCacheMB, model)
+	k.disk = keep(e, k.disk, e.DiskCacheMB, model)
 }
 
 // keep returns a list with a model as the one used last, within its room.
@@ -27,10 +27,10 @@
 	list = append(list, model)
 	total := 0.0
 	for _, m := range list {
-		total += e.Models[m].MB
+		total += e.Models[m].SizeMB
 	}
 	for len(list) > 0 && total > room {
-		total -= e.Models[list[0]].MB
+		total -= e.Models[list[0]].SizeMB
 		list = list[1:]
 	}
 	return list
