--- a/batch/server.go
+++ b/batch/server.go
@@ -1,7 +1,7 @@
-// Package batch models a backend server that runs the requests for its models in
-// batches: each step gives every running request a token, and reads a piece of the
-// prompts that wait. It stands in for model servers where a load pattern is replayed:
-// time is an argument, nothing waits, and the same requests give the same answers.
+// Package batch simulates a backend server with continuous batching: each step generates a token
+// for every running request and prefills a chunk of the waiting prompts. It replaces model servers
+// in the replay of a load pattern: time is an argument, no call blocks, and the same requests give
+// the same results.
 package batch
 
 import (
@@ -10,137 +10,137 @@
 	"time"
 )
 
-// Spec is what a server can do. The zero value of a bound means none.
+// Spec is the capacity and speed of a server. A limit of zero means no limit.
 type Spec struct {
-	// Slots is how many requests it runs at once, Queue how many wait beyond.
+	// Slots limits the requests in the batch, Queue the waiting requests.
 	Slots, Queue int
-	// Step is the time of a token for all running requests, PerSlot what each of them
-	// adds.
+	// Step is the time of one step, and PerSlot the additional time for each running request.
 	Step, PerSlot time.Duration
-	// TokensPerMilli is how many prompt tokens are read in a millisecond, Piece how many
-	// in one step at most.
+	// TokensPerMilli is how many prompt tokens are prefilled per millisecond, Piece the maximum
+	// number in one step.
 	TokensPerMilli float64
 	Piece          int
-	// Stride is how many tokens an event holds, Memory how many all requests may have.
+	// Stride is the number of tokens in an event, Memory the token capacity of the KV cache for all
+	// requests.
 	Stride, Memory int
 }
 
-// Request is one request. Rank orders them: the least goes first and preempts others.
+// Request is one request. The lowest Rank goes first and preempts others.
 type Request struct {
 	Prompt, Output, Rank int
-	// Pace is the time of the request's model against that of the largest; 0 counts
-	// as 1.
+	// Pace is the time of the request's model relative to that of the largest model; 0 counts as 1.
 	Pace float64
 
-	// unread is what is left of the prompt, made the tokens of the answer so far.
-	unread, made int
-	arrived      time.Time
-	first, last  time.Time
-	longest      time.Duration
-	preempted    int
+	// prefillRemaining is the number of tokens still to prefill, generated the number of output
+	// tokens so far.
+	prefillRemaining, generated int
+	arrived                     time.Time
+	firstEventAt, lastEventAt   time.Time
+	maxEventGap                 time.Duration
+	preemptions                 int
 }
 
-// First returns when the first event came, the zero time before.
-func (r *Request) First() time.Time { return r.first }
+// First returns the time of the first event, or the zero time if there is none yet.
+func (r *Request) First() time.Time { return r.firstEventAt }
 
 // LongestPause returns the longest time between two events.
-func (r *Request) LongestPause() time.Duration { return r.longest }
+func (r *Request) LongestPause() time.Duration { return r.maxEventGap }
 
-// Preempted returns how often it had to make way.
-func (r *Request) Preempted() int { return r.preempted }
+// Preempted returns how often the request was preempted.
+func (r *Request) Preempted() int { return r.preemptions }
 
-func (r *Request) tokens() int { return r.Prompt + r.made }
+func (r *Request) cachedTokens() int { return r.Prompt + r.generated }
 
-func (r *Request) pace() float64 { return cmp.Or(r.Pace, 1) }
+func (r *Request) timeFactor() float64 { return cmp.Or(r.Pace, 1) }
 
-// Event is what became of a request in a step.
+// Event is the result of a step for one request.
 type Event struct {
 	Request *Request
-	// First says that its first event came, Done that its last did.
+	// First is set for the first event of the request, Done for the last one.
 	First, Done bool
 }
 
-// Server is a server at work. Spec must be set.
+// Server is a simulated server. Spec must be set.
 type Server struct {
 	Spec Spec
 
 	waiting, running []*Request
-	// ends is when the present step does, the zero time when there is nothing to do.
-	ends time.Time
-	// refused counts the requests that found no place.
-	refused, preempted int
+	// stepEnd is when the current step ends, or the zero time if the server is idle.
+	stepEnd time.Time
+	// refusals counts the requests refused at capacity, preemptions the preempted requests.
+	refusals, preemptions int
 }
 
-// Submit hands a request over. It reports false when the server is full.
+// Submit adds a request. It returns false if the server is at capacity.
 func (s *Server) Submit(now time.Time, r *Request) bool {
 	if s.Spec.Queue > 0 && len(s.waiting) >= s.Spec.Queue || s.Spec.Memory > 0 && r.Prompt+r.Output > s.Spec.Memory {
-		s.refused++
+		s.refusals++
 		return false
 	}
-	r.arrived, r.unread = now, r.Prompt
+	r.arrived, r.prefillRemaining = now, r.Prompt
 	s.waiting = append(s.waiting, r)
-	if s.ends.IsZero() {
-		s.step(now)
+	if s.stepEnd.IsZero() {
+		s.startStep(now)
 	}
 	return true
 }
 
-// Cancel takes a request out whose caller has left.
+// Cancel removes a request whose caller has disconnected.
 func (s *Server) Cancel(r *Request) {
-	drop := func(x *Request) bool { return x == r }
-	s.waiting = slices.DeleteFunc(s.waiting, drop)
-	s.running = slices.DeleteFunc(s.running, drop)
+	canceled := func(x *Request) bool { return x == r }
+	s.waiting = slices.DeleteFunc(s.waiting, canceled)
+	s.running = slices.DeleteFunc(s.running, canceled)
 }
 
-// Running returns how many requests run, Waiting how many wait or are being read.
+// Running returns the number of running requests.
 func (s *Server) Running() int { return len(s.running) }
 
-// Waiting returns how many requests wait or are being read.
+// Waiting returns the number of requests that wait for a slot or for their prefill.
 func (s *Server) Waiting() int { return len(s.waiting) }
 
-// Refusals and Preemptions count since the start.
-func (s *Server) Refusals() int { return s.refused }
+// Refusals returns the number of refused requests since the start.
+func (s *Server) Refusals() int { return s.refusals }
 
-// Preemptions counts the requests that had to make way since the start.
-func (s *Server) Preemptions() int { return s.preempted }
+// Preemptions returns the number of preemptions since the start.
+func (s *Server) Preemptions() int { return s.preemptions }
 
-// Next returns when the present step ends; false when there is none.
-func (s *Server) Next() (time.Time, bool) { return s.ends, !s.ends.IsZero() }
+// Next returns when the current step ends, or false if the server is idle.
+func (s *Server) Next() (time.Time, bool) { return s.stepEnd, !s.stepEnd.IsZero() }
 
-// step begins the next step: it admits requests by rank, preempts others for them, and
-// reads pieces of their prompts.
-func (s *Server) step(now time.Time) {
-	s.ends = time.Time{}
+// startStep starts the next step: it admits requests by priority, preempts others for them, and
+// prefills chunks of their prompts.
+func (s *Server) startStep(now time.Time) {
+	s.stepEnd = time.Time{}
 	s.admit()
-	reading := s.reading()
-	if len(reading) == 0 && len(s.running) == 0 {
+	prefilling := s.prefilling()
+	if len(prefilling) == 0 && len(s.running) == 0 {
 		return
 	}
-	took := s.Spec.Step + time.Duration(len(s.running))*s.Spec.PerSlot
-	if p := s.slowest(); p > 0 {
-		took = time.Duration(float64(took) * p)
+	duration := s.Spec.Step + time.Duration(len(s.running))*s.Spec.PerSlot
+	if factor := s.maxTimeFactor(); factor > 0 {
+		duration = time.Duration(float64(duration) * factor)
 	}
-	left := cmp.Or(s.Spec.Piece, 1<<30)
-	for _, r := range reading {
-		n := min(left, r.unread)
-		r.unread -= n
-		left -= n
-		took += time.Duration(float64(n) / s.Spec.TokensPerMilli * r.pace() * float64(time.Millisecond))
+	chunkRemaining := cmp.Or(s.Spec.Piece, 1<<30)
+	for _, r := range prefilling {
+		tokens := min(chunkRemaining, r.prefillRemaining)
+		r.prefillRemaining -= tokens
+		chunkRemaining -= tokens
+		duration += time.Duration(float64(tokens) / s.Spec.TokensPerMilli * r.timeFactor() * float64(time.Millisecond))
 	}
-	s.ends = now.Add(took)
+	s.stepEnd = now.Add(duration)
 }
 
-// slowest returns the pace of the slowest model in the batch.
-func (s *Server) slowest() float64 {
-	p := 0.0
+// maxTimeFactor returns the time factor of the slowest model in the batch.
+func (s *Server) maxTimeFactor() float64 {
+	factor := 0.0
 	for _, r := range s.running {
-		p = max(p, r.pace())
+		factor = max(factor, r.timeFactor())
 	}
-	return p
+	return factor
 }
 
-// admit puts the waiting requests in the order of their ranks, and makes running ones
-// of a higher rank wait while a more urgent one has no slot.
+// admit sorts the waiting requests by priority, and preempts running requests of lower priority
+// while a request of higher priority has no slot.
 func (s *Server) admit() {
 	slices.SortStableFunc(s.waiting, func(a, b *Request) int { return cmp.Compare(a.Rank, b.Rank) })
 	if s.Spec.Slots == 0 {
@@ -158,83 +158,85 @@
 	}
 }
 
-// reading returns the waiting requests that have a slot.
-func (s *Server) reading() []*Request {
+// prefilling returns the waiting requests that have a slot.
+func (s *Server) prefilling() []*Request {
 	if s.Spec.Slots == 0 {
 		return s.waiting
 	}
 	return s.waiting[:min(len(s.waiting), max(s.Spec.Slots-len(s.running), 0))]
 }
 
-// victim returns the newest of the least urgent running requests of a rank or higher.
-func (s *Server) victim(rank int) *Request {
+// victim returns the latest arrival among the running requests of the lowest priority. Only
+// requests with a Rank of minPriority or more count.
+func (s *Server) victim(minPriority int) *Request {
 	var v *Request
 	for _, r := range s.running {
-		if r.Rank >= rank && (v == nil || r.Rank > v.Rank || r.Rank == v.Rank && !r.arrived.Before(v.arrived)) {
+		if r.Rank >= minPriority && (v == nil || r.Rank > v.Rank || r.Rank == v.Rank && !r.arrived.Before(v.arrived)) {
 			v = r
 		}
 	}
 	return v
 }
 
-// preempt makes a running request wait; it is read anew, with what it has answered.
+// preempt moves a running request to the waiting ones. Its prompt and its output so far are
+// prefilled again.
 func (s *Server) preempt(r *Request) {
 	s.running = slices.DeleteFunc(s.running, func(x *Request) bool { return x == r })
-	r.unread = r.tokens()
-	r.preempted++
-	s.preempted++
+	r.prefillRemaining = r.cachedTokens()
+	r.preemptions++
+	s.preemptions++
 	s.waiting = append(s.waiting, r)
 }
 
-// Advance ends the present step and begins the next. It returns what came of it.
+// Advance finishes the current step, starts the next one and returns the resulting events.
 func (s *Server) Advance() []Event {
-	now := s.ends
+	now := s.stepEnd
 	var events []Event
-	var read []*Request
+	var prefilled []*Request
 	for _, r := range s.waiting {
-		if r.unread == 0 {
-			read = append(read, r)
+		if r.prefillRemaining == 0 {
+			prefilled = append(prefilled, r)
 		}
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(r *Request) bool { return r.unread == 0 })
-	kept := s.running[:0]
-	for _, r := range append(s.running, read...) {
-		e := r.token(now, cmp.Or(s.Spec.Stride, 1))
+	s.waiting = slices.DeleteFunc(s.waiting, func(r *Request) bool { return r.prefillRemaining == 0 })
+	unfinished := s.running[:0]
+	for _, r := range append(s.running, prefilled...) {
+		e := r.generateToken(now, cmp.Or(s.Spec.Stride, 1))
 		if e.First || e.Done {
 			events = append(events, e)
 		}
 		if !e.Done {
-			kept = append(kept, r)
+			unfinished = append(unfinished, r)
 		}
 	}
-	s.running = kept
-	s.spill()
-	s.step(now)
+	s.running = unfinished
+	s.preemptForMemory()
+	s.startStep(now)
 	return events
 }
 
-// token gives a request its next token.
-func (r *Request) token(now time.Time, stride int) Event {
-	r.made++
-	e := Event{Request: r, Done: r.made >= r.Output}
-	if r.made%stride != 0 && !e.Done && r.made != 1 {
+// generateToken generates the next token of a request.
+func (r *Request) generateToken(now time.Time, stride int) Event {
+	r.generated++
+	e := Event{Request: r, Done: r.generated >= r.Output}
+	if r.generated%stride != 0 && !e.Done && r.generated != 1 {
 		return e
 	}
-	if e.First = r.first.IsZero(); e.First {
-		r.first = now
+	if e.First = r.firstEventAt.IsZero(); e.First {
+		r.firstEventAt = now
 	} else {
-		r.longest = max(r.longest, now.Sub(r.last))
+		r.maxEventGap = max(r.maxEventGap, now.Sub(r.lastEventAt))
 	}
-	r.last = now
+	r.lastEventAt = now
 	return e
 }
 
-// spill preempts requests until the others fit into the memory.
-func (s *Server) spill() {
+// preemptForMemory preempts requests until the others fit into the KV cache.
+func (s *Server) preemptForMemory() {
 	for s.Spec.Memory > 0 && len(s.running) > 1 {
 		used := 0
 		for _, r := range s.running {
-			used += r.tokens()
+			used += r.cachedTokens()
 		}
 		if used <= s.Spec.Memory {
 			return
