--- a/batch/server.go
+++ b/batch/server.go
@@ -12,24 +12,27 @@
 
 // Spec is the capacity and speed of a server. A limit of zero means no limit.
 type Spec struct {
-	// Slots limits the requests in the batch, Queue the waiting requests.
-	Slots, Queue int
-	// Step is the time of one step, and PerSlot the additional time for each running request.
-	Step, PerSlot time.Duration
-	// TokensPerMilli is how many prompt tokens are prefilled per millisecond, Piece the maximum
-	// number in one step.
-	TokensPerMilli float64
-	Piece          int
-	// Stride is the number of tokens in an event, Memory the token capacity of the KV cache for all
-	// requests.
-	Stride, Memory int
+	// Slots limits the requests in the batch, MaxWaiting the waiting requests.
+	Slots, MaxWaiting int
+	// StepTime is the time of one step, and StepTimePerRequest the additional time for each running
+	// request.
+	StepTime, StepTimePerRequest time.Duration
+	// PrefillTokensPerMs is how many prompt tokens are prefilled per millisecond,
+	// PrefillChunkTokens the maximum number in one step.
+	PrefillTokensPerMs float64
+	PrefillChunkTokens int
+	// TokensPerEvent is the number of tokens in an event, KVCacheTokens the token capacity of the
+	// KV cache for all requests.
+	TokensPerEvent, KVCacheTokens int
 }
 
-// Request is one request. The lowest Rank goes first and preempts others.
+// Request is one request. The request with the lowest Priority value goes first and preempts
+// others.
 type Request struct {
-	Prompt, Output, Rank int
-	// Pace is the time of the request's model relative to that of the largest model; 0 counts as 1.
-	Pace float64
+	PromptTokens, OutputTokens, Priority int
+	// TimeFactor is the time of the request's model relative to that of the largest model; 0 counts
+	// as 1.
+	TimeFactor float64
 
 	// prefillRemaining is the number of tokens still to prefill, generated the number of output
 	// tokens so far.
@@ -40,18 +43,18 @@
 	preemptions                 int
 }
 
-// First returns the time of the first event, or the zero time if there is none yet.
-func (r *Request) First() time.Time { return r.firstEventAt }
+// FirstEventAt returns the time of the first event, or the zero time if there is none yet.
+func (r *Request) FirstEventAt() time.Time { return r.firstEventAt }
 
-// LongestPause returns the longest time between two events.
-func (r *Request) LongestPause() time.Duration { return r.maxEventGap }
+// MaxEventGap returns the longest time between two events.
+func (r *Request) MaxEventGap() time.Duration { return r.maxEventGap }
 
-// Preempted returns how often the request was preempted.
-func (r *Request) Preempted() int { return r.preemptions }
+// Preemptions returns how often the request was preempted.
+func (r *Request) Preemptions() int { return r.preemptions }
 
-func (r *Request) cachedTokens() int { return r.Prompt + r.generated }
+func (r *Request) cachedTokens() int { return r.PromptTokens + r.generated }
 
-func (r *Request) timeFactor() float64 { return cmp.Or(r.Pace, 1) }
+func (r *Request) timeFactor() float64 { return cmp.Or(r.TimeFactor, 1) }
 
 // Event is the result of a step for one request.
 type Event struct {
@@ -73,11 +76,11 @@
 
 // Submit adds a request. It returns false if the server is at capacity.
 func (s *Server) Submit(now time.Time, r *Request) bool {
-	if s.Spec.Queue > 0 && len(s.waiting) >= s.Spec.Queue || s.Spec.Memory > 0 && r.Prompt+r.Output > s.Spec.Memory {
+	if s.Spec.MaxWaiting > 0 && len(s.waiting) >= s.Spec.MaxWaiting || s.Spec.KVCacheTokens > 0 && r.PromptTokens+r.OutputTokens > s.Spec.KVCacheTokens {
 		s.refusals++
 		return false
 	}
-	r.arrived, r.prefillRemaining = now, r.Prompt
+	r.arrived, r.prefillRemaining = now, r.PromptTokens
 	s.waiting = append(s.waiting, r)
 	if s.stepEnd.IsZero() {
 		s.startStep(now)
@@ -104,8 +107,8 @@
 // Preemptions returns the number of preemptions since the start.
 func (s *Server) Preemptions() int { return s.preemptions }
 
-// Next returns when the current step ends, or false if the server is idle.
-func (s *Server) Next() (time.Time, bool) { return s.stepEnd, !s.stepEnd.IsZero() }
+// StepEnd returns when the current step ends, or false if the server is idle.
+func (s *Server) StepEnd() (time.Time, bool) { return s.stepEnd, !s.stepEnd.IsZero() }
 
 // startStep starts the next step: it admits requests by priority, preempts others for them, and
 // prefills chunks of their prompts.
@@ -116,16 +119,16 @@
 	if len(prefilling) == 0 && len(s.running) == 0 {
 		return
 	}
-	duration := s.Spec.Step + time.Duration(len(s.running))*s.Spec.PerSlot
+	duration := s.Spec.StepTime + time.Duration(len(s.running))*s.Spec.StepTimePerRequest
 	if factor := s.maxTimeFactor(); factor > 0 {
 		duration = time.Duration(float64(duration) * factor)
 	}
-	chunkRemaining := cmp.Or(s.Spec.Piece, 1<<30)
+	chunkRemaining := cmp.Or(s.Spec.PrefillChunkTokens, 1<<30)
 	for _, r := range prefilling {
 		tokens := min(chunkRemaining, r.prefillRemaining)
 		r.prefillRemaining -= tokens
 		chunkRemaining -= tokens
-		duration += time.Duration(float64(tokens) / s.Spec.TokensPerMilli * r.timeFactor() * float64(time.Millisecond))
+		duration += time.Duration(float64(tokens) / s.Spec.PrefillTokensPerMs * r.timeFactor() * float64(time.Millisecond))
 	}
 	s.stepEnd = now.Add(duration)
 }
@@ -142,7 +145,7 @@
 // admit sorts the waiting requests by priority, and preempts running requests of lower priority
 // while a request of higher priority has no slot.
 func (s *Server) admit() {
-	slices.SortStableFunc(s.waiting, func(a, b *Request) int { return cmp.Compare(a.Rank, b.Rank) })
+	slices.SortStableFunc(s.waiting, func(a, b *Request) int { return cmp.Compare(a.Priority, b.Priority) })
 	if s.Spec.Slots == 0 {
 		return
 	}
@@ -150,7 +153,7 @@
 		if len(s.running)+i < s.Spec.Slots {
 			continue
 		}
-		victim := s.victim(s.waiting[i].Rank + 1)
+		victim := s.victim(s.waiting[i].Priority + 1)
 		if victim == nil {
 			return
 		}
@@ -166,12 +169,12 @@
 	return s.waiting[:min(len(s.waiting), max(s.Spec.Slots-len(s.running), 0))]
 }
 
-// victim returns the latest arrival among the running requests of the lowest priority. Only
-// requests with a Rank of minPriority or more count.
+// victim returns the latest arrival among the running requests with the highest Priority value, or
+// nil if no value is minPriority or more.
 func (s *Server) victim(minPriority int) *Request {
 	var v *Request
 	for _, r := range s.running {
-		if r.Rank >= minPriority && (v == nil || r.Rank > v.Rank || r.Rank == v.Rank && !r.arrived.Before(v.arrived)) {
+		if r.Priority >= minPriority && (v == nil || r.Priority > v.Priority || r.Priority == v.Priority && !r.arrived.Before(v.arrived)) {
 			v = r
 		}
 	}
@@ -188,8 +191,8 @@
 	s.waiting = append(s.waiting, r)
 }
 
-// Advance finishes the current step, starts the next one and returns the resulting events.
-func (s *Server) Advance() []Event {
+// FinishStep finishes the current step, starts the next one and returns the resulting events.
+func (s *Server) FinishStep() []Event {
 	now := s.stepEnd
 	var events []Event
 	var prefilled []*Request
@@ -201,7 +204,7 @@
 	s.waiting = slices.DeleteFunc(s.waiting, func(r *Request) bool { return r.prefillRemaining == 0 })
 	unfinished := s.running[:0]
 	for _, r := range append(s.running, prefilled...) {
-		e := r.generateToken(now, cmp.Or(s.Spec.Stride, 1))
+		e := r.generateToken(now, cmp.Or(s.Spec.TokensPerEvent, 1))
 		if e.First || e.Done {
 			events = append(events, e)
 		}
@@ -218,7 +221,7 @@
 // generateToken generates the next token of a request.
 func (r *Request) generateToken(now time.Time, stride int) Event {
 	r.generated++
-	e := Event{Request: r, Done: r.generated >= r.Output}
+	e := Event{Request: r, Done: r.generated >= r.OutputTokens}
 	if r.generated%stride != 0 && !e.Done && r.generated != 1 {
 		return e
 	}
@@ -233,12 +236,12 @@
 
 // preemptForMemory preempts requests until the others fit into the KV cache.
 func (s *Server) preemptForMemory() {
-	for s.Spec.Memory > 0 && len(s.running) > 1 {
+	for s.Spec.KVCacheTokens > 0 && len(s.running) > 1 {
 		used := 0
 		for _, r := range s.running {
 			used += r.cachedTokens()
 		}
-		if used <= s.Spec.Memory {
+		if used <= s.Spec.KVCacheTokens {
 			return
 		}
 		s.preempt(s.victim(0))
--- a/replay/patterns.go
+++ b/replay/patterns.go
@@ -82,7 +82,7 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 9, Domains: 3, Servers: 12,
-			Server:   batch.Spec{Slots: 48, Queue: 100, Step: 4430 * time.Microsecond, PerSlot: 19 * time.Microsecond, TokensPerMilli: 38, Piece: 2048, Stride: 6, Memory: 129_000},
+			Server:   batch.Spec{Slots: 48, MaxWaiting: 100, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 6, KVCacheTokens: 129_000},
 			Models:   models(21, swapModels...),
 			MemoryMB: 220_000, HostMB: 150_000, DiskMB: 440_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 1.8, AtOnce: 9,
 			Way: 900 * time.Microsecond, Near: near, RetryShare: 0.2, RetryExtra: 58,
@@ -107,7 +107,7 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 71, Domains: 3, Servers: 112,
-			Server:   batch.Spec{Slots: 12, Queue: 25, Step: 4430 * time.Microsecond, PerSlot: 19 * time.Microsecond, TokensPerMilli: 38, Piece: 2048, Stride: 10, Memory: 38_000},
+			Server:   batch.Spec{Slots: 12, MaxWaiting: 25, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 10, KVCacheTokens: 38_000},
 			Models:   models(186, swapModels...),
 			MemoryMB: 220_000, HostMB: 150_000, DiskMB: 440_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 18, AtOnce: 92,
 			Way: way, Near: near, RetryShare: 0.2, RetryExtra: 182,
@@ -136,7 +136,7 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 195, Domains: 6, Servers: 156,
-			Server:   batch.Spec{Slots: 24, Queue: 50, Step: 5230 * time.Microsecond, PerSlot: 4 * time.Microsecond, TokensPerMilli: 38.4, Piece: 1024, Stride: 4, Memory: 180_000},
+			Server:   batch.Spec{Slots: 24, MaxWaiting: 50, StepTime: 5230 * time.Microsecond, StepTimePerRequest: 4 * time.Microsecond, PrefillTokensPerMs: 38.4, PrefillChunkTokens: 1024, TokensPerEvent: 4, KVCacheTokens: 180_000},
 			Models:   models(270, labelModels...),
 			MemoryMB: 200_000, HostMB: 140_000, DiskMB: 410_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 22, AtOnce: 82,
 			Way: way, Near: near, RetryShare: 0.2, RetryExtra: 430,
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -48,7 +48,7 @@
 // testServer returns a server of a world without traffic that holds the first model.
 func testServer() *server {
 	p := &Pattern{Fleet: Fleet{
-		Servers: 1, Domains: 1, VMs: 1, Server: batch.Spec{Slots: 2, Step: time.Millisecond, TokensPerMilli: 10, Stride: 1, Memory: 1000},
+		Servers: 1, Domains: 1, VMs: 1, Server: batch.Spec{Slots: 2, StepTime: time.Millisecond, PrefillTokensPerMs: 10, TokensPerEvent: 1, KVCacheTokens: 1000},
 		Models:   []Model{{MB: 4, Load: time.Second, Disk: 100 * time.Millisecond, Adapters: 2}, {MB: 4, Load: time.Second, Disk: 100 * time.Millisecond}},
 		MemoryMB: 8, DiskMB: 8, AdapterSlots: 1, AtOnce: 1,
 	}}
--- a/replay/request.go
+++ b/replay/request.go
@@ -70,14 +70,14 @@
 // done passes the end on.
 func (t *send) done() {
 	w := t.r.vm.w
-	pause := t.run.LongestPause()
-	took := w.time().Sub(t.run.First())
+	pause := t.run.MaxEventGap()
+	took := w.time().Sub(t.run.FirstEventAt())
 	w.after(w.way(t.r.vm, t.server), func() {
 		if t.over {
 			return
 		}
 		t.over = true
-		t.ticket.Streamed((t.run.Output+t.r.work.Stride-1)/t.r.work.Stride, took)
+		t.ticket.Streamed((t.run.OutputTokens+t.r.work.Stride-1)/t.r.work.Stride, took)
 		t.ticket.End(w.time(), pick.Good)
 		t.r.pause = max(t.r.pause, pause)
 		t.r.vm.answered(t.r)
--- a/replay/server.go
+++ b/replay/server.go
@@ -55,7 +55,7 @@
 	s.batch = &batch.Server{Spec: spec}
 	s.held, s.order, s.sequence, s.memory = make(map[int]bool), nil, 0, nil
 	s.adapters = make(map[adapterKey]*adapterState)
-	s.kept = kept{room: spec.Memory}
+	s.kept = kept{room: spec.KVCacheTokens}
 	s.runs = make(map[*batch.Request]*send)
 	s.down, s.pumping = false, false
 }
@@ -117,7 +117,7 @@
 
 // submit takes a request in; it reports false when it is full.
 func (s *server) submit(t *send) bool {
-	t.run.Prompt = max(t.r.prompt-s.kept.hit(t.r), 1)
+	t.run.PromptTokens = max(t.r.prompt-s.kept.hit(t.r), 1)
 	if !s.batch.Submit(s.w.time(), t.run) {
 		s.refused++
 		return false
@@ -140,7 +140,7 @@
 	if s.pumping {
 		return
 	}
-	next, ok := s.batch.Next()
+	next, ok := s.batch.StepEnd()
 	if !ok {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 func (s *server) step() {
-	for _, e := range s.batch.Advance() {
+	for _, e := range s.batch.FinishStep() {
 		t := s.runs[e.Request]
 		if t == nil {
 			continue
--- a/replay/traffic.go
+++ b/replay/traffic.go
@@ -61,7 +61,7 @@
 func (w *world) work(k *Kind, model int) pick.Work {
 	s := w.p.Fleet.Server
 	return pick.Work{
-		Route: k.Name, Model: modelName(model), Slots: s.Slots, Stride: s.Stride,
+		Route: k.Name, Model: modelName(model), Slots: s.Slots, Stride: s.TokensPerEvent,
 		Size: w.engine.RelativeSize(modelName(model)), Output: int(k.Output.Most), Objective: k.Objective,
 	}
 }
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -94,7 +94,7 @@
 // choose picks one of the servers that hold the request's model.
 func (v *vm) choose(now time.Time, candidates []backs.Entry, r *request) (pick.Choice, bool) {
 	if !v.w.variant.Random {
-		return v.book.Choose(now, candidates, r.work, v.w.p.Fleet.Server.Memory, r.avoid)
+		return v.book.Choose(now, candidates, r.work, v.w.p.Fleet.Server.KVCacheTokens, r.avoid)
 	}
 	left := slices.DeleteFunc(slices.Clone(candidates), func(e backs.Entry) bool { return slices.Contains(r.avoid, e.ID) })
 	if len(left) == 0 {
@@ -197,8 +197,8 @@
 		way += dialTook
 	}
 	r.sends++
-	t := &send{r: r, server: s, choice: choice, run: &batch.Request{Output: r.output, Rank: r.kind.Rank, Pace: v.w.p.Fleet.Models[r.model].Pace}}
-	t.ticket = v.book.Begin(now, choice, r.work, v.w.p.Fleet.Server.Memory)
+	t := &send{r: r, server: s, choice: choice, run: &batch.Request{OutputTokens: r.output, Priority: r.kind.Rank, TimeFactor: v.w.p.Fleet.Models[r.model].Pace}}
+	t.ticket = v.book.Begin(now, choice, r.work, v.w.p.Fleet.Server.KVCacheTokens)
 	v.pending[r] = t
 	v.w.after(way, func() { v.reach(t) })
 }
--- a/replay/world.go
+++ b/replay/world.go
@@ -94,7 +94,7 @@
 func (w *world) build(seed uint64) {
 	f := &w.p.Fleet
 	w.engine = &routes.Engine{
-		Slots: f.Server.Slots, KVCacheTokens: f.Server.Memory, TokensPerEvent: f.Server.Stride, WeightMemoryMB: f.MemoryMB,
+		Slots: f.Server.Slots, KVCacheTokens: f.Server.KVCacheTokens, TokensPerEvent: f.Server.TokensPerEvent, WeightMemoryMB: f.MemoryMB,
 		HostCacheMB: f.HostMB, DiskCacheMB: f.DiskMB, AdapterSlots: f.AdapterSlots, StoreLoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
 	}
 	for i, m := range f.Models {
@@ -334,8 +334,8 @@
 
 func (w *world) strike(s *server, t Trouble) {
 	if t.Times > 0 {
-		s.batch.Spec.Step = time.Duration(float64(w.p.Fleet.Server.Step) * t.Times)
-		s.batch.Spec.TokensPerMilli = w.p.Fleet.Server.TokensPerMilli / t.Times
+		s.batch.Spec.StepTime = time.Duration(float64(w.p.Fleet.Server.StepTime) * t.Times)
+		s.batch.Spec.PrefillTokensPerMs = w.p.Fleet.Server.PrefillTokensPerMs / t.Times
 		b := s.batch
 		w.after(t.For, func() { b.Spec = w.p.Fleet.Server })
 		return
