--- a/pause/pause.go
+++ b/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause waits for a duration or the end of a context.
 package pause
 
 import (
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// For waits for d or until ctx ends, and reports whether ctx lived on.
+// For waits for d or until ctx ends. It returns false if ctx has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
