--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,8 @@
-// Package clock reads the present time that deciding functions are handed.
+// Package clock reads the current time for functions that take it as an argument.
 //
-// A VM can stand still for seconds. Go's monotonic clock does not count a
-// suspension, so a lease holder that was suspended would believe that its lease
-// still runs; the time of day does count it but jumps. CLOCK_BOOTTIME counts
-// every pause and never jumps.
+// A VM can be suspended for seconds. Go's monotonic clock does not advance during a suspension, so
+// a suspended lease holder would treat an expired lease as valid. The wall clock does advance, but
+// it can jump. CLOCK_BOOTTIME advances during a suspension and never jumps.
 package clock
 
 import (
@@ -13,16 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the VM was started, as a time.Time without a
-// monotonic reading. Only differences and comparisons of such times mean
-// anything; they hold within one process.
+// Now returns the time since the boot of the VM, as a time.Time without a monotonic reading. Only
+// differences and comparisons of such times within one process are meaningful.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had this clock since 2.6.39. On any other a VM that was
-		// suspended would go on with a lease that another has taken: no process
-		// is better than one that believes that.
-		panic(fmt.Sprintf("clock: the kernel has no clock that counts a suspension (CLOCK_BOOTTIME): %v", err))
+		// Linux has had this clock since 2.6.39. Without it, a VM that was suspended could keep
+		// using a lease that another VM has acquired, so the process must not run.
+		panic(fmt.Sprintf("clock: read CLOCK_BOOTTIME, the clock that includes suspensions: %v", err))
 	}
 	return time.Unix(ts.Sec, ts.Nsec)
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscuscart/hibiscuscart/clock"
 )
 
-func TestNowNeverGoesBack(t *testing.T) {
+func TestNowMonotonic(t *testing.T) {
 	last := clock.Now()
 	for range 1000 {
 		now := clock.Now()
