--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,5 @@
-// Package route chooses the server for a request among those that can serve
-// it. The choice is a function of the candidates and of a random source that
-// the caller hands in.
+// Package route selects the server for a request among those that can serve it. The selection is a
+// function of the candidates and of a random source passed by the caller.
 package route
 
 import (
@@ -14,41 +13,40 @@
 
 // Defaults of a Policy.
 const (
-	// defaultSamples is the number of candidates compared. Two are enough to
-	// bring the longest queue from log n to log log n, and comparing all would
-	// send every VM to the one server whose stale report is lowest
-	// (Mitzenmacher, The Power of Two Choices, 2001).
+	// defaultSamples is the number of candidates compared. Two are enough to reduce the longest
+	// queue from log n to log log n. Comparing all would make every VM send to the server with the
+	// lowest load in an outdated report (Mitzenmacher, The Power of Two Choices, 2001).
 	defaultSamples = 2
-	// defaultPrefixBound is the load, relative to the mean, up to which the
-	// server of a prompt's prefix is preferred.
-	defaultPrefixBound = 1.25
-	// defaultSpill is the share of its slots above which a domain's best
-	// server counts as overfull.
-	defaultSpill = 1.0
-	defaultSlots = 32
+	// defaultMaxPrefixLoad is the maximum load, relative to the mean, at which the server that owns
+	// a prompt prefix is preferred.
+	defaultMaxPrefixLoad = 1.25
+	// defaultSpillLoad is the load, relative to its slots, from which the least loaded server of a
+	// failure domain counts as overloaded.
+	defaultSpillLoad = 1.0
+	defaultSlots     = 32
 )
 
-// Policy is how servers are chosen. The zero value works.
+// Policy is the selection policy. The zero value uses the defaults.
 type Policy struct {
 	// Domain is the failure domain of the VM.
 	Domain string
-	// Samples, PrefixBound and Spill replace the defaults when not 0.
+	// Samples, PrefixBound and Spill override the defaults if not 0.
 	Samples     int
 	PrefixBound float64
 	Spill       float64
 }
 
-// Choose returns the server for a request with the given prefix, and whether
-// there is one. Servers in tried are taken only when no other is left.
+// Choose returns the server for a request with the given prompt prefix, and false if there are no
+// candidates. Servers in tried are selected only if there is no other.
 func (p Policy) Choose(rng *rand.Rand, candidates []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool) {
-	fresh := untried(candidates, tried)
-	if len(fresh) == 0 {
-		fresh = candidates
+	preferred := untried(candidates, tried)
+	if len(preferred) == 0 {
+		preferred = candidates
 	}
-	if len(fresh) == 0 {
+	if len(preferred) == 0 {
 		return fleet.Candidate{}, false
 	}
-	pool := p.domainPool(fresh)
+	pool := p.localPool(preferred)
 	if c, ok := p.prefixOwner(pool, prefix); ok {
 		return c, true
 	}
@@ -68,33 +66,33 @@
 	return fresh
 }
 
-// domainPool keeps to the VM's own failure domain, unless it has no copy or
-// all of its servers are overfull while another's are not.
-func (p Policy) domainPool(candidates []fleet.Candidate) []fleet.Candidate {
+// localPool returns the candidates in the VM's own failure domain. It returns all candidates if
+// there are none, or if all local ones are overloaded and a remote one is not.
+func (p Policy) localPool(candidates []fleet.Candidate) []fleet.Candidate {
 	var local []fleet.Candidate
 	for _, c := range candidates {
 		if c.Domain == p.Domain {
 			local = append(local, c)
 		}
 	}
-	if len(local) == 0 || p.overfull(local) && !p.overfull(candidates) {
+	if len(local) == 0 || p.overloaded(local) && !p.overloaded(candidates) {
 		return candidates
 	}
 	return local
 }
 
-func (p Policy) overfull(candidates []fleet.Candidate) bool {
-	spill := orDefault(p.Spill, defaultSpill)
+func (p Policy) overloaded(candidates []fleet.Candidate) bool {
+	spillLoad := orDefault(p.Spill, defaultSpillLoad)
 	for _, c := range candidates {
-		if fill(c) < spill {
+		if relativeLoad(c) < spillLoad {
 			return false
 		}
 	}
 	return true
 }
 
-// fill is a server's load relative to its slots.
-func fill(c fleet.Candidate) float64 {
+// relativeLoad returns the load of a server relative to its slots.
+func relativeLoad(c fleet.Candidate) float64 {
 	slots := c.Slots
 	if slots == 0 {
 		slots = defaultSlots
@@ -102,48 +100,48 @@
 	return float64(c.Load) / float64(slots)
 }
 
-// prefixOwner returns the server that a prompt's prefix belongs to, when it is
-// not much fuller than the others. All VMs agree on it without talking:
-// rendezvous hashing (Thaler and Ravishankar, 1998) among the candidates. A
-// server that reported the prefix in its cache goes first.
+// prefixOwner returns the server that owns a prompt prefix, and false if its load is far above the
+// mean. All VMs determine the same owner without communication, by rendezvous hashing (Thaler and
+// Ravishankar, 1998) among the candidates. Servers that reported the prefix in their cache take
+// precedence.
 func (p Policy) prefixOwner(candidates []fleet.Candidate, prefix uint64) (fleet.Candidate, bool) {
 	if prefix == 0 || len(candidates) < 2 {
 		return fleet.Candidate{}, false
 	}
 	var owner fleet.Candidate
-	var best uint64
-	var mean float64
+	var bestWeight uint64
+	var meanLoad float64
 	for _, c := range candidates {
-		mean += fill(c) / float64(len(candidates))
-		weight := rendezvous(c.Name, prefix)
+		meanLoad += relativeLoad(c) / float64(len(candidates))
+		weight := rendezvousWeight(c.Name, prefix)
 		if c.Cached {
 			weight |= 1 << 63
 		} else {
 			weight >>= 1
 		}
-		if weight >= best {
-			owner, best = c, weight
+		if weight >= bestWeight {
+			owner, bestWeight = c, weight
 		}
 	}
-	bound := orDefault(p.PrefixBound, defaultPrefixBound)
-	one := 1 / float64(max(owner.Slots, 1))
-	return owner, fill(owner) <= bound*mean+one
+	maxLoad := orDefault(p.PrefixBound, defaultMaxPrefixLoad)
+	oneRequest := 1 / float64(max(owner.Slots, 1))
+	return owner, relativeLoad(owner) <= maxLoad*meanLoad+oneRequest
 }
 
-func rendezvous(name string, prefix uint64) uint64 {
+func rendezvousWeight(name string, prefix uint64) uint64 {
 	h := xxhash.Sum64String(name) ^ prefix*0x9e3779b97f4a7c15
 	h ^= h >> 31
 	h *= 0xbf58476d1ce4e5b9
 	return h ^ h>>29
 }
 
-// sample draws a few candidates and returns the least loaded of them.
+// sample draws random candidates and returns the least loaded of them.
 func (p Policy) sample(rng *rand.Rand, candidates []fleet.Candidate) fleet.Candidate {
 	samples := orDefault(p.Samples, defaultSamples)
 	best := candidates[rng.IntN(len(candidates))]
 	for range samples - 1 {
 		c := candidates[rng.IntN(len(candidates))]
-		if fill(c) < fill(best) {
+		if relativeLoad(c) < relativeLoad(best) {
 			best = c
 		}
 	}
