--- a/route/route.go
+++ b/route/route.go
@@ -30,10 +30,10 @@
 type Policy struct {
 	// Domain is the failure domain of the VM.
 	Domain string
-	// Samples, PrefixBound and Spill override the defaults if not 0.
-	Samples     int
-	PrefixBound float64
-	Spill       float64
+	// Samples, MaxPrefixLoad and SpillLoad override the defaults if not 0.
+	Samples       int
+	MaxPrefixLoad float64
+	SpillLoad     float64
 }
 
 // Choose returns the server for a request with the given prompt prefix, and false if there are no
@@ -82,7 +82,7 @@
 }
 
 func (p Policy) overloaded(candidates []fleet.Candidate) bool {
-	spillLoad := orDefault(p.Spill, defaultSpillLoad)
+	spillLoad := orDefault(p.SpillLoad, defaultSpillLoad)
 	for _, c := range candidates {
 		if relativeLoad(c) < spillLoad {
 			return false
@@ -123,7 +123,7 @@
 			owner, bestWeight = c, weight
 		}
 	}
-	maxLoad := orDefault(p.PrefixBound, defaultMaxPrefixLoad)
+	maxLoad := orDefault(p.MaxPrefixLoad, defaultMaxPrefixLoad)
 	oneRequest := 1 / float64(max(owner.Slots, 1))
 	return owner, relativeLoad(owner) <= maxLoad*meanLoad+oneRequest
 }
