--- a/pass/call.go
+++ b/pass/call.go
@@ -158,9 +158,9 @@
 // remaining returns the time until the deadline.
 func (c *call) remaining(now time.Time) time.Duration { return c.deadline.Sub(now) }
 
-// maxServerWait returns how much longer the call may wait for a server. A started stream may wait
-// until the deadline: its caller no longer waits for the first event, and would lose a partial
-// response.
+// maxServerWait returns how much longer the call may wait for a server. For a started stream it
+// depends on the request deadline: the caller no longer waits for the first event, and would lose a
+// partial response.
 func (c *call) maxServerWait(now time.Time) time.Duration {
 	deadline := c.firstEventDeadline
 	if c.headSent {
--- a/pass/call_test.go
+++ b/pass/call_test.go
@@ -40,7 +40,7 @@
 // Guards against request smuggling: a caller sends both Content-Length and chunked encoding, and
 // hides a second request behind the first. The server must receive a single request, framed by the
 // length of the body that was read.
-func TestRequestHeadReplacesFraming(t *testing.T) {
+func TestRequestHeadFraming(t *testing.T) {
 	c := testCall(t, "POST /a%2Fb?x=1 HTTP/1.1\r\nHost: h.example\r\nAttempt: 7\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"3\r\nabc\r\n0\r\n\r\nGET /evil HTTP/1.1\r\nHost: h\r\n\r\n", routes.Route{})
 	sent := append(c.requestHead(testNames, "srv", time.Second), c.body...)
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -73,7 +73,7 @@
 	ShutdownContext context.Context
 	// VMCount returns how many VMs send requests to the same servers. Optional; the default is 1.
 	VMCount func() int
-	// ReportSuspect reports that a server is unreachable or does not hold the model it was listed with.
+	// ReportSuspect reports that a server is unreachable or does not have the model it was listed with.
 	// Optional.
 	ReportSuspect func(server string)
 	Now           func() time.Time
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -98,7 +98,7 @@
 // seconds. Meanwhile, dozens of other server list changes wake the request. Guards against counting
 // each change as a round: the request was refused after 0.2 s although its deadline was an hour
 // away.
-func TestRequestWaitsForReplacementOfCrashedServer(t *testing.T) {
+func TestWaitForCrashedServerReplacement(t *testing.T) {
 	g := testGateway(server("a", "d", "dead:1"))
 	address := startBackend(t, http.StatusOK)
 	finds := 0
@@ -119,7 +119,7 @@
 // This VM is partitioned from the failure domain whose servers have the model. The request must be
 // refused at once, so that its caller can use another VM, and not after four rounds over the
 // servers, which took 0.2 s.
-func TestIsolatedVMRefusesImmediately(t *testing.T) {
+func TestRefusalByIsolatedVM(t *testing.T) {
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"))
 	var suspects []string
 	g.ReportSuspect = func(server string) { suspects = append(suspects, server) }
@@ -135,7 +135,7 @@
 // all servers. Guards against taking two failed connections for a partition: the request was
 // refused at once while the controller was loading the model. As a third domain is reachable, this
 // VM is not isolated and the request waits.
-func TestRequestWaitsWhileAnotherDomainIsReachable(t *testing.T) {
+func TestWaitWithReachableDomain(t *testing.T) {
 	third := backs.Entry{ID: "c", Service: "s", Domain: "third", Address: "dead:3", Slots: 8}
 	g := testGateway(server("a", "far", "dead:1"), server("b", "far", "dead:2"), third)
 	address := startBackend(t, http.StatusOK)
@@ -149,7 +149,7 @@
 
 // A server responds to a repeatable request with an error, and the retry budget is exhausted.
 // Guards against replacing the server's response and stamp with an error of the gateway.
-func TestServerErrorForwardedWithoutRetry(t *testing.T) {
+func TestServerErrorWithoutRetryBudget(t *testing.T) {
 	address := startBackend(t, http.StatusInternalServerError)
 	g := testGateway(server("a", "d", address), server("b", "d", address))
 	w := sendRequest(g)
@@ -162,7 +162,7 @@
 // wait an hour, the VM stops within eight seconds. Guards against closing the connection without a
 // response, which leaves the caller unable to tell whether the request was executed: the request
 // must be refused when the VM begins to shut down, so that its caller can use another VM.
-func TestShutdownRefusesWaitingRequest(t *testing.T) {
+func TestShutdownWithWaitingRequest(t *testing.T) {
 	g := testGateway()
 	shutdown, stop := context.WithCancel(t.Context())
 	g.ShutdownContext = shutdown
@@ -178,7 +178,7 @@
 // stream, although the request deadline is an hour away. The request must be refused before its
 // caller disconnects, with a Retry-After that covers the load: after a shorter delay it would be
 // refused again. The same holds if the servers listed with the model have crashed.
-func TestWaitForModelEndsBeforeCallerTimeout(t *testing.T) {
+func TestModelLoadExceedsCallerTimeout(t *testing.T) {
 	tests := map[string][]backs.Entry{
 		"no server":       nil,
 		"servers crashed": {server("a", "d", "dead:1"), server("b", "far", "dead:2"), {ID: "c", Service: "s", Domain: "third", Slots: 8}},
--- a/pass/limit_test.go
+++ b/pass/limit_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a request that waits or busy-loops until its deadline although no permit becomes
 // available in time.
-func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
+func TestPermitUnavailableBeforeDeadline(t *testing.T) {
 	const wait = 2 * time.Second
 	g := testGateway(server("a", "d", startBackend(t, http.StatusOK)))
 	route := routes.Route{
--- a/pass/silence_test.go
+++ b/pass/stream_test.go
@@ -150,7 +150,7 @@
 
 // The server of a resumable stream crashes, and the only other server has a long queue. Guards
 // against refusing the stream like a new request, which aborted it: it must resume on that server.
-func TestStartedStreamIgnoresQueueLimit(t *testing.T) {
+func TestStartedStreamAdmission(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt", r.Header.Get("Attempt"))
 		w.Header().Set("Stamp", "a")
