--- a/batch/server_test.go
+++ b/batch/server_test.go
@@ -36,7 +36,7 @@
 
 // Prompts are prefilled in chunks between the tokens of the running requests. Each event of these
 // requests waits for the chunks of all of its steps.
-func TestPrefillDelaysRunningRequests(t *testing.T) {
+func TestPrefillDelay(t *testing.T) {
 	s := &batch.Server{Spec: spec()}
 	r := &batch.Request{PromptTokens: 400, OutputTokens: 60}
 	require.True(t, s.Submit(start, r))
@@ -85,7 +85,7 @@
 	require.Equal(t, 1, s.Refusals())
 }
 
-func TestFullServerRefuses(t *testing.T) {
+func TestRefusalAtCapacity(t *testing.T) {
 	s := &batch.Server{Spec: spec()}
 	accepted := 0
 	for range 20 {
