--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,7 +12,7 @@
 // Requests arrive at a steady rate without failures, then all of them fail. Guards against
 // accumulated retries, which would let twice the limit through in one window, all of them to the
 // failing servers.
-func TestWindowAccumulatesNoRetries(t *testing.T) {
+func TestWindowAccumulation(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var w retry.SlidingWindow
 	w.SetLimit(0.2, 10, 10*time.Second)
@@ -36,7 +36,7 @@
 	require.Greater(t, len(allowed), 100)
 }
 
-func TestWindowZeroValueAllowsNothing(t *testing.T) {
+func TestWindowZeroValue(t *testing.T) {
 	var w retry.SlidingWindow
 	w.RecordRequest(time.Unix(1, 0))
 	require.False(t, w.Allow(time.Unix(1, 0)))
