--- a/route/route_test.go
+++ b/route/route_test.go
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestCachedPrefixPreferred(t *testing.T) {
+func TestCachedPrefix(t *testing.T) {
 	all := candidates(0, 0, 0)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range all {
