--- a/batch/server.go
+++ b/batch/server.go
@@ -219,10 +219,10 @@
 }
 
 // generateToken generates the next token of a request.
-func (r *Request) generateToken(now time.Time, stride int) Event {
+func (r *Request) generateToken(now time.Time, tokensPerEvent int) Event {
 	r.generated++
 	e := Event{Request: r, Done: r.generated >= r.OutputTokens}
-	if r.generated%stride != 0 && !e.Done && r.generated != 1 {
+	if r.generated%tokensPerEvent != 0 && !e.Done && r.generated != 1 {
 		return e
 	}
 	if e.First = r.firstEventAt.IsZero(); e.First {
