--- a/retry/window.go
+++ b/retry/window.go
@@ -26,7 +26,8 @@
 	requests, retries float64
 }
 
-// SetLimit sets the limit for any window: retriesPerRequest for each request in it, plus extraRetries.
+// SetLimit sets the limit for any window: retriesPerRequest for each request in it, plus
+// extraRetries.
 func (w *SlidingWindow) SetLimit(retriesPerRequest, extraRetries float64, window time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
