--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -98,8 +98,8 @@
 	maxResponseBytes = 16 << 20
 	// defaultMaxBodyBytes bounds a request body if the configuration does not.
 	defaultMaxBodyBytes = 4 << 20
-	// minRetryAfter is the minimum delay before a refused caller retries, and retryAfterSpread the
-	// maximum random delay on top, so that callers do not retry all at the same time.
+	// minRetryAfter is the minimum delay before a refused caller retries. retryAfterSpread is the
+	// minimum range of the random delay on top, so that callers do not retry all at the same time.
 	minRetryAfter    = 150 * time.Millisecond
 	retryAfterSpread = 350 * time.Millisecond
 )
