--- a/replay/traffic.go
+++ b/replay/traffic.go
@@ -61,8 +61,8 @@
 func (w *world) work(k *Kind, model int) pick.Work {
 	s := w.p.Fleet.Server
 	return pick.Work{
-		Route: k.Name, Model: modelName(model), Slots: s.Slots, TokensPerEvent: s.Stride,
-		RelativeModelSize: w.engine.Size(modelName(model)), MaxOutputTokens: int(k.Output.Most), Objective: k.Objective,
+		Route: k.Name, Model: modelName(model), Slots: s.Slots, TokensPerEvent: s.TokensPerEvent,
+		RelativeModelSize: w.engine.RelativeSize(modelName(model)), MaxOutputTokens: int(k.Output.Most), Objective: k.Objective,
 	}
 }
 
--- a/replay/world.go
+++ b/replay/world.go
@@ -94,26 +94,26 @@
 func (w *world) build(seed uint64) {
 	f := &w.p.Fleet
 	w.engine = &routes.Engine{
-		Slots: f.Server.Slots, KVTokens: f.Server.Memory, StrideTokens: f.Server.Stride, MemoryMB: f.MemoryMB,
-		HostMB: f.HostMB, DiskMB: f.DiskMB, AdapterSlots: f.AdapterSlots, LoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
+		Slots: f.Server.Slots, KVCacheTokens: f.Server.KVCacheTokens, TokensPerEvent: f.Server.TokensPerEvent, WeightMemoryMB: f.MemoryMB,
+		HostCacheMB: f.HostMB, DiskCacheMB: f.DiskMB, AdapterSlots: f.AdapterSlots, StoreLoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
 	}
 	for i, m := range f.Models {
-		w.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), MB: m.MB, Load: m.Load, Disk: m.Disk, Warm: m.Warm, Adapters: m.Adapters, AdapterMB: f.AdapterMB}
-		w.engine.LargestMB = max(w.engine.LargestMB, m.MB)
+		w.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), SizeMB: m.MB, LoadTime: m.Load, DiskLoadTime: m.Disk, MemoryLoadTime: m.Warm, AdapterCount: m.Adapters, AdapterSizeMB: f.AdapterMB}
+		w.engine.LargestModelMB = max(w.engine.LargestModelMB, m.MB)
 	}
 	w.byZone = make([][]*vm, f.Domains)
 	for i := range f.VMs {
 		d := i % f.Domains
 		v := &vm{
 			w: w, name: fmt.Sprintf("v%04d", i), place: i, domain: d, rng: rand.New(rand.NewPCG(seed, uint64(1000+i))),
-			budget: &retry.Window{}, waiting: make(map[string]int), wants: make(map[string]*steer.ModelDemand), open: make(map[string]bool),
+			budget: &retry.SlidingWindow{}, waiting: make(map[string]int), wants: make(map[string]*steer.ModelDemand), open: make(map[string]bool),
 			pending: make(map[*request]*send),
 		}
 		v.book = &pick.Balancer{Domain: domainName(d), Seed: seed*1e6 + uint64(i), HasIdleConn: func(id string) bool { return v.open[id] }}
 		if w.variant.Exact && i > 0 {
 			v.book = w.vms[0].book
 		}
-		v.budget.Limit(f.RetryShare, f.RetryExtra/float64(f.VMs), 10*time.Second)
+		v.budget.SetLimit(f.RetryShare, f.RetryExtra/float64(f.VMs), 10*time.Second)
 		w.vms = append(w.vms, v)
 		w.byZone[d] = append(w.byZone[d], v)
 	}
@@ -334,8 +334,8 @@
 
 func (w *world) strike(s *server, t Trouble) {
 	if t.Times > 0 {
-		s.batch.Spec.Step = time.Duration(float64(w.p.Fleet.Server.Step) * t.Times)
-		s.batch.Spec.TokensPerMilli = w.p.Fleet.Server.TokensPerMilli / t.Times
+		s.batch.Spec.StepTime = time.Duration(float64(w.p.Fleet.Server.StepTime) * t.Times)
+		s.batch.Spec.PrefillTokensPerMs = w.p.Fleet.Server.PrefillTokensPerMs / t.Times
 		b := s.batch
 		w.after(t.For, func() { b.Spec = w.p.Fleet.Server })
 		return
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -179,7 +179,7 @@
 // loadAdapterAt orders an adapter at a server. Without a free slot or memory it orders the
 // unloading of an adapter that had no recent requests instead.
 func (c *Controller) loadAdapterAt(ctx context.Context, now time.Time, s *Server, service routes.Service, model, adapter string) {
-	if s.UsedAdapterSlots() < service.Engine.AdapterSlots && s.usedMB(service.Engine)+service.Engine.Models[model].AdapterMB <= service.Engine.MemoryMB {
+	if s.UsedAdapterSlots() < service.Engine.AdapterSlots && s.usedMB(service.Engine)+service.Engine.Models[model].AdapterSizeMB <= service.Engine.WeightMemoryMB {
 		c.sendAsync(context.WithoutCancel(ctx), s, Order{Model: model, Adapter: adapter}, adapterLoadTime)
 		return
 	}
@@ -261,7 +261,7 @@
 	}
 	orders, ordered := make(map[*Server][]Order), make(map[*Server]int)
 	for _, model := range c.busyModels(now, service) {
-		for i := range model.Adapters {
+		for i := range model.AdapterCount {
 			adapter := adapterID(i)
 			if present[model.Name+"/"+adapter] || now.Sub(c.adapterDemand.Last(adapterKey(service.Name, model.Name, adapter))) > recentRequestTime {
 				continue
@@ -309,7 +309,7 @@
 	o.ExpectedSequence = s.sequence
 	r := s.models[o.Model]
 	fits := s.UsedAdapterSlots() < service.Engine.AdapterSlots &&
-		s.usedMB(service.Engine)+service.Engine.Models[o.Model].AdapterMB <= service.Engine.MemoryMB
+		s.usedMB(service.Engine)+service.Engine.Models[o.Model].AdapterSizeMB <= service.Engine.WeightMemoryMB
 	return o, r != nil && r.phase == loaded && fits && s.AcceptsOrders(c.Now())
 }
 
@@ -327,7 +327,7 @@
 		return
 	}
 	for _, model := range c.busyModels(now, service) {
-		for i := range model.Adapters {
+		for i := range model.AdapterCount {
 			adapter := adapterID(i)
 			if present[model.Name+"/"+adapter] {
 				continue
@@ -369,7 +369,7 @@
 	total := demand.Total(now)
 	var list []routes.Model
 	for name, m := range service.Engine.Models {
-		if m.Adapters > 0 && total > 0 && demand.Work(now, name) >= busyShare*total/float64(max(1, len(service.Engine.Models)/busyModels)) {
+		if m.AdapterCount > 0 && total > 0 && demand.Work(now, name) >= busyShare*total/float64(max(1, len(service.Engine.Models)/busyModels)) {
 			list = append(list, m)
 		}
 	}
@@ -385,7 +385,7 @@
 	var best *Server
 	var bestCost uint64
 	for _, s := range servers {
-		if c.orderInFlight[s.entry.ID] || s.usedMB(service.Engine)+m.AdapterMB > service.Engine.MemoryMB {
+		if c.orderInFlight[s.entry.ID] || s.usedMB(service.Engine)+m.AdapterSizeMB > service.Engine.WeightMemoryMB {
 			continue
 		}
 		if cost := c.adapterCost(s, service, m.Name, adapter); best == nil || cost < bestCost {
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -85,10 +85,10 @@
 		request = 0.03
 		ramp    = 6.0
 	)
-	engine := &routes.Engine{MemoryMB: 30, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 30, Models: make(map[string]routes.Model)}
 	for i := range 21 {
 		name := fmt.Sprintf("m%02d", i)
-		engine.Models[name] = routes.Model{Name: name, MB: 10, Load: 5800 * time.Millisecond}
+		engine.Models[name] = routes.Model{Name: name, SizeMB: 10, LoadTime: 5800 * time.Millisecond}
 	}
 	start := time.Unix(1000, 0)
 	var servers []*Server
@@ -205,9 +205,9 @@
 // seconds, with their weights on disk. A busy model's copy must not be replaced at once for a rare
 // model, which would affect all callers, but only when the rare model stays missing for longer.
 func TestRareModelsWaitAfterCrash(t *testing.T) {
-	engine := &routes.Engine{MemoryMB: 20, Models: make(map[string]routes.Model)}
+	engine := &routes.Engine{WeightMemoryMB: 20, Models: make(map[string]routes.Model)}
 	for _, m := range []string{"busy", "rare", "other"} {
-		engine.Models[m] = routes.Model{Name: m, MB: 10, Load: time.Second}
+		engine.Models[m] = routes.Model{Name: m, SizeMB: 10, LoadTime: time.Second}
 	}
 	now := time.Unix(1000, 0)
 	var servers []*Server
@@ -218,7 +218,7 @@
 		}
 		if i == 1 {
 			e.Models = append(e.Models, backs.LoadedModel{Model: "filler"})
-			engine.Models["filler"] = routes.Model{Name: "filler", MB: 10, Load: time.Second}
+			engine.Models["filler"] = routes.Model{Name: "filler", SizeMB: 10, LoadTime: time.Second}
 		}
 		s := NewServer(now, e)
 		s.ApplyReport(now, now, Report{Models: e.Models})
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -280,7 +280,7 @@
 		loadLimiter = &LoadLimiter{Window: window}
 		c.loadLimiters[service.Name] = loadLimiter
 	}
-	loadLimiter.PerSecond = service.Engine.LoadsPerSecond
+	loadLimiter.PerSecond = service.Engine.StoreLoadsPerSecond
 	return loadLimiter
 }
 
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -140,7 +140,7 @@
 	var steps []Step
 	for i, s := range p.candidates {
 		m, ok := p.Engine.Models[s.ReservedFor(p.Now)]
-		if !ok || !s.acceptsOrders || s.heldMB+m.MB > p.Engine.MemoryMB {
+		if !ok || !s.acceptsOrders || s.heldMB+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		loadTime, store := s.loadTime(m)
@@ -204,7 +204,7 @@
 	if p.Forecast == nil {
 		return e
 	}
-	future, mean := p.Forecast(m.Name, min(m.Load, maxForecast))
+	future, mean := p.Forecast(m.Name, min(m.LoadTime, maxForecast))
 	if future < work {
 		return estimate{low: min(e.low, future), mean: mean, high: mean + stdErr}
 	}
@@ -291,13 +291,13 @@
 	s := p.candidates[i]
 	loadTime, store := s.loadTime(m)
 	o := option{step: Step{Server: s.Server, Model: m, FromStore: store, LoadTime: loadTime}, candidate: i}
-	if s.heldMB+m.MB <= p.Engine.MemoryMB {
+	if s.heldMB+m.SizeMB <= p.Engine.WeightMemoryMB {
 		return p.evaluate(o, p.planned.util[i], 0, loadTime)
 	}
 	var best option
 	found := false
 	for victim, r := range s.models {
-		if r.phase != loaded || len(p.current.copies[victim]) < 2 || s.heldMB-p.Engine.Models[victim].MB+m.MB > p.Engine.MemoryMB {
+		if r.phase != loaded || len(p.current.copies[victim]) < 2 || s.heldMB-p.Engine.Models[victim].SizeMB+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		loss, util := p.planned.loss(victim, i)
--- a/steer/weightcache.go
+++ b/steer/weightcache.go
@@ -13,8 +13,8 @@
 // add records a load, which caches the model in memory and on disk and evicts the least recently
 // used ones. If a cache size is unknown, that cache counts as empty until the next report.
 func (c *weightCache) add(e *routes.Engine, model string) {
-	c.memory = appendRecent(e, c.memory, e.HostMB, model)
-	c.disk = appendRecent(e, c.disk, e.DiskMB, model)
+	c.memory = appendRecent(e, c.memory, e.HostCacheMB, model)
+	c.disk = appendRecent(e, c.disk, e.DiskCacheMB, model)
 }
 
 // appendRecent returns a list with a model as the most recently used one, cut to the capacity.
@@ -26,10 +26,10 @@
 	list = append(list, model)
 	total := 0.0
 	for _, m := range list {
-		total += e.Models[m].MB
+		total += e.Models[m].SizeMB
 	}
 	for len(list) > 0 && total > capacityMB {
-		total -= e.Models[list[0]].MB
+		total -= e.Models[list[0]].SizeMB
 		list = list[1:]
 	}
 	return list
