--- a/claim/runner.go
+++ b/claim/runner.go
@@ -1,6 +1,6 @@
-// Package claim drives the shards of package dedup: it keeps each shard's
-// objects in the platform, paces the updates and hands the replies to those who
-// wait.
+// Package claim runs the shards of package dedup. It stores each shard in the
+// platform's object store, limits the rate of updates and delivers the
+// decisions to the waiting callers.
 package claim
 
 import (
@@ -20,58 +20,61 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Kinds of the platform's objects that hold shards.
+// Object kinds in which the platform stores shards.
 const (
 	KindHead    = "claim_heads"
 	KindSegment = "claim_segments"
 )
 
 const (
-	// defaultInterval is the least time between two updates of a shard.
-	defaultInterval = 25 * time.Millisecond
-	// awayPause is how long a shard refuses claims after the platform failed,
-	// before it tries again.
-	awayPause = 250 * time.Millisecond
-	// freshFor is how long the copy of a shard is good for telling a caller
-	// that its request is in progress or unknown.
-	freshFor = time.Second
-	// forgetInterval is the time between two clean-ups of expired keys.
-	forgetInterval = time.Minute
-	stepTimeout    = 5 * time.Second
-	// limitedTries is how often in a row the rate limit is waited out.
-	limitedTries = 4
+	// defaultWriteInterval is the minimum time between two updates of a shard.
+	defaultWriteInterval = 25 * time.Millisecond
+	// outageBackoff is how long a shard refuses claims after a call to the
+	// platform failed, before the next attempt.
+	outageBackoff = 250 * time.Millisecond
+	// maxCopyAge is the maximum age of the shard's cached copy for reporting a
+	// request as in progress or unknown without reading the shard again.
+	maxCopyAge = time.Second
+	// evictInterval is the time between two evictions of expired keys.
+	evictInterval    = time.Minute
+	operationTimeout = 5 * time.Second
+	// maxRateLimitedAttempts is how many consecutive rate-limited attempts are
+	// retried before the waiting requests are refused.
+	maxRateLimitedAttempts = 4
 )
 
-// Runner runs one shard. Name, Get, Put and Delete must be set before the first
-// call; Get, Put and Delete make one try each.
+// Runner loads, writes and maintains one shard. Name, Get, Put, Delete and Now
+// must be set before the first call; Get, Put and Delete must not retry.
 type Runner struct {
 	Name string
-	// Interval is the least time between two updates; 0 takes 25 ms.
+	// Interval is the minimum time between two updates; 0 means 25 ms.
 	Interval time.Duration
 	Get      func(ctx context.Context, kind, name string) (store.Object, error)
 	Put      func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
 	Delete   func(ctx context.Context, kind, name string, ifVersion int) error
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Failed, when set, is called for each failed step.
+	// Failed, when set, is called with each error that makes the Runner refuse
+	// claims and with each error of a maintenance task.
 	Failed func(err error)
 
-	mu        sync.Mutex
-	shard     dedup.Shard
-	waiters   map[string]chan dedup.Decision
-	settling  []chan struct{}
-	writing   []chan struct{}
-	wake      chan struct{}
-	away      time.Time
-	forgotten time.Time
-	// limited counts the tries in a row that the rate limit refused.
-	limited int
-	// dropped names the segments that no head refers to any more.
-	dropped []string
-	tidying bool
+	mu                     sync.Mutex
+	shard                  dedup.Shard
+	waiters                map[string]chan dedup.Decision
+	outcomeWaiters         []chan struct{}
+	inFlightOutcomeWaiters []chan struct{}
+	wake                   chan struct{}
+	unavailableUntil       time.Time
+	evictedAt              time.Time
+	// rateLimitedAttempts counts consecutive attempts refused by the rate limit.
+	rateLimitedAttempts int
+	// obsoleteSegments lists segments that the head no longer refers to.
+	obsoleteSegments []string
+	maintaining      bool
 }
 
-// NewRunner returns a Runner whose calls go to a client.
+// NewRunner returns a Runner that calls the platform through c without
+// retries.
 func NewRunner(name string, c *store.Client, now func() time.Time) *Runner {
 	single := *c
 	single.Single = true
@@ -85,22 +88,22 @@
 	}
 }
 
-func (r *Runner) interval() time.Duration {
+func (r *Runner) writeInterval() time.Duration {
 	if r.Interval > 0 {
 		return r.Interval
 	}
-	return defaultInterval
+	return defaultWriteInterval
 }
 
-// Claim asks for a claim and waits for the decision. A request that is granted
-// may be sent under Decision.Grant; any other must not be.
+// Claim requests a claim and waits for the decision. Only a granted request
+// may be sent, under Decision.Grant.
 func (r *Runner) Claim(ctx context.Context, req dedup.Request) dedup.Decision {
-	wait, d, settled := r.propose(req)
-	if settled {
+	decision, d, decided := r.propose(req)
+	if decided {
 		return d
 	}
 	select {
-	case d = <-wait:
+	case d = <-decision:
 		return d
 	case <-ctx.Done():
 		r.Cancel(req)
@@ -117,65 +120,65 @@
 	defer r.mu.Unlock()
 	r.init()
 	now := r.Now()
-	if now.Before(r.away) {
+	if now.Before(r.unavailableUntil) {
 		return nil, unavailable(), true
 	}
-	d, settled := r.shard.Propose(now, req)
-	if settled && (now.Sub(r.shard.Confirmed()) <= freshFor || !mayChange(d.Verdict)) {
+	d, decided := r.shard.Propose(now, req)
+	if decided && (now.Sub(r.shard.Confirmed()) <= maxCopyAge || !mayBeStale(d.Verdict)) {
 		return nil, d, true
 	}
-	if settled {
-		// Another VM may have written the end of the claim since: ask the
-		// platform before the caller is told.
+	if decided {
+		// Another VM may have recorded the outcome of the claim since the last
+		// read. Reload the shard before replying to the caller.
 		r.shard.Unsure()
 		_, _ = r.shard.Propose(now, req)
 	}
-	wait := make(chan dedup.Decision, 1)
-	r.waiters[req.Grant] = wait
-	r.poke()
-	return wait, d, false
+	decision := make(chan dedup.Decision, 1)
+	r.waiters[req.Grant] = decision
+	r.signal()
+	return decision, d, false
 }
 
-// mayChange reports whether a verdict can be another one a moment later.
-func mayChange(v dedup.Verdict) bool { return v == dedup.InProgress || v == dedup.Unknown }
+// mayBeStale reports whether another VM's update can change the verdict.
+func mayBeStale(v dedup.Verdict) bool { return v == dedup.InProgress || v == dedup.Unknown }
 
-// Cancel withdraws a request that is not going to be sent.
+// Cancel withdraws a request that will not be sent.
 func (r *Runner) Cancel(req dedup.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
 	delete(r.waiters, req.Grant)
 	r.shard.Cancel(r.Now(), req)
-	r.poke()
+	r.signal()
 }
 
-// Settle records how a granted request ended and waits until that is written,
-// or ctx ends.
-func (r *Runner) Settle(ctx context.Context, req dedup.Request, state wire.ClaimState, answer string) error {
+// Settle records the outcome of a granted request and returns once it is
+// written, or when ctx ends.
+func (r *Runner) Settle(ctx context.Context, req dedup.Request, state wire.ClaimState, response string) error {
 	written := make(chan struct{})
 	r.mu.Lock()
 	r.init()
-	r.shard.Settle(r.Now(), req, state, answer)
-	r.settling = append(r.settling, written)
-	r.poke()
+	r.shard.Settle(r.Now(), req, state, response)
+	r.outcomeWaiters = append(r.outcomeWaiters, written)
+	r.signal()
 	r.mu.Unlock()
 	select {
 	case <-written:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("record the end of claim %s: %w", req.Grant, ctx.Err())
+		return fmt.Errorf("record outcome of claim %s: %w", req.Grant, ctx.Err())
 	}
 }
 
-// poke wakes the loop. The caller holds r.mu.
-func (r *Runner) poke() {
+// signal wakes the write loop. The caller holds r.mu.
+func (r *Runner) signal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run writes the shard until ctx ends.
+// Run loads and writes the shard until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	r.mu.Lock()
 	r.init()
@@ -183,75 +186,76 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.refuse()
+			r.refuseAll()
 			return
 		case <-r.wake:
 		}
-		for r.busy() && ctx.Err() == nil {
-			began := r.Now()
-			wait := r.interval()
-			if err := r.step(ctx); err != nil {
-				wait = max(wait, awayPause)
+		for r.pending() && ctx.Err() == nil {
+			startedAt := r.Now()
+			wait := r.writeInterval()
+			if err := r.loadAndWrite(ctx); err != nil {
+				wait = max(wait, outageBackoff)
 			}
-			r.startTidy(ctx)
-			if !pause.For(ctx, wait-r.Now().Sub(began)) {
+			r.startMaintenance(ctx)
+			if !pause.For(ctx, wait-r.Now().Sub(startedAt)) {
 				break
 			}
 		}
 	}
 }
 
-func (r *Runner) busy() bool {
+func (r *Runner) pending() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.shard.Pending()
 }
 
-// step loads the shard when it has to, then writes one batch.
-func (r *Runner) step(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
+// loadAndWrite loads the shard if its copy is not current and writes one
+// batch.
+func (r *Runner) loadAndWrite(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	err := r.load(ctx)
 	if err == nil {
-		err = r.write(ctx)
+		err = r.writeBatch(ctx)
 	}
-	if store.IsLimited(err) && r.limited < limitedTries {
-		// The rate limit passes in a moment; those who wait are not refused for
-		// it, unless it stays.
-		r.limited++
+	if store.IsLimited(err) && r.rateLimitedAttempts < maxRateLimitedAttempts {
+		// Rate limiting is usually brief. Waiting requests are refused only if it
+		// persists.
+		r.rateLimitedAttempts++
 		return err
 	}
-	r.limited = 0
+	r.rateLimitedAttempts = 0
 	if err == nil || store.IsConflict(err) || store.IsLost(err) {
 		return nil
 	}
 	if r.Failed != nil {
 		r.Failed(err)
 	}
-	r.refuse()
+	r.refuseAll()
 	return err
 }
 
-// refuse tells all who wait that no claim can be granted now.
-func (r *Runner) refuse() {
+// refuseAll replies to all waiting requests that no claim can be granted now.
+func (r *Runner) refuseAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
-	r.away = now.Add(awayPause)
-	r.reply(r.shard.Refuse(now))
+	r.unavailableUntil = now.Add(outageBackoff)
+	r.deliver(r.shard.Refuse(now))
 }
 
-// reply hands out replies. The caller holds r.mu.
-func (r *Runner) reply(replies []dedup.Reply) {
+// deliver sends decisions to the waiting callers. The caller holds r.mu.
+func (r *Runner) deliver(replies []dedup.Reply) {
 	for _, reply := range replies {
-		if wait := r.waiters[reply.Grant]; wait != nil {
-			wait <- reply.Decision
+		if waiter := r.waiters[reply.Grant]; waiter != nil {
+			waiter <- reply.Decision
 			delete(r.waiters, reply.Grant)
 		}
 	}
 }
 
-// load reads the shard when it is not known to be current.
+// load reads the shard if its copy is not current.
 func (r *Runner) load(ctx context.Context) error {
 	r.mu.Lock()
 	loaded := r.shard.Loaded()
@@ -262,11 +266,11 @@
 	var head wire.ShardHead
 	obj, err := r.Get(ctx, KindHead, r.Name)
 	if err != nil && !trace.IsNotFound(err) {
-		return fmt.Errorf("read shard %s: %w", r.Name, err)
+		return fmt.Errorf("read head of shard %s: %w", r.Name, err)
 	}
 	if err == nil {
 		if err := json.Unmarshal(obj.Value, &head); err != nil {
-			return fmt.Errorf("decode shard %s: %w", r.Name, err)
+			return fmt.Errorf("decode head of shard %s: %w", r.Name, err)
 		}
 	}
 	recent, err := dedup.Unpack(head.Recent)
@@ -282,7 +286,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reply(r.shard.Load(r.Now(), obj.Version, head, recent, segments))
+	r.deliver(r.shard.Load(r.Now(), obj.Version, head, recent, segments))
 	return nil
 }
 
@@ -303,19 +307,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("read segment %s: %w", name, err)
 	}
-	var content wire.ShardClaims
-	if err := json.Unmarshal(obj.Value, &content); err != nil {
+	var stored wire.ShardClaims
+	if err := json.Unmarshal(obj.Value, &stored); err != nil {
 		return nil, fmt.Errorf("decode segment %s: %w", name, err)
 	}
-	return dedup.Unpack(content.Packed)
+	return dedup.Unpack(stored.Packed)
 }
 
-// write writes one batch, and merges segments when there are many.
-func (r *Runner) write(ctx context.Context) error {
+// writeBatch writes one batch of grants and outcomes, if any are waiting.
+func (r *Runner) writeBatch(ctx context.Context) error {
 	r.mu.Lock()
 	now := r.Now()
-	if now.Sub(r.forgotten) > forgetInterval {
-		r.forgotten = now
+	if now.Sub(r.evictedAt) > evictInterval {
+		r.evictedAt = now
 		r.shard.Forget(now)
 	}
 	if !r.shard.Work() {
@@ -324,24 +328,25 @@
 	}
 	if r.shard.Full() {
 		r.mu.Unlock()
-		return errFull
+		return errHeadFull
 	}
 	batch := r.shard.Next(now)
-	r.writing, r.settling = append(r.writing, r.settling...), nil
+	r.inFlightOutcomeWaiters, r.outcomeWaiters = append(r.inFlightOutcomeWaiters, r.outcomeWaiters...), nil
 	r.mu.Unlock()
-	return r.commit(ctx, batch)
+	return r.writeHead(ctx, batch)
 }
 
-// errFull says that the head can not be sealed.
-var errFull = errors.New("the shard's head is full")
+// errHeadFull reports that the head must be sealed before it accepts more
+// claims.
+var errHeadFull = errors.New("shard head is full and not sealed yet")
 
-func (r *Runner) segmentName() string { return r.Name + "-" + uuid.NewString() }
+func (r *Runner) newSegmentName() string { return r.Name + "-" + uuid.NewString() }
 
-// commit writes the head.
-func (r *Runner) commit(ctx context.Context, b dedup.Batch) error {
+// writeHead writes a batch to the head.
+func (r *Runner) writeHead(ctx context.Context, b dedup.Batch) error {
 	packed, err := dedup.Pack(b.Recent)
 	if err != nil {
-		r.failed()
+		r.requeueBatch()
 		return err
 	}
 	head := wire.ShardHead{Segments: b.Segments, Recent: packed}
@@ -350,28 +355,29 @@
 	}
 	version, err := r.Put(ctx, KindHead, r.Name, b.IfVersion, head)
 	if err != nil {
-		return r.headFailed(err)
+		return r.handleHeadError(err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reply(r.shard.Committed(r.Now(), version))
-	for _, written := range r.writing {
+	r.deliver(r.shard.Committed(r.Now(), version))
+	for _, written := range r.inFlightOutcomeWaiters {
 		close(written)
 	}
-	r.writing = nil
-	r.dropped = append(r.dropped, b.Drop...)
+	r.inFlightOutcomeWaiters = nil
+	r.obsoleteSegments = append(r.obsoleteSegments, b.Drop...)
 	return nil
 }
 
-func (r *Runner) failed() {
+func (r *Runner) requeueBatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shard.Failed()
 }
 
-// headFailed sorts a failed update of the head. Where it may have taken effect,
-// or another writer won, the shard is read anew before anything is granted.
-func (r *Runner) headFailed(err error) error {
+// handleHeadError handles a failed update of the head. If the update may have
+// taken effect, or another writer won, the shard is reloaded before anything
+// is granted.
+func (r *Runner) handleHeadError(err error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if store.IsAway(err) || store.IsLimited(err) {
@@ -379,5 +385,5 @@
 	} else {
 		r.shard.Unsure()
 	}
-	return fmt.Errorf("write shard %s: %w", r.Name, err)
+	return fmt.Errorf("write head of shard %s: %w", r.Name, err)
 }
--- a/claim/runner_test.go
+++ b/claim/runner_test.go
@@ -18,8 +18,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// runners start runners of one shard over one platform.
-func runners(t *testing.T, p *stand.Platform, n int) []*claim.Runner {
+// startRunners starts n runners of one shard on one platform.
+func startRunners(t *testing.T, p *stand.Platform, n int) []*claim.Runner {
 	t.Helper()
 	s := httptest.NewServer(p.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,17 +46,17 @@
 	}
 }
 
-func limit(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Many claims of few keys go to two VMs that both write the shard, and the head
-// is sealed and segments are merged meanwhile. Each key is granted once.
-func TestTwoWriters(t *testing.T) {
-	rs := runners(t, &stand.Platform{WritesPerSecond: 1e6, ReadsPerSecond: 1e6}, 2)
+// Two VMs write the same shard and receive claims for the same keys while the
+// head is sealed and segments are merged. Each key must be granted once.
+func TestTwoWritersGrantOnce(t *testing.T) {
+	rs := startRunners(t, &stand.Platform{WritesPerSecond: 1e6, ReadsPerSecond: 1e6}, 2)
 	const keys = 2500
 	var granted [keys]atomic.Int32
 	var wg sync.WaitGroup
@@ -64,9 +64,9 @@
 		for j, r := range rs {
 			wg.Go(func() {
 				req := request(fmt.Sprint(i), fmt.Sprint(i, "-", j))
-				if d := r.Claim(limit(t), req); d.Verdict == dedup.Granted {
+				if d := r.Claim(testContext(t), req); d.Verdict == dedup.Granted {
 					granted[i].Add(1)
-					_ = r.Settle(limit(t), req, wire.ClaimStateDone, "")
+					_ = r.Settle(testContext(t), req, wire.ClaimStateDone, "")
 				}
 			})
 		}
@@ -75,39 +75,41 @@
 	for i := range keys {
 		require.Equal(t, int32(1), granted[i].Load(), "key %d", i)
 	}
-	// A VM's copy may be a second old; then it learns that the key ran.
+	// A VM's copy may be up to one second old; after that it must report that
+	// the key ran.
 	for i := range keys {
 		require.Eventually(t, func() bool {
-			return rs[i%2].Claim(limit(t), request(fmt.Sprint(i), "again")).Verdict == dedup.AlreadyRan
+			return rs[i%2].Claim(testContext(t), request(fmt.Sprint(i), "again")).Verdict == dedup.AlreadyRan
 		}, 30*time.Second, 20*time.Millisecond, "key %d", i)
 	}
 }
 
-// The platform's rate limit refuses an update, as when several VMs write at
-// once. Those who wait get their claim a moment later and are not refused.
-func TestRateLimitIsWaitedOut(t *testing.T) {
+// The platform's rate limit refuses an update, as happens when several VMs
+// write at once. The waiting claims must be granted on a later attempt and not
+// be refused.
+func TestRateLimitedWriteIsRetried(t *testing.T) {
 	p := &stand.Platform{WritesPerSecond: 4, ReadsPerSecond: 1e6}
-	r := runners(t, p, 1)[0]
+	r := startRunners(t, p, 1)[0]
 	for i := range 4 {
-		d := r.Claim(limit(t), request(fmt.Sprint(i), fmt.Sprint("g", i)))
+		d := r.Claim(testContext(t), request(fmt.Sprint(i), fmt.Sprint("g", i)))
 		require.Equal(t, dedup.Granted, d.Verdict)
 	}
 	require.Positive(t, p.Counts().Limited)
 }
 
-// The platform is out. Who waits is told at once that no claim can be granted,
-// and so is who comes next; when it is back claims are granted again.
-func TestOutageRefusesAtOnce(t *testing.T) {
+// The platform is unavailable. Waiting and new claims must be refused
+// immediately, and granted again once the platform has recovered.
+func TestOutageRefusesImmediately(t *testing.T) {
 	p := &stand.Platform{}
-	r := runners(t, p, 1)[0]
+	r := startRunners(t, p, 1)[0]
 	p.SetFaults(stand.PlatformFaults{Outage: true})
 	for i := range 3 {
-		d := r.Claim(limit(t), request("k", fmt.Sprint("g", i)))
+		d := r.Claim(testContext(t), request("k", fmt.Sprint("g", i)))
 		require.Equal(t, dedup.Unavailable, d.Verdict)
 		require.Positive(t, d.RetryAfter)
 	}
 	p.SetFaults(stand.PlatformFaults{})
 	require.Eventually(t, func() bool {
-		return r.Claim(limit(t), request("k", fmt.Sprint("g", time.Now().UnixNano()))).Verdict == dedup.Granted
+		return r.Claim(testContext(t), request("k", fmt.Sprint("g", time.Now().UnixNano()))).Verdict == dedup.Granted
 	}, 30*time.Second, 20*time.Millisecond)
 }
