--- a/dedup/claim.go
+++ b/dedup/claim.go
@@ -1,6 +1,6 @@
-// Package dedup decides whether a request that may run at most once may run:
-// claims of idempotency keys that are granted only by a conditional update of
-// the platform. It does no I/O and reads no clock.
+// Package dedup decides whether a request that may run at most once may run.
+// It grants claims of idempotency keys only by a conditional update in the
+// platform's object store. It does no I/O and reads no clock.
 package dedup
 
 import (
@@ -12,55 +12,56 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Key names a request that must not run twice: keys of different callers and
-// profiles do not meet.
+// Key identifies a request that must not run twice. Keys of different callers
+// or profiles are distinct.
 type Key struct {
 	Profile string
 	Caller  string
 	Key     string
 }
 
-// String returns the key as it is stored. It is a digest: the caller's text
-// may be long and is not the platform's business. 128 bits keep two keys from
-// meeting by chance.
+// String returns the stored form of the key. It is a digest, because the
+// caller's text may be long and must not be disclosed to the platform. Its 128
+// bits make an accidental collision negligible.
 func (k Key) String() string {
 	text := fmt.Sprintf("%d:%s%d:%s%s", len(k.Profile), k.Profile, len(k.Caller), k.Caller, k.Key)
 	return fmt.Sprintf("%016x%016x", xxhash.Sum64String("a"+text), xxhash.Sum64String("b"+text))
 }
 
-// Verdict is the answer to a claim.
+// Verdict is the result of a claim.
 type Verdict int
 
 const (
-	// Unavailable means that no claim can be granted now; the request has not run
-	// because of this try.
+	// Unavailable means that no claim can be granted now. This attempt did not
+	// run the request.
 	Unavailable Verdict = iota
 	// Granted means that the request may be sent, once.
 	Granted
 	// InProgress means that another request with the key is running.
 	InProgress
-	// AlreadyRan means that a request with the key has run to its end.
+	// AlreadyRan means that a request with the key has completed.
 	AlreadyRan
-	// Unknown means that a request with the key was granted and its end was not seen.
+	// Unknown means that a request with the key was granted and its outcome is
+	// not known.
 	Unknown
 	// Mismatch means that the key was used before with another body.
 	Mismatch
 )
 
-var verdictNames = [...]string{"unavailable", "granted", "in_progress", "already_ran", "unknown", "mismatch"}
+var verdictTexts = [...]string{"unavailable", "granted", "in_progress", "already_ran", "unknown", "mismatch"}
 
-// String returns the name used in logs.
+// String returns the name used in logs and messages.
 func (v Verdict) String() string {
-	if v < 0 || int(v) >= len(verdictNames) {
+	if v < 0 || int(v) >= len(verdictTexts) {
 		return fmt.Sprintf("verdict(%d)", int(v))
 	}
-	return verdictNames[v]
+	return verdictTexts[v]
 }
 
-// ParseVerdict returns the Verdict of a name written by String; Unavailable for
-// any other.
+// ParseVerdict returns the Verdict with a name returned by String, or
+// Unavailable for any other name.
 func ParseVerdict(s string) Verdict {
-	for i, name := range verdictNames {
+	for i, name := range verdictTexts {
 		if s == name {
 			return Verdict(i)
 		}
@@ -68,23 +69,24 @@
 	return Unavailable
 }
 
-// Request asks for a claim.
+// Request is a request for a claim.
 type Request struct {
 	Key Key
-	// Stored, when set, is the key as it is stored, in the place of Key.
+	// Stored, when set, is the stored form of the key and is used instead of
+	// Key.
 	Stored string
-	// BodyHash is the digest of what the request asks for.
+	// BodyHash is the digest of the request's content.
 	BodyHash string
-	// Grant identifies the attempt that asks.
+	// Grant identifies the attempt that requests the claim.
 	Grant string
-	// Busy is how long a granted request can be in progress; after it a claim
-	// without an end counts as unknown.
+	// Busy is how long a granted request can be in progress. After that time a
+	// claim without an outcome counts as unknown.
 	Busy time.Duration
-	// Retain is how long the key is remembered.
+	// Retain is how long the key is retained.
 	Retain time.Duration
 }
 
-// StoredKey returns the key as it is stored.
+// StoredKey returns the stored form of the key.
 func (r Request) StoredKey() string {
 	if r.Stored != "" {
 		return r.Stored
@@ -92,21 +94,21 @@
 	return r.Key.String()
 }
 
-// Decision answers a Request.
+// Decision is the reply to a Request.
 type Decision struct {
 	Verdict Verdict
-	// Answer is the kept answer of AlreadyRan, if it was kept.
+	// Answer is the stored response for AlreadyRan; empty if it was not stored.
 	Answer string
-	// Grant is the grant under which the request may be sent.
+	// Grant identifies the grant under which the request may be sent.
 	Grant string
-	// Version is the version of the object that holds a granted claim, where
-	// each claim has an object of its own.
+	// Version is the version of the object that holds a granted claim, if each
+	// claim is stored in an object of its own.
 	Version int
-	// RetryAfter says when to come back, for InProgress and Unavailable.
+	// RetryAfter is the retry delay for InProgress and Unavailable.
 	RetryAfter time.Duration
 }
 
-// NewClaim returns the claim that a granted request leaves in the platform.
+// NewClaim returns the stored claim of a granted request.
 func NewClaim(now time.Time, r Request) wire.Claim {
 	return wire.Claim{
 		Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.Grant, State: wire.ClaimStateGranted,
@@ -114,17 +116,17 @@
 	}
 }
 
-// Expired reports whether a claim may be forgotten.
+// Expired reports whether the retention time of a claim has passed.
 func Expired(now time.Time, c wire.Claim) bool {
 	return now.After(time.UnixMilli(int64(c.RetainUntilMs)))
 }
 
-// Judge answers a request whose key has a claim already. The clocks of two VMs
-// differ; a wrong one only takes "unknown" for "in progress" or the reverse,
-// and neither lets the request run.
+// Judge decides on a request whose key already has a claim. Clock skew between
+// VMs can only confuse InProgress and Unknown, and neither allows the request
+// to run.
 func Judge(now time.Time, r Request, c wire.Claim) Decision {
 	if c.Grant == r.Grant {
-		return judgeOwn(c)
+		return decideOwnGrant(c)
 	}
 	if c.BodyHash != r.BodyHash {
 		return Decision{Verdict: Mismatch}
@@ -135,25 +137,26 @@
 	case wire.ClaimStateUnknown:
 		return Decision{Verdict: Unknown}
 	}
-	ends := time.UnixMilli(int64(c.GrantedMs)).Add(r.Busy)
-	if now.Before(ends) {
-		return Decision{Verdict: InProgress, RetryAfter: inProgressRetry}
+	inProgressUntil := time.UnixMilli(int64(c.GrantedMs)).Add(r.Busy)
+	if now.Before(inProgressUntil) {
+		return Decision{Verdict: InProgress, RetryAfter: inProgressRetryAfter}
 	}
 	return Decision{Verdict: Unknown}
 }
 
-// judgeOwn answers a request that finds its own grant. It is granted only while
-// nothing has been recorded of its end: a claim that was ended is not sent.
-func judgeOwn(c wire.Claim) Decision {
+// decideOwnGrant decides on a request whose own grant is stored. It is granted
+// only while no outcome is recorded: a request whose claim has an outcome must
+// not be sent.
+func decideOwnGrant(c wire.Claim) Decision {
 	if c.State == wire.ClaimStateGranted {
 		return Decision{Verdict: Granted, Grant: c.Grant}
 	}
 	return Decision{Verdict: Unavailable, RetryAfter: UnavailableRetry}
 }
 
-// Retry hints.
+// Retry delays returned to callers.
 const (
-	// UnavailableRetry is the hint while no claim can be granted.
-	UnavailableRetry = time.Second
-	inProgressRetry  = time.Second
+	// UnavailableRetry is the retry delay for Unavailable.
+	UnavailableRetry     = time.Second
+	inProgressRetryAfter = time.Second
 )
--- a/dedup/history_test.go
+++ b/dedup/history_test.go
@@ -13,62 +13,63 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// variant is a way to break the protocol, to show that the checker sees it.
+// variant selects a correct or a deliberately broken protocol. The broken ones
+// show that the checker detects violations.
 type variant int
 
 const (
-	sound variant = iota
-	// grantEarly tells the caller before the update has been answered.
-	grantEarly
-	// noFence writes the head whatever its version.
-	noFence
+	correct variant = iota
+	// grantBeforeCommit reports a grant before the response to the update.
+	grantBeforeCommit
+	// unconditionalWrite writes the head whatever its version.
+	unconditionalWrite
 )
 
-// opKind is what an operation of the history does.
-type opKind int
+// operationKind is the type of an operation in the history.
+type operationKind int
 
 const (
-	opClaim opKind = iota
-	// opOrphan is the update of a refused claim, which may take effect late.
-	opOrphan
+	opClaim operationKind = iota
+	// opLateGrant is the update of a refused claim, which may take effect late.
+	opLateGrant
 	opRelease
-	opSettle
+	opFinish
 )
 
-// op is the input of one operation on one key.
-type op struct {
-	kind  opKind
+// operation is the input of one operation on one key.
+type operation struct {
+	kind  operationKind
 	key   int
 	grant string
 }
 
-// keyState is the state of one key in the model: free, held or ended.
+// keyState is the state of one key in the model: free, granted or finished.
 type keyState struct {
-	grant string
-	ended bool
+	grant    string
+	finished bool
 }
 
-// model is what a claim may be told: granted only while the key is free, and
-// refused as used only while it is not. Releases and the late effects of
-// refused claims happen at some time after they are asked for, or never.
+// model defines the permitted verdicts: a claim is granted only while the key
+// is free, and refused as used only while it is not. Releases and late effects
+// of refused claims occur at any time after the call, or never.
 var model = (&porcupine.NondeterministicModel{
-	Partition: byKey,
+	Partition: partitionByKey,
 	Init:      func() []any { return []any{keyState{}} },
-	Step:      func(s, in, out any) []any { return stepModel(s.(keyState), in.(op), out.(dedup.Verdict)) },
+	Step:      func(s, in, out any) []any { return stepModel(s.(keyState), in.(operation), out.(dedup.Verdict)) },
 }).ToModel()
 
-func byKey(history []porcupine.Operation) [][]porcupine.Operation {
+func partitionByKey(history []porcupine.Operation) [][]porcupine.Operation {
 	parts := make([][]porcupine.Operation, simKeys)
 	for _, o := range history {
-		key := o.Input.(op).key
+		key := o.Input.(operation).key
 		parts[key] = append(parts[key], o)
 	}
 	return parts
 }
 
-func stepModel(s keyState, in op, out dedup.Verdict) []any {
+func stepModel(s keyState, in operation, out dedup.Verdict) []any {
 	free := s.grant == ""
-	mine := s.grant == in.grant && !s.ended
+	heldByGrant := s.grant == in.grant && !s.finished
 	switch in.kind {
 	case opClaim:
 		switch out {
@@ -84,74 +85,74 @@
 			return nil
 		}
 		return []any{s}
-	case opOrphan:
+	case opLateGrant:
 		if free {
 			return []any{s, keyState{grant: in.grant}}
 		}
 	case opRelease:
-		if mine {
+		if heldByGrant {
 			return []any{s, keyState{}}
 		}
-	case opSettle:
-		if mine {
-			return []any{s, keyState{grant: s.grant, ended: true}}
+	case opFinish:
+		if heldByGrant {
+			return []any{s, keyState{grant: s.grant, finished: true}}
 		}
 	}
 	return []any{s}
 }
 
 const (
-	simKeys   = 3
-	simNodes  = 3
-	simSteps  = 120
-	simClaims = 24
-	never     = int64(1) << 40
+	simKeys       = 3
+	simNodes      = 3
+	simSteps      = 120
+	simClaims     = 24
+	neverReturned = int64(1) << 40
 )
 
 // node is one VM that writes the shard.
 type node struct {
 	shard *dedup.Shard
-	// answer, when set, is what the node learns of its update when it goes on;
-	// until then it is paused.
-	answer func()
-	asleep int
+	// receiveResponse, when set, delivers the response to the node's update. The
+	// node is paused until then.
+	receiveResponse func()
+	pausedUntil     int
 }
 
-// ask is a claim that a caller waits for.
-type ask struct {
-	request dedup.Request
-	key     int
-	node    int
-	called  int64
+// pendingClaim is a claim that a caller waits for.
+type pendingClaim struct {
+	request  dedup.Request
+	key      int
+	node     int
+	calledAt int64
 }
 
 // lateUpdate is an update that reaches the store long after it was sent.
 type lateUpdate struct {
-	at    int
-	batch dedup.Batch
+	deliveryStep int
+	batch        dedup.Batch
 }
 
-// sim runs claims on several VMs over one store.
+// sim simulates claims on several VMs with one store.
 type sim struct {
-	t       *testing.T
-	rng     *rand.Rand
-	variant variant
-	store   *objects
-	nodes   [simNodes]*node
-	asks    map[string]ask
-	held    []ask
-	late    []lateUpdate
-	history []porcupine.Operation
-	runs    map[int]int
-	now     time.Time
-	clock   int64
-	grants  int
+	t           *testing.T
+	rng         *rand.Rand
+	variant     variant
+	store       *memoryStore
+	nodes       [simNodes]*node
+	pending     map[string]pendingClaim
+	granted     []pendingClaim
+	lateUpdates []lateUpdate
+	history     []porcupine.Operation
+	runs        map[int]int
+	now         time.Time
+	logicalTime int64
+	grantCount  int
 }
 
 func newSim(t *testing.T, seed uint64, v variant) *sim {
 	s := &sim{
-		t: t, rng: rand.New(rand.NewPCG(seed, 5)), variant: v, store: newObjects(),
-		asks: make(map[string]ask), runs: make(map[int]int), now: start,
+		t: t, rng: rand.New(rand.NewPCG(seed, 5)), variant: v, store: newMemoryStore(),
+		pending: make(map[string]pendingClaim), runs: make(map[int]int), now: start,
 	}
 	for i := range s.nodes {
 		s.nodes[i] = &node{shard: &dedup.Shard{HeadClaims: 4}}
@@ -160,207 +161,208 @@
 }
 
 func (s *sim) tick() int64 {
-	s.clock++
-	return s.clock
+	s.logicalTime++
+	return s.logicalTime
 }
 
-func (s *sim) record(o op, called, returned int64, v dedup.Verdict) {
-	s.history = append(s.history, porcupine.Operation{ClientId: len(s.history), Input: o, Call: called, Output: v, Return: returned})
+func (s *sim) record(o operation, calledAt, returnedAt int64, v dedup.Verdict) {
+	s.history = append(s.history, porcupine.Operation{ClientId: len(s.history), Input: o, Call: calledAt, Output: v, Return: returnedAt})
 }
 
-// later records an operation that takes effect at some time from now on.
-func (s *sim) later(kind opKind, a ask, called int64) {
-	s.record(op{kind: kind, key: a.key, grant: a.request.Grant}, called, never, dedup.Unavailable)
+// recordDeferred records an operation that may take effect at any later time.
+func (s *sim) recordDeferred(kind operationKind, claim pendingClaim, calledAt int64) {
+	s.record(operation{kind: kind, key: claim.key, grant: claim.request.Grant}, calledAt, neverReturned, dedup.Unavailable)
 }
 
 func (s *sim) run() {
 	for step := range simSteps {
 		s.now = s.now.Add(time.Duration(s.rng.IntN(300)) * time.Millisecond)
-		s.deliverLate(step)
+		s.deliverLateUpdates(step)
 		switch i := s.rng.IntN(simNodes); s.rng.IntN(5) {
 		case 0:
-			s.ask(i)
+			s.submitClaim(i)
 		case 1:
-			s.endOne()
+			s.finishGranted()
 		case 2:
-			s.cancelOne()
+			s.cancelPending()
 		default:
-			s.work(step, i)
+			s.stepNode(step, i)
 		}
 	}
 }
 
-// ask sends a claim to a node.
-func (s *sim) ask(i int) {
-	if s.grants >= simClaims {
+// submitClaim submits a claim to a node.
+func (s *sim) submitClaim(i int) {
+	if s.grantCount >= simClaims {
 		return
 	}
-	s.grants++
+	s.grantCount++
 	key := s.rng.IntN(simKeys)
-	a := ask{request: request(key, s.grants), key: key, node: i, called: s.tick()}
-	d, settled := s.nodes[i].shard.Propose(s.now, a.request)
-	if settled {
-		s.answered(a, d)
+	claim := pendingClaim{request: request(key, s.grantCount), key: key, node: i, calledAt: s.tick()}
+	d, decided := s.nodes[i].shard.Propose(s.now, claim.request)
+	if decided {
+		s.recordDecision(claim, d)
 		return
 	}
-	s.asks[a.request.Grant] = a
+	s.pending[claim.request.Grant] = claim
 }
 
-// answered tells the caller.
-func (s *sim) answered(a ask, d dedup.Decision) {
-	delete(s.asks, a.request.Grant)
-	s.record(op{kind: opClaim, key: a.key, grant: a.request.Grant}, a.called, s.tick(), d.Verdict)
+// recordDecision records the decision that the caller receives.
+func (s *sim) recordDecision(claim pendingClaim, d dedup.Decision) {
+	delete(s.pending, claim.request.Grant)
+	s.record(operation{kind: opClaim, key: claim.key, grant: claim.request.Grant}, claim.calledAt, s.tick(), d.Verdict)
 	switch d.Verdict {
 	case dedup.Granted:
-		s.held = append(s.held, a)
+		s.granted = append(s.granted, claim)
 	case dedup.Unavailable:
-		s.later(opOrphan, a, a.called)
-		s.later(opRelease, a, a.called)
+		s.recordDeferred(opLateGrant, claim, claim.calledAt)
+		s.recordDeferred(opRelease, claim, claim.calledAt)
 	}
 }
 
-func (s *sim) replies(replies []dedup.Reply) {
+func (s *sim) recordReplies(replies []dedup.Reply) {
 	for _, r := range replies {
-		if a, waits := s.asks[r.Grant]; waits {
-			s.answered(a, r.Decision)
+		if claim, waits := s.pending[r.Grant]; waits {
+			s.recordDecision(claim, r.Decision)
 		}
 	}
 }
 
-// endOne lets the holder of a grant run the request, give it up or die.
-func (s *sim) endOne() {
-	if len(s.held) == 0 {
+// finishGranted completes a granted request, cancels it or simulates a crash
+// of its VM.
+func (s *sim) finishGranted() {
+	if len(s.granted) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(s.held))
-	a := s.held[i]
-	s.held = append(s.held[:i], s.held[i+1:]...)
+	i := s.rng.IntN(len(s.granted))
+	claim := s.granted[i]
+	s.granted = append(s.granted[:i], s.granted[i+1:]...)
 	shard := s.nodes[s.rng.IntN(simNodes)].shard
 	switch s.rng.IntN(4) {
 	case 0:
-		s.later(opRelease, a, s.tick())
-		shard.Cancel(s.now, a.request)
-	case 1: // dies after it has sent the request
-		s.runs[a.key]++
+		s.recordDeferred(opRelease, claim, s.tick())
+		shard.Cancel(s.now, claim.request)
+	case 1: // the VM crashes after it has sent the request
+		s.runs[claim.key]++
 	default:
-		s.runs[a.key]++
-		s.later(opSettle, a, s.tick())
-		shard.Settle(s.now, a.request, wire.ClaimStateDone, "")
+		s.runs[claim.key]++
+		s.recordDeferred(opFinish, claim, s.tick())
+		shard.Settle(s.now, claim.request, wire.ClaimStateDone, "")
 	}
 }
 
-// cancelOne lets a caller's wait end before its answer.
-func (s *sim) cancelOne() {
-	for _, grant := range s.waitingGrants() {
-		a := s.asks[grant]
-		s.nodes[a.node].shard.Cancel(s.now, a.request)
-		s.answered(a, dedup.Decision{Verdict: dedup.Unavailable})
+// cancelPending cancels a caller's wait before the decision.
+func (s *sim) cancelPending() {
+	for _, grant := range s.pendingGrants() {
+		claim := s.pending[grant]
+		s.nodes[claim.node].shard.Cancel(s.now, claim.request)
+		s.recordDecision(claim, dedup.Decision{Verdict: dedup.Unavailable})
 		return
 	}
 }
 
-func (s *sim) waitingGrants() []string {
+func (s *sim) pendingGrants() []string {
 	var grants []string
-	for g := 1; g <= s.grants; g++ {
-		if _, ok := s.asks[fmt.Sprint("g", g)]; ok {
+	for g := 1; g <= s.grantCount; g++ {
+		if _, ok := s.pending[fmt.Sprint("g", g)]; ok {
 			grants = append(grants, fmt.Sprint("g", g))
 		}
 	}
 	return grants
 }
 
-// work lets a node take one step.
-func (s *sim) work(step, i int) {
+// stepNode runs one step of a node.
+func (s *sim) stepNode(step, i int) {
 	n := s.nodes[i]
-	if n.asleep > step {
+	if n.pausedUntil > step {
 		return
 	}
-	if n.answer != nil {
-		n.answer()
-		n.answer = nil
+	if n.receiveResponse != nil {
+		n.receiveResponse()
+		n.receiveResponse = nil
 		return
 	}
 	if !n.shard.Loaded() {
-		s.replies(s.store.load(s.now, n.shard))
+		s.recordReplies(s.store.load(s.now, n.shard))
 		return
 	}
-	s.store.tidy(s.now, n.shard)
+	s.store.maintain(s.now, n.shard)
 	if n.shard.Work() {
-		s.update(step, n)
+		s.sendUpdate(step, n)
 	}
 }
 
-// update sends one update; its fate is drawn.
-func (s *sim) update(step int, n *node) {
+// sendUpdate sends one update with a randomly chosen result.
+func (s *sim) sendUpdate(step int, n *node) {
 	b := n.shard.Next(s.now)
-	if s.variant == noFence {
+	if s.variant == unconditionalWrite {
 		b.IfVersion = s.store.version
 	}
-	if s.variant == grantEarly {
-		for _, grant := range s.waitingGrants() {
-			if a := s.asks[grant]; s.nodes[a.node] == n && granted(b, a) {
-				s.answered(a, dedup.Decision{Verdict: dedup.Granted, Grant: grant})
+	if s.variant == grantBeforeCommit {
+		for _, grant := range s.pendingGrants() {
+			if claim := s.pending[grant]; s.nodes[claim.node] == n && batchContains(b, claim) {
+				s.recordDecision(claim, dedup.Decision{Verdict: dedup.Granted, Grant: grant})
 			}
 		}
 	}
 	switch s.rng.IntN(10) {
-	case 0: // no effect, and the node knows
+	case 0: // no effect, and the node receives the error
 		n.shard.Failed()
-		s.replies(n.shard.Refuse(s.now))
-	case 1: // no effect, and the node does not know
-		s.lost(n)
-	case 2: // takes effect late
-		s.late = append(s.late, lateUpdate{at: step + s.rng.IntN(30), batch: b})
-		s.lost(n)
-	case 3: // takes effect, the answer is lost
+		s.recordReplies(n.shard.Refuse(s.now))
+	case 1: // no effect, and the response is lost
+		s.loseResponse(n)
+	case 2: // takes effect late, and the response is lost
+		s.lateUpdates = append(s.lateUpdates, lateUpdate{deliveryStep: step + s.rng.IntN(30), batch: b})
+		s.loseResponse(n)
+	case 3: // takes effect, and the response is lost
 		s.store.put(b)
-		s.lost(n)
+		s.loseResponse(n)
 	default:
 		won := s.store.put(b)
 		version := s.store.version
-		n.answer = func() { s.learn(n, won, version) }
-		n.asleep = step + s.rng.IntN(12)
+		n.receiveResponse = func() { s.handleResponse(n, won, version) }
+		n.pausedUntil = step + s.rng.IntN(12)
 	}
 }
 
-func granted(b dedup.Batch, a ask) bool {
+func batchContains(b dedup.Batch, claim pendingClaim) bool {
 	for _, c := range b.Recent {
-		if c.Grant == a.request.Grant {
+		if c.Grant == claim.request.Grant {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *sim) lost(n *node) {
+func (s *sim) loseResponse(n *node) {
 	n.shard.Unsure()
 }
 
-// learn gives the node the answer to its update.
-func (s *sim) learn(n *node, won bool, version int) {
+// handleResponse processes the response to a node's update.
+func (s *sim) handleResponse(n *node, won bool, version int) {
 	if !won {
 		n.shard.Unsure()
 		return
 	}
-	s.replies(n.shard.Committed(s.now, version))
+	s.recordReplies(n.shard.Committed(s.now, version))
 }
 
-func (s *sim) deliverLate(step int) {
-	kept := s.late[:0]
-	for _, u := range s.late {
-		if u.at > step {
-			kept = append(kept, u)
+func (s *sim) deliverLateUpdates(step int) {
+	undelivered := s.lateUpdates[:0]
+	for _, u := range s.lateUpdates {
+		if u.deliveryStep > step {
+			undelivered = append(undelivered, u)
 			continue
 		}
 		s.store.put(u.batch)
 	}
-	s.late = kept
+	s.lateUpdates = undelivered
 }
 
-// finish gives the calls that were never answered an open end.
-func (s *sim) finish() {
-	for _, grant := range s.waitingGrants() {
-		s.answered(s.asks[grant], dedup.Decision{Verdict: dedup.Unavailable})
+// closePending records the calls without a decision as unavailable.
+func (s *sim) closePending() {
+	for _, grant := range s.pendingGrants() {
+		s.recordDecision(s.pending[grant], dedup.Decision{Verdict: dedup.Unavailable})
 	}
 }
 
@@ -376,35 +378,35 @@
 
 const simHistories = 3000
 
-// TestClaimsUnderFailure runs claims of few keys on three VMs that all write
-// the shard, while updates fail, their answers are lost, updates take effect
-// long after they were sent, and VMs are paused before they learn what became
-// of their update. No key may run twice, and each history must be one that the
-// model allows.
-func TestClaimsUnderFailure(t *testing.T) {
+// TestNoKeyRunsTwiceUnderFaults runs claims of few keys on three VMs that all
+// write the shard. Updates fail, lose their responses or take effect long
+// after they were sent, and VMs are paused before they receive a response. No
+// key may run twice, and the model must permit each history.
+func TestNoKeyRunsTwiceUnderFaults(t *testing.T) {
 	for seed := range uint64(simHistories) {
-		s := newSim(t, seed, sound)
+		s := newSim(t, seed, correct)
 		s.run()
-		s.finish()
+		s.closePending()
 		require.True(t, s.atMostOnce(), "seed %d", seed)
 		require.True(t, porcupine.CheckOperations(model, s.history), "seed %d", seed)
 	}
 }
 
-// TestBrokenClaimsAreCaught: with any of these parts of the protocol left out,
-// a history breaks the model, so that the check can fail.
-func TestBrokenClaimsAreCaught(t *testing.T) {
-	for name, v := range map[string]variant{"granted before the answer": grantEarly, "no fence": noFence} {
+// TestCheckerFindsBrokenProtocol checks that omitting either part of the
+// protocol produces a history that violates the model, so the checker is able
+// to fail.
+func TestCheckerFindsBrokenProtocol(t *testing.T) {
+	for name, v := range map[string]variant{"grant before commit": grantBeforeCommit, "unconditional write": unconditionalWrite} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(simHistories) {
 				s := newSim(t, seed, v)
 				s.run()
-				s.finish()
+				s.closePending()
 				if !s.atMostOnce() && !porcupine.CheckOperations(model, s.history) {
 					return
 				}
 			}
-			t.Fatal("no history broke the promise: the check can not fail")
+			t.Fatal("no broken history was detected: the checker can not fail")
 		})
 	}
 }
--- a/dedup/segment.go
+++ b/dedup/segment.go
@@ -7,16 +7,16 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Seal is the older claims of a head on their way to a segment. The segment is
-// stored beside the running batches; the batch after it refers to it.
+// Seal holds the older claims of a head that move to a segment. The segment is
+// stored concurrently with batches; the next batch after that refers to it.
 type Seal struct {
 	Name string
 	// Claims is the content of the segment.
-	Claims []wire.Claim
-	taken  []wire.Claim
+	Claims  []wire.Claim
+	covered []wire.Claim
 }
 
-// Merge is several small segments on their way to one.
+// Merge holds several small segments that are merged into one.
 type Merge struct {
 	Name string
 	Old  []wire.ShardSegment
@@ -24,51 +24,53 @@
 	Claims []wire.Claim
 }
 
-// BeginSeal returns the claims to store as a segment, when the head has grown
-// to its bound.
+// BeginSeal returns the claims to store as a segment, if the head has reached
+// its maximum size.
 func (s *Shard) BeginSeal(now time.Time, name func() string) (*Seal, bool) {
-	if !s.loaded || s.seal != nil || len(s.recent) < s.headClaims() {
+	if !s.loaded || s.storedSeal != nil || len(s.recent) < s.maxHeadClaims() {
 		return nil, false
 	}
-	taken := slices.Clone(s.recent[:len(s.recent)-s.headClaims()/keptShare])
-	return &Seal{Name: name(), Claims: compact(now, taken), taken: taken}, true
+	covered := slices.Clone(s.recent[:len(s.recent)-s.maxHeadClaims()/unsealedDivisor])
+	return &Seal{Name: name(), Claims: compactClaims(now, covered), covered: covered}, true
 }
 
-// Sealed notes that a segment has been stored.
-func (s *Shard) Sealed(seal *Seal) { s.seal = seal }
+// Sealed records that the segment of a Seal has been stored.
+func (s *Shard) Sealed(seal *Seal) { s.storedSeal = seal }
 
-// Full reports whether the head has grown so far beyond its bound that it must
-// not take in more before it has been sealed.
-func (s *Shard) Full() bool { return len(s.recent) >= fullHeads*s.headClaims() }
+// Full reports whether the head is so far above its maximum size that it must
+// be sealed before it accepts more claims.
+func (s *Shard) Full() bool { return len(s.recent) >= maxUnsealedHeads*s.maxHeadClaims() }
 
-// takeSeal lets a batch refer to the sealed segment. Claims that have changed
-// since they were sealed stay in the head, behind the segment. When the head is
-// another one than was sealed, the segment is dropped.
-func (s *Shard) takeSeal(b *Batch) {
-	seal := s.seal
-	s.seal = nil
+// applySeal makes a batch refer to the stored segment of a Seal. Claims whose
+// state changed after sealing stay in the head, whose records override those
+// of segments. If the head no longer begins with the sealed claims, the
+// segment becomes obsolete.
+func (s *Shard) applySeal(b *Batch) {
+	seal := s.storedSeal
+	s.storedSeal = nil
 	if seal == nil {
 		return
 	}
 	b.seal = seal
-	if !startsWith(b.Recent, seal.taken) {
+	if !hasClaimPrefix(b.Recent, seal.covered) {
 		b.Drop = append(b.Drop, seal.Name)
 		return
 	}
 	segment := wire.ShardSegment{Name: seal.Name, Claims: len(seal.Claims)}
 	var kept []wire.Claim
-	for i, c := range seal.taken {
+	for i, c := range seal.covered {
 		segment.RetainUntilMs = max(segment.RetainUntilMs, c.RetainUntilMs)
 		if b.Recent[i].State != c.State {
 			kept = append(kept, b.Recent[i])
 		}
 	}
 	b.Segments = append(slices.Clone(b.Segments), segment)
-	b.Recent = append(kept, b.Recent[len(seal.taken):]...)
+	b.Recent = append(kept, b.Recent[len(seal.covered):]...)
 }
 
-// startsWith reports whether the claims begin with those of the same grants.
-func startsWith(claims, prefix []wire.Claim) bool {
+// hasClaimPrefix reports whether claims begins with the keys and grants of
+// prefix.
+func hasClaimPrefix(claims, prefix []wire.Claim) bool {
 	if len(claims) < len(prefix) {
 		return false
 	}
@@ -80,55 +82,56 @@
 	return true
 }
 
-// BeginMerge returns the small segments that are worth merging, oldest first;
-// they stand next to each other.
+// BeginMerge returns adjacent small segments that are to be merged, oldest
+// first.
 func (s *Shard) BeginMerge() []wire.ShardSegment {
-	if !s.loaded || s.merge != nil {
+	if !s.loaded || s.storedMerge != nil {
 		return nil
 	}
 	var run []wire.ShardSegment
-	bound := segmentHeads * s.headClaims()
+	maxClaims := maxMergedHeads * s.maxHeadClaims()
 	total := 0
 	for _, seg := range s.segments {
-		if total+seg.Claims > bound {
+		if total+seg.Claims > maxClaims {
 			run, total = nil, 0
 		}
 		run = append(run, seg)
 		total += seg.Claims
-		if len(run) == mergeCount || len(run) > 1 && total > bound*3/4 {
+		if len(run) == maxMergeSources || len(run) > 1 && total > maxClaims*3/4 {
 			return run
 		}
 	}
 	return nil
 }
 
-// NewMerge returns the one segment that takes the place of old ones, whose
-// contents are given in order.
-func NewMerge(now time.Time, old []wire.ShardSegment, contents [][]wire.Claim, name string) *Merge {
-	return &Merge{Name: name, Old: old, Claims: compact(now, slices.Concat(contents...))}
+// NewMerge returns the Merge of source segments, whose contents are given in
+// the same order.
+func NewMerge(now time.Time, sources []wire.ShardSegment, contents [][]wire.Claim, name string) *Merge {
+	return &Merge{Name: name, Old: sources, Claims: compactClaims(now, slices.Concat(contents...))}
 }
 
-// Merged notes that a merged segment has been stored.
-func (s *Shard) Merged(m *Merge) { s.merge = m }
+// Merged records that the segment of a Merge has been stored.
+func (s *Shard) Merged(m *Merge) { s.storedMerge = m }
 
-// takeMerge lets a batch refer to the merged segment in the place of the old
-// ones. When those do not stand there any more, the merged one is dropped.
-func (s *Shard) takeMerge(b *Batch) {
-	m := s.merge
-	s.merge = nil
+// applyMerge replaces the source segments in a batch with the merged segment.
+// If the batch no longer contains the sources in sequence, the merged segment
+// becomes obsolete.
+func (s *Shard) applyMerge(b *Batch) {
+	m := s.storedMerge
+	s.storedMerge = nil
 	if m == nil {
 		return
 	}
 	b.merge = m
-	at := slices.Index(b.Segments, m.Old[0])
-	if at < 0 || at+len(m.Old) > len(b.Segments) || !slices.Equal(b.Segments[at:at+len(m.Old)], m.Old) {
+	first := slices.Index(b.Segments, m.Old[0])
+	if first < 0 || first+len(m.Old) > len(b.Segments) || !slices.Equal(b.Segments[first:first+len(m.Old)], m.Old) {
 		b.Drop = append(b.Drop, m.Name)
 		return
 	}
 	segment := wire.ShardSegment{Name: m.Name, Claims: len(m.Claims)}
-	for _, old := range m.Old {
-		segment.RetainUntilMs = max(segment.RetainUntilMs, old.RetainUntilMs)
-		b.Drop = append(b.Drop, old.Name)
+	for _, source := range m.Old {
+		segment.RetainUntilMs = max(segment.RetainUntilMs, source.RetainUntilMs)
+		b.Drop = append(b.Drop, source.Name)
 	}
-	b.Segments = slices.Replace(slices.Clone(b.Segments), at, at+len(m.Old), segment)
+	b.Segments = slices.Replace(slices.Clone(b.Segments), first, first+len(m.Old), segment)
 }
--- a/dedup/shard.go
+++ b/dedup/shard.go
@@ -7,39 +7,42 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Bounds of a shard.
+// Limits of a shard.
 const (
-	// defaultHeadClaims is how many claims the head holds before the older ones
-	// are sealed in a segment; a keptShare of them stays, with their answers.
-	// The head is written with every batch, so that it must be small.
-	defaultHeadClaims = 1500
-	keptShare         = 5
-	// headAnswerBytes bounds the kept answers in the head.
-	headAnswerBytes = 64 << 10
-	// segmentHeads is the size up to which segments are merged, in heads: 6,000
-	// claims of about 130 bytes, against the platform's limit of a megabyte a
-	// value.
-	segmentHeads = 4
-	// fullHeads is how many times its bound a head may grow while its sealing
-	// is under way.
-	fullHeads = 3
-	// mergeCount is how many small segments are merged at once.
-	mergeCount = 8
-	// cancelMemory is how long a withdrawn request is remembered: an update
-	// whose answer was lost may take effect late and grant it.
-	cancelMemory = time.Minute
+	// defaultMaxHeadClaims is the number of claims at which the older claims of
+	// the head are sealed in a segment. A fifth of the claims
+	// (1/unsealedDivisor) stays in the head, with the stored responses. The head
+	// must be small because every batch writes all of it.
+	defaultMaxHeadClaims = 1500
+	unsealedDivisor      = 5
+	// maxHeadResponseBytes limits the total size of stored responses in the
+	// head.
+	maxHeadResponseBytes = 64 << 10
+	// maxMergedHeads limits the size of a merged segment, in heads: 6,000 claims
+	// of about 130 bytes fit the platform's limit of one megabyte per value.
+	maxMergedHeads = 4
+	// maxUnsealedHeads limits the size of a head during sealing, as a multiple
+	// of its maximum size.
+	maxUnsealedHeads = 3
+	// maxMergeSources is the maximum number of segments merged at once.
+	maxMergeSources = 8
+	// cancelRetention is how long a canceled request is retained: an update
+	// whose response was lost may take effect late and grant the request.
+	cancelRetention = time.Minute
 )
 
-// Shard is one slice of the space of idempotency keys. Claims are granted in
-// batches: one conditional update of the shard's head grants all that wait. The
-// head's version is the fence, so that any VM may write the shard, one that was
-// paused too: of two writers at one version one wins, and the other reads the
-// shard anew. Who owns the shard only decides how often that happens.
+// Shard is one partition of the idempotency keys. It grants claims in batches:
+// one conditional update of the shard's head grants all waiting requests. The
+// head's version is the fencing token, so any VM may write the shard,
+// including one that was paused. Of two writers with the same version one
+// wins, and the other reloads the shard. Shard ownership only reduces the
+// number of such conflicts.
 //
-// The zero value has to Load first. A Shard is not safe for use by several
-// goroutines at once.
+// The zero value must be loaded with Load first. A Shard is not safe for
+// concurrent use.
 type Shard struct {
-	// HeadClaims replaces the bound on the claims of the head, when not 0.
+	// HeadClaims, when not 0, replaces the default maximum number of claims in
+	// the head.
 	HeadClaims int
 
 	loaded   bool
@@ -47,26 +50,27 @@
 	segments []wire.ShardSegment
 	recent   []wire.Claim
 	index    map[string]wire.Claim
-	// confirmed is when the shard was last known to be as the platform has it.
-	confirmed time.Time
+	// syncedAt is when the copy was last confirmed to match the platform.
+	syncedAt time.Time
 
 	waiting  []Request
-	changes  []wire.Claim
+	outcomes []wire.Claim
 	inFlight *Batch
-	// canceled has the withdrawn requests by their grants.
-	canceled map[string]withdrawal
-	// seal and merge are stored and wait for the next batch to refer to them.
-	seal  *Seal
-	merge *Merge
+	// canceled holds the canceled requests by grant.
+	canceled map[string]canceledRequest
+	// storedSeal and storedMerge are stored segments that the next batch will
+	// refer to.
+	storedSeal  *Seal
+	storedMerge *Merge
 }
 
-// withdrawal is a request that nobody waits for any more.
-type withdrawal struct {
-	request Request
-	at      time.Time
+// canceledRequest is a request whose caller no longer waits for it.
+type canceledRequest struct {
+	request    Request
+	canceledAt time.Time
 }
 
-// Reply answers a Request that waited.
+// Reply is the decision on a waiting Request.
 type Reply struct {
 	Grant    string
 	Decision Decision
@@ -74,43 +78,45 @@
 
 // Batch is one update of the head.
 type Batch struct {
-	// IfVersion is the version that the update is conditional on.
+	// IfVersion is the head version required for the update to take effect.
 	IfVersion int
 	Segments  []wire.ShardSegment
 	Recent    []wire.Claim
-	// Drop names the segments that are of no more use once the update has won.
+	// Drop lists the segments that are obsolete once the update has taken
+	// effect.
 	Drop []string
 
-	granted []Request
-	changes []wire.Claim
-	seal    *Seal
-	merge   *Merge
+	granted  []Request
+	outcomes []wire.Claim
+	seal     *Seal
+	merge    *Merge
 }
 
-// Loaded reports whether the shard is as the platform had it when it was read.
+// Loaded reports whether the shard's copy can be used without reloading it.
 func (s *Shard) Loaded() bool { return s.loaded }
 
-// Waiting returns how many requests wait for a batch.
+// Waiting returns the number of requests waiting for a batch.
 func (s *Shard) Waiting() int { return len(s.waiting) }
 
-// Claims returns how many keys the shard remembers.
+// Claims returns the number of keys in memory.
 func (s *Shard) Claims() int { return len(s.index) }
 
-// Confirmed returns when the shard was last known to be as the platform has it.
-func (s *Shard) Confirmed() time.Time { return s.confirmed }
+// Confirmed returns when the copy was last confirmed to match the platform.
+func (s *Shard) Confirmed() time.Time { return s.syncedAt }
 
-func (s *Shard) headClaims() int {
+func (s *Shard) maxHeadClaims() int {
 	if s.HeadClaims > 0 {
 		return s.HeadClaims
 	}
-	return defaultHeadClaims
+	return defaultMaxHeadClaims
 }
 
-// Missing returns the segments that Load needs beside a head. When the head
-// does not just extend what is loaded, the shard forgets all and needs all.
+// Missing returns the names of the segments that Load needs in addition to a
+// head. If the head's segments do not extend the loaded ones, the shard
+// discards its copy and needs all segments.
 func (s *Shard) Missing(head wire.ShardHead) []string {
-	// The oldest segments may have been dropped since, as their claims may be
-	// forgotten.
+	// Another VM may have removed the oldest segments after all of their claims
+	// expired.
 	for len(s.segments) > 0 && (len(head.Segments) == 0 || s.segments[0] != head.Segments[0]) {
 		s.segments = s.segments[1:]
 	}
@@ -125,43 +131,44 @@
 	return names
 }
 
-// Load takes in the shard as the platform holds it: the head at a version, its
-// unpacked recent claims and the segments that Missing named. It returns the
-// replies to requests that the content settles.
+// Load replaces the shard's copy with the platform's content: the head at a
+// version, its unpacked recent claims and the segments named by Missing. It
+// returns the replies to requests that this content decides.
 func (s *Shard) Load(now time.Time, version int, head wire.ShardHead, recent []wire.Claim, segments map[string][]wire.Claim) []Reply {
 	if s.index == nil {
 		s.index = make(map[string]wire.Claim)
 	}
 	for _, seg := range head.Segments[len(s.segments):] {
-		s.apply(segments[seg.Name])
+		s.applyClaims(segments[seg.Name])
 	}
-	s.apply(recent)
-	s.loaded, s.version, s.confirmed = true, version, now
+	s.applyClaims(recent)
+	s.loaded, s.version, s.syncedAt = true, version, now
 	s.segments, s.recent = head.Segments, recent
-	s.putBack()
-	s.undoCanceled(now)
-	return s.sweep(now)
+	s.requeueInFlight()
+	s.releaseCanceled(now)
+	return s.decideWaiting(now)
 }
 
-// putBack returns what was in flight to the queue: its fate shows in what was
-// loaded.
-func (s *Shard) putBack() {
+// requeueInFlight moves the in-flight batch back to the queues. The next Load
+// shows whether the update took effect.
+func (s *Shard) requeueInFlight() {
 	if s.inFlight == nil {
 		return
 	}
 	s.waiting = append(s.inFlight.granted, s.waiting...)
-	s.changes = append(s.inFlight.changes, s.changes...)
+	s.outcomes = append(s.inFlight.outcomes, s.outcomes...)
 	if s.inFlight.seal != nil {
-		s.seal = s.inFlight.seal
+		s.storedSeal = s.inFlight.seal
 	}
 	if s.inFlight.merge != nil {
-		s.merge = s.inFlight.merge
+		s.storedMerge = s.inFlight.merge
 	}
 	s.inFlight = nil
 }
 
-// apply brings the index up to date with claims in the order of recording.
-func (s *Shard) apply(claims []wire.Claim) {
+// applyClaims updates the index with claims in the order in which they were
+// recorded.
+func (s *Shard) applyClaims(claims []wire.Claim) {
 	for _, c := range claims {
 		if c.State != wire.ClaimStateReleased {
 			s.index[c.Key] = c
@@ -173,17 +180,18 @@
 	}
 }
 
-// Propose takes in a request. It is answered at once when its key has been
-// used; otherwise it waits for a batch and settled is false.
-func (s *Shard) Propose(now time.Time, r Request) (d Decision, settled bool) {
-	if d, ok := s.judge(now, r); ok && s.loaded {
+// Propose submits a request. If its key is already used, the decision is
+// returned at once; otherwise the request waits for a batch and decided is
+// false.
+func (s *Shard) Propose(now time.Time, r Request) (d Decision, decided bool) {
+	if d, ok := s.decide(now, r); ok && s.loaded {
 		return d, true
 	}
 	s.waiting = append(s.waiting, r)
 	return Decision{}, false
 }
 
-func (s *Shard) judge(now time.Time, r Request) (Decision, bool) {
+func (s *Shard) decide(now time.Time, r Request) (Decision, bool) {
 	c, used := s.index[r.StoredKey()]
 	if !used || Expired(now, c) {
 		return Decision{}, false
@@ -191,15 +199,15 @@
 	return Judge(now, r, c), true
 }
 
-// sweep answers the waiting requests whose keys have been used.
-func (s *Shard) sweep(now time.Time) []Reply {
+// decideWaiting replies to the waiting requests whose keys are already used.
+func (s *Shard) decideWaiting(now time.Time) []Reply {
 	var replies []Reply
 	kept := s.waiting[:0]
 	for _, r := range s.waiting {
 		if _, canceled := s.canceled[r.Grant]; canceled {
 			continue
 		}
-		if d, settled := s.judge(now, r); settled {
+		if d, decided := s.decide(now, r); decided {
 			replies = append(replies, Reply{Grant: r.Grant, Decision: d})
 			continue
 		}
@@ -209,98 +217,98 @@
 	return replies
 }
 
-// undoCanceled releases the claims that were granted to withdrawn requests.
-func (s *Shard) undoCanceled(now time.Time) {
-	for _, w := range s.canceled {
-		s.undo(now, w)
+// releaseCanceled releases the claims granted to canceled requests.
+func (s *Shard) releaseCanceled(now time.Time) {
+	for _, canceled := range s.canceled {
+		s.releaseGranted(now, canceled)
 	}
 }
 
-func (s *Shard) undo(now time.Time, w withdrawal) {
-	c := s.index[w.request.StoredKey()]
-	if c.Grant == w.request.Grant && c.State == wire.ClaimStateGranted {
-		s.Settle(now, w.request, wire.ClaimStateReleased, "")
-		delete(s.canceled, w.request.Grant)
+func (s *Shard) releaseGranted(now time.Time, canceled canceledRequest) {
+	c := s.index[canceled.request.StoredKey()]
+	if c.Grant == canceled.request.Grant && c.State == wire.ClaimStateGranted {
+		s.Settle(now, canceled.request, wire.ClaimStateReleased, "")
+		delete(s.canceled, canceled.request.Grant)
 		return
 	}
-	if now.Sub(w.at) > cancelMemory {
-		delete(s.canceled, w.request.Grant)
+	if now.Sub(canceled.canceledAt) > cancelRetention {
+		delete(s.canceled, canceled.request.Grant)
 	}
 }
 
-// Cancel withdraws a request that is not going to be sent. When its claim has
-// been granted, or is granted by an update now in flight, it is released. Only
-// who would have sent the request may call it, and then must not send it.
+// Cancel withdraws a request that will not be sent. If its claim is already
+// granted, or is granted by the update in flight, the claim is released. Only
+// the sender of the request may call Cancel, and must not send the request
+// afterwards.
 func (s *Shard) Cancel(now time.Time, r Request) {
 	if s.canceled == nil {
-		s.canceled = make(map[string]withdrawal)
+		s.canceled = make(map[string]canceledRequest)
 	}
-	w := withdrawal{request: r, at: now}
-	s.canceled[r.Grant] = w
-	s.undo(now, w)
+	canceled := canceledRequest{request: r, canceledAt: now}
+	s.canceled[r.Grant] = canceled
+	s.releaseGranted(now, canceled)
 }
 
-// Settle records how a granted claim ended. It is written with a batch.
-func (s *Shard) Settle(now time.Time, r Request, state wire.ClaimState, answer string) {
+// Settle records the outcome of a granted claim for the next batch.
+func (s *Shard) Settle(now time.Time, r Request, state wire.ClaimState, response string) {
 	c := NewClaim(now, r)
-	c.State, c.Answer = state, answer
-	s.changes = append(s.changes, c)
+	c.State, c.Answer = state, response
+	s.outcomes = append(s.outcomes, c)
 }
 
-// Pending reports whether the shard has to be loaded or written for anything
-// that waits.
+// Pending reports whether any request or outcome requires a load or a write.
 func (s *Shard) Pending() bool {
-	return s.inFlight != nil || len(s.waiting) > 0 || len(s.changes) > 0
+	return s.inFlight != nil || len(s.waiting) > 0 || len(s.outcomes) > 0
 }
 
-// Work reports whether there is anything to write.
+// Work reports whether the shard is ready to write and has something to write.
 func (s *Shard) Work() bool {
-	return s.loaded && s.inFlight == nil && (len(s.waiting) > 0 || len(s.changes) > 0)
+	return s.loaded && s.inFlight == nil && (len(s.waiting) > 0 || len(s.outcomes) > 0)
 }
 
-// Next returns the update that grants all that waits; the shard must be loaded
-// and no update in flight.
+// Next returns the update that grants the waiting requests, one per key. The
+// shard must be loaded and have no update in flight.
 func (s *Shard) Next(now time.Time) Batch {
-	b := Batch{IfVersion: s.version, changes: s.changes}
-	s.changes = nil
-	b.Segments, b.Drop = dropExpired(now, s.segments)
+	b := Batch{IfVersion: s.version, outcomes: s.outcomes}
+	s.outcomes = nil
+	b.Segments, b.Drop = splitExpired(now, s.segments)
 	b.Recent = slices.Clone(s.recent)
-	s.takeMerge(&b)
-	s.takeSeal(&b)
-	s.change(&b)
-	taken := make(map[string]bool)
+	s.applyMerge(&b)
+	s.applySeal(&b)
+	s.applyOutcomes(&b)
+	batchKeys := make(map[string]bool)
 	kept := s.waiting[:0]
 	for _, r := range s.waiting {
 		key := r.StoredKey()
-		if taken[key] {
+		if batchKeys[key] {
 			kept = append(kept, r)
 			continue
 		}
-		taken[key] = true
+		batchKeys[key] = true
 		b.granted = append(b.granted, r)
 		b.Recent = append(b.Recent, NewClaim(now, r))
 	}
 	s.waiting = kept
-	boundAnswers(b.Recent)
+	trimResponses(b.Recent)
 	s.inFlight = &b
 	return b
 }
 
-// change records the changes whose claims still are those of their grant: in
-// the claim's place when it is in the head, behind the others when it has been
-// sealed.
-func (s *Shard) change(b *Batch) {
-	places := make(map[string]int, len(b.Recent))
+// applyOutcomes records the outcomes of claims that are still held by the same
+// grant. It replaces the claim if that is in the head, and appends the outcome
+// if the claim has been sealed.
+func (s *Shard) applyOutcomes(b *Batch) {
+	positions := make(map[string]int, len(b.Recent))
 	for i, c := range b.Recent {
-		places[c.Key+c.Grant] = i
+		positions[c.Key+c.Grant] = i
 	}
-	for _, c := range b.changes {
+	for _, c := range b.outcomes {
 		current, ok := s.index[c.Key]
 		if !ok || current.Grant != c.Grant || current.State != wire.ClaimStateGranted {
 			continue
 		}
 		c.GrantedMs, c.RetainUntilMs = current.GrantedMs, current.RetainUntilMs
-		if i, recent := places[c.Key+c.Grant]; recent {
+		if i, inHead := positions[c.Key+c.Grant]; inHead {
 			b.Recent[i] = c
 			continue
 		}
@@ -308,31 +316,32 @@
 	}
 }
 
-func dropExpired(now time.Time, segments []wire.ShardSegment) (kept []wire.ShardSegment, dropped []string) {
+func splitExpired(now time.Time, segments []wire.ShardSegment) (kept []wire.ShardSegment, expired []string) {
 	for _, seg := range segments {
 		if now.After(time.UnixMilli(int64(seg.RetainUntilMs))) {
-			dropped = append(dropped, seg.Name)
+			expired = append(expired, seg.Name)
 			continue
 		}
 		kept = append(kept, seg)
 	}
-	return kept, dropped
+	return kept, expired
 }
 
-// boundAnswers drops the oldest kept answers beyond their bound.
-func boundAnswers(claims []wire.Claim) {
-	left := headAnswerBytes
+// trimResponses removes the oldest stored responses beyond the size limit.
+func trimResponses(claims []wire.Claim) {
+	remaining := maxHeadResponseBytes
 	for i := len(claims) - 1; i >= 0; i-- {
-		left -= len(claims[i].Answer)
-		if left < 0 {
+		remaining -= len(claims[i].Answer)
+		if remaining < 0 {
 			claims[i].Answer = ""
 		}
 	}
 }
 
-// compact keeps the last record of each claim, without answers, and drops what
-// may be forgotten. A released claim stays: it may undo one in an older segment.
-func compact(now time.Time, claims []wire.Claim) []wire.Claim {
+// compactClaims keeps the last record of each claim, without its response, and
+// removes expired claims. It keeps released claims, because they may cancel a
+// claim in an older segment.
+func compactClaims(now time.Time, claims []wire.Claim) []wire.Claim {
 	last := make(map[string]int, len(claims))
 	for i, c := range claims {
 		last[c.Key+c.Grant] = i
@@ -348,34 +357,35 @@
 	return kept
 }
 
-// Committed notes that the update in flight won, and returns the replies to the
-// requests that it granted and to those whose keys it used.
+// Committed records that the update in flight took effect. It returns the
+// replies to the requests that it granted and to those whose keys it used.
 func (s *Shard) Committed(now time.Time, version int) []Reply {
 	b := s.inFlight
 	s.inFlight = nil
-	s.version, s.confirmed = version, now
+	s.version, s.syncedAt = version, now
 	s.segments, s.recent = b.Segments, b.Recent
-	s.apply(b.Recent)
+	s.applyClaims(b.Recent)
 	var replies []Reply
 	for _, r := range b.granted {
 		if _, canceled := s.canceled[r.Grant]; !canceled {
 			replies = append(replies, Reply{Grant: r.Grant, Decision: Decision{Verdict: Granted, Grant: r.Grant}})
 		}
 	}
-	s.undoCanceled(now)
-	return append(replies, s.sweep(now)...)
+	s.releaseCanceled(now)
+	return append(replies, s.decideWaiting(now)...)
 }
 
-// Failed notes that the update in flight had no effect; what it held waits
-// again.
-func (s *Shard) Failed() { s.putBack() }
+// Failed records that the update in flight had no effect and requeues its
+// content.
+func (s *Shard) Failed() { s.requeueInFlight() }
 
-// Unsure notes that the update in flight lost to another writer, or that its
-// answer was lost: the shard has to be loaded before anything is granted.
+// Unsure records that the update in flight lost to another writer, or that its
+// response was lost. The shard must be reloaded before anything is granted.
 func (s *Shard) Unsure() { s.loaded = false }
 
-// Refuse withdraws all waiting requests, as no claim can be granted now. One
-// whose update may still take effect is released when it turns out that it did.
+// Refuse withdraws all waiting requests, because no claim can be granted now.
+// If an update in flight turns out to have granted one of them, its claim is
+// released.
 func (s *Shard) Refuse(now time.Time) []Reply {
 	refused := s.waiting
 	if s.inFlight != nil {
@@ -391,7 +401,7 @@
 	return replies
 }
 
-// Forget drops expired keys from memory.
+// Forget removes expired keys from memory.
 func (s *Shard) Forget(now time.Time) {
 	for key, c := range s.index {
 		if Expired(now, c) {
--- a/dedup/shard_test.go
+++ b/dedup/shard_test.go
@@ -15,28 +15,28 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// The same cases in every run.
+// A fixed seed makes every run test the same cases.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var start = time.Unix(1_000_000, 0)
 
-// objects is a store in memory for one shard.
-type objects struct {
-	version  int
-	head     wire.ShardHead
-	recent   []wire.Claim
-	segments map[string][]wire.Claim
-	names    int
+// memoryStore is an in-memory store for one shard.
+type memoryStore struct {
+	version      int
+	head         wire.ShardHead
+	recent       []wire.Claim
+	segments     map[string][]wire.Claim
+	segmentCount int
 }
 
-func newObjects() *objects { return &objects{segments: make(map[string][]wire.Claim)} }
+func newMemoryStore() *memoryStore { return &memoryStore{segments: make(map[string][]wire.Claim)} }
 
-func (o *objects) name() string {
-	o.names++
-	return fmt.Sprint("seg-", o.names)
+func (o *memoryStore) newSegmentName() string {
+	o.segmentCount++
+	return fmt.Sprint("seg-", o.segmentCount)
 }
 
-func (o *objects) load(now time.Time, s *dedup.Shard) []dedup.Reply {
+func (o *memoryStore) load(now time.Time, s *dedup.Shard) []dedup.Reply {
 	segments := make(map[string][]wire.Claim)
 	for _, name := range s.Missing(o.head) {
 		segments[name] = o.segments[name]
@@ -46,7 +46,7 @@
 }
 
 // put is the conditional update of the head.
-func (o *objects) put(b dedup.Batch) bool {
+func (o *memoryStore) put(b dedup.Batch) bool {
 	if b.IfVersion != o.version {
 		return false
 	}
@@ -56,21 +56,21 @@
 	return true
 }
 
-// tidy seals and merges segments as the runner does.
-func (o *objects) tidy(now time.Time, s *dedup.Shard) {
-	if seal, ok := s.BeginSeal(now, o.name); ok {
+// maintain seals and merges segments as claim.Runner does.
+func (o *memoryStore) maintain(now time.Time, s *dedup.Shard) {
+	if seal, ok := s.BeginSeal(now, o.newSegmentName); ok {
 		o.segments[seal.Name] = seal.Claims
 		s.Sealed(seal)
 	}
-	old := s.BeginMerge()
-	if len(old) == 0 {
+	sources := s.BeginMerge()
+	if len(sources) == 0 {
 		return
 	}
 	var contents [][]wire.Claim
-	for _, seg := range old {
+	for _, seg := range sources {
 		contents = append(contents, o.segments[seg.Name])
 	}
-	m := dedup.NewMerge(now, old, contents, o.name())
+	m := dedup.NewMerge(now, sources, contents, o.newSegmentName())
 	o.segments[m.Name] = m.Claims
 	s.Merged(m)
 }
@@ -82,17 +82,17 @@
 	}
 }
 
-// TestShardAgainstNaive drives a shard, whose small head is sealed and merged
-// all the time and which is read anew now and then, and a plain map with the
-// same claims and ends: every verdict must agree.
+// TestShardAgainstNaive compares a shard with a reference implementation that
+// uses a plain map. The shard has a small head, so that it is sealed and
+// merged often, and is reloaded at random. Every verdict must agree.
 func TestShardAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := newObjects()
+		store := newMemoryStore()
 		s := &dedup.Shard{HeadClaims: 6}
 		store.load(start, s)
-		var plain naive.Keys
+		var reference naive.Keys
 		now, grants := start, 0
-		held := make(map[int]dedup.Request)
+		granted := make(map[int]dedup.Request)
 		write := func() []dedup.Reply {
 			b := s.Next(now)
 			require.True(t, store.put(b))
@@ -100,46 +100,46 @@
 			for _, name := range b.Drop {
 				delete(store.segments, name)
 			}
-			store.tidy(now, s)
+			store.maintain(now, s)
 			return replies
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
 				grants++
 				r := request(rapid.IntRange(0, 30).Draw(t, "key"), grants)
-				if rapid.IntRange(0, 9).Draw(t, "other body") == 0 {
+				if rapid.IntRange(0, 9).Draw(t, "different body") == 0 {
 					r.BodyHash = "other"
 				}
-				d, settled := s.Propose(now, r)
-				if !settled {
+				d, decided := s.Propose(now, r)
+				if !decided {
 					replies := write()
 					require.Len(t, replies, 1)
 					d = replies[0].Decision
 				}
-				require.Equal(t, plain.Claim(now, r), d.Verdict)
+				require.Equal(t, reference.Claim(now, r), d.Verdict)
 				if d.Verdict == dedup.Granted {
-					held[grants] = r
+					granted[grants] = r
 				}
 			},
 			"end": func(t *rapid.T) {
-				if len(held) == 0 {
-					t.Skip("nothing is held")
+				if len(granted) == 0 {
+					t.Skip("no claim is granted")
 				}
-				grant := rapid.SampledFrom(keys(held)).Draw(t, "grant")
+				grant := rapid.SampledFrom(sortedKeys(granted)).Draw(t, "grant")
 				state := rapid.SampledFrom([]wire.ClaimState{wire.ClaimStateDone, wire.ClaimStateUnknown, wire.ClaimStateReleased}).Draw(t, "state")
-				r := held[grant]
-				delete(held, grant)
+				r := granted[grant]
+				delete(granted, grant)
 				if state == wire.ClaimStateReleased {
 					s.Cancel(now, r)
 				} else {
 					s.Settle(now, r, state, "")
 				}
-				plain.End(r, state)
+				reference.End(r, state)
 				if s.Work() {
 					write()
 				}
 			},
-			"pass": func(t *rapid.T) {
+			"pass time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
 				s.Forget(now)
 			},
@@ -152,12 +152,12 @@
 	})
 }
 
-func keys(m map[int]dedup.Request) []int {
+func sortedKeys(m map[int]dedup.Request) []int {
 	var all []int
 	for k := range m {
 		all = append(all, k)
 	}
-	// Map order is not seeded.
+	// Map iteration order does not depend on the seed.
 	for i := range all {
 		for j := i + 1; j < len(all); j++ {
 			if all[j] < all[i] {
@@ -168,8 +168,8 @@
 	return all
 }
 
-func TestAnswersAreKeptWithinTheirBound(t *testing.T) {
-	store := newObjects()
+func TestStoredResponsesBounded(t *testing.T) {
+	store := newMemoryStore()
 	s := &dedup.Shard{}
 	store.load(start, s)
 	var last dedup.Request
@@ -188,8 +188,8 @@
 	}
 	require.LessOrEqual(t, total, 64<<10)
 	again := request(19, 100)
-	d, settled := s.Propose(start, again)
-	require.True(t, settled)
+	d, decided := s.Propose(start, again)
+	require.True(t, decided)
 	require.Equal(t, dedup.AlreadyRan, d.Verdict)
 	require.Len(t, d.Answer, 8<<10)
 	old, _ := s.Propose(start, request(0, 101))
@@ -197,7 +197,7 @@
 	require.Empty(t, old.Answer)
 }
 
-func TestPackIsSmall(t *testing.T) {
+func TestPackedSize(t *testing.T) {
 	var claims []wire.Claim
 	for i := range 1000 {
 		r := request(i, i)
@@ -207,9 +207,9 @@
 	packed, err := dedup.Pack(claims)
 	require.NoError(t, err)
 	require.Less(t, len(packed), 160*len(claims))
-	back, err := dedup.Unpack(packed)
+	unpacked, err := dedup.Unpack(packed)
 	require.NoError(t, err)
-	require.Equal(t, claims, back)
+	require.Equal(t, claims, unpacked)
 	_, err = dedup.Unpack("!")
 	require.Error(t, err)
 }
