--- a/admit/example_test.go
+++ b/admit/example_test.go
@@ -7,7 +7,8 @@
 	"github.com/hibiscuscart/hibiscuscart/admit"
 )
 
-// While one caller's requests fill the gate, another's goes next.
+// While one caller's requests fill the queue, another caller's request is
+// served next.
 func ExampleGate() {
 	now := time.Unix(1_000_000, 0)
 	later := now.Add(time.Minute)
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -6,100 +6,102 @@
 	"time"
 )
 
-// Gate is the gate of one profile. The zero value admits nothing until
-// SetLimits. It is not safe for use by several goroutines at once.
+// Gate is the admission controller of one profile. The zero value admits
+// nothing until SetLimits is called. It is not safe for concurrent use.
 //
 // Waiting requests are served by rank, then fairly among callers by start-time
-// fair queueing (Goyal, Vin and Cheng, 1996), then by deadline. Each
-// decision costs time in the number of callers that wait, not of requests:
-// one caller may send tens of thousands at once.
+// fair queueing (Goyal, Vin and Cheng, 1996), then by deadline. The cost of
+// each decision grows with the number of waiting callers, not of waiting
+// requests: one caller may send tens of thousands at once.
 type Gate struct {
-	limits  Limits
-	running int
-	waiting int
-	count   uint64
-	// levels hold the waiting tickets of each rank.
-	levels map[int]*level
-	// owners find the queue of a waiting ticket.
-	owners  map[uint64]Ticket
-	virtual float64
-	tags    map[string]float64
-	service time.Duration
-	demand  Demand
+	limits   Limits
+	running  int
+	waiting  int
+	arrivals uint64
+	// queuesByRank holds the waiting tickets of each rank.
+	queuesByRank map[int]*rankQueues
+	// waitingByID holds the waiting tickets by ID.
+	waitingByID     map[uint64]Ticket
+	virtualTime     float64
+	finishTags      map[string]float64
+	meanServiceTime time.Duration
+	demand          Demand
 }
 
-// level is the waiting tickets of one rank, by caller.
-type level struct {
+// rankQueues holds the waiting tickets of one rank, by caller.
+type rankQueues struct {
 	waiting int
-	queues  map[string]*queue
+	queues  map[string]*callerQueue
 }
 
-// queue is the waiting tickets of one caller, in the order of service.
-type queue struct {
+// callerQueue holds the waiting tickets of one caller, in the order of
+// service.
+type callerQueue struct {
 	weight  int
 	tickets []Ticket
 }
 
-func (q *queue) share() float64 { return float64(len(q.tickets)) / float64(q.weight) }
+func (q *callerQueue) weightedLength() float64 { return float64(len(q.tickets)) / float64(q.weight) }
 
-// insert keeps the order; deadlines mostly rise, so that it mostly appends.
-func (q *queue) insert(t Ticket) {
+// insert adds a ticket in order. Deadlines mostly rise, so it usually appends.
+func (q *callerQueue) insert(t Ticket) {
 	i, _ := slices.BinarySearchFunc(q.tickets, t, Ticket.Compare)
 	q.tickets = slices.Insert(q.tickets, i, t)
 }
 
-// SetLimits replaces the limits; requests in progress are not affected.
+// SetLimits replaces the limits. Requests in progress are not affected.
 func (g *Gate) SetLimits(l Limits) { g.limits = l }
 
-// Running returns how many requests are in progress.
+// Running returns the number of requests in progress.
 func (g *Gate) Running() int { return g.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int { return g.waiting }
 
-// ServiceTime returns the running mean of the time a request is in progress.
-func (g *Gate) ServiceTime() time.Duration { return g.service }
+// ServiceTime returns the moving average of the time a request is in progress.
+func (g *Gate) ServiceTime() time.Duration { return g.meanServiceTime }
 
-// Arrive takes in a request. The evicted ticket, when there is one, waited and
-// is refused in its stead.
+// Arrive decides on a new request. If evicted is not nil, that waiting request
+// is refused instead of t.
 func (g *Gate) Arrive(now time.Time, t Ticket) (v Verdict, evicted *Ticket) {
-	g.count++
+	g.arrivals++
 	g.demand.Arrive(now)
-	t = t.Numbered(g.count)
+	t = t.Numbered(g.arrivals)
 	if g.running < g.limits.Concurrency && g.waiting == 0 {
 		g.start(t)
 		return Admitted, nil
 	}
-	if g.hopeless(now, t) {
+	if g.missesDeadline(now, t) {
 		return TooLate, nil
 	}
 	if g.waiting < g.limits.Queue {
 		g.push(t)
 		return Queued, nil
 	}
-	return g.displace(t)
+	return g.evictFor(t)
 }
 
-// hopeless reports whether t can not be answered before its deadline. When it
-// will miss its target it is served with what room the others leave.
-func (g *Gate) hopeless(now time.Time, t Ticket) bool {
+// missesDeadline reports whether t can not be answered before its deadline. It
+// assumes that a ticket that will miss its target is served with the capacity
+// that new arrivals leave free.
+func (g *Gate) missesDeadline(now time.Time, t Ticket) bool {
 	wait := g.Wait(t)
-	if t.late || now.Add(wait).After(t.Target) {
-		wait = time.Duration(float64(wait) / g.demand.Room(now, g.service, g.limits.Concurrency))
+	if t.targetMissed || now.Add(wait).After(t.Target) {
+		wait = time.Duration(float64(wait) / g.demand.Room(now, g.meanServiceTime, g.limits.Concurrency))
 	}
-	return now.Add(wait).Add(g.service).After(t.Deadline)
+	return now.Add(wait).Add(g.meanServiceTime).After(t.Deadline)
 }
 
-// Expire looks for waiting requests that have missed their targets. It returns
-// those that can not be answered before their deadlines either; they are
-// refused at once and do not wait any longer.
+// Expire lowers the rank of waiting requests that have missed their targets.
+// It removes and returns those that can not be answered before their deadlines
+// either; they must be refused.
 func (g *Gate) Expire(now time.Time) []Ticket {
 	var missed, refused []Ticket
-	for rank, l := range g.levels {
+	for rank, atRank := range g.queuesByRank {
 		if rank%2 == 0 {
 			continue
 		}
-		for _, q := range l.queues {
+		for _, q := range atRank.queues {
 			for len(q.tickets) > 0 && q.tickets[0].Target.Before(now) {
 				missed = append(missed, q.tickets[0])
 				g.remove(q.tickets[0], 0)
@@ -109,7 +111,7 @@
 	slices.SortFunc(missed, func(a, b Ticket) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, t := range missed {
 		t = t.Missed()
-		if g.hopeless(now, t) {
+		if g.missesDeadline(now, t) {
 			refused = append(refused, t)
 			continue
 		}
@@ -119,132 +121,134 @@
 }
 
 func (g *Gate) push(t Ticket) {
-	if g.levels == nil {
-		g.levels, g.owners = make(map[int]*level), make(map[uint64]Ticket)
+	if g.queuesByRank == nil {
+		g.queuesByRank, g.waitingByID = make(map[int]*rankQueues), make(map[uint64]Ticket)
 	}
-	l := g.levels[t.Rank()]
-	if l == nil {
-		l = &level{queues: make(map[string]*queue)}
-		g.levels[t.Rank()] = l
+	atRank := g.queuesByRank[t.Rank()]
+	if atRank == nil {
+		atRank = &rankQueues{queues: make(map[string]*callerQueue)}
+		g.queuesByRank[t.Rank()] = atRank
 	}
-	q := l.queues[t.Caller]
+	q := atRank.queues[t.Caller]
 	if q == nil {
-		q = &queue{weight: t.Weight}
-		l.queues[t.Caller] = q
+		q = &callerQueue{weight: t.Weight}
+		atRank.queues[t.Caller] = q
 	}
 	q.insert(t)
-	l.waiting++
+	atRank.waiting++
 	g.waiting++
-	g.owners[t.ID] = t
+	g.waitingByID[t.ID] = t
 }
 
-// remove takes the ticket at an index of its caller's queue.
+// remove removes the ticket at index i of its caller's queue.
 func (g *Gate) remove(t Ticket, i int) {
-	l := g.levels[t.Rank()]
-	q := l.queues[t.Caller]
+	atRank := g.queuesByRank[t.Rank()]
+	q := atRank.queues[t.Caller]
 	if i == 0 {
 		q.tickets = q.tickets[1:]
 	} else {
 		q.tickets = slices.Delete(q.tickets, i, i+1)
 	}
 	if len(q.tickets) == 0 {
-		delete(l.queues, t.Caller)
+		delete(atRank.queues, t.Caller)
 	}
-	l.waiting--
-	if l.waiting == 0 {
-		delete(g.levels, t.Rank())
+	atRank.waiting--
+	if atRank.waiting == 0 {
+		delete(g.queuesByRank, t.Rank())
 	}
 	g.waiting--
-	delete(g.owners, t.ID)
+	delete(g.waitingByID, t.ID)
 }
 
-// displace makes room in a full queue. Of the lowest rank, the caller with
-// the most tickets for its weight gives up the one that would be served last,
-// so that a flood by one caller can not push out another.
-func (g *Gate) displace(t Ticket) (Verdict, *Ticket) {
+// evictFor evicts a ticket from a full queue in favor of t. In the lowest rank
+// it evicts the last ticket of the caller with the most tickets relative to
+// its weight, so a flood by one caller can not displace the requests of
+// others.
+func (g *Gate) evictFor(t Ticket) (Verdict, *Ticket) {
 	lowest := t.Rank()
-	for p := range g.levels {
-		lowest = min(lowest, p)
+	for rank := range g.queuesByRank {
+		lowest = min(lowest, rank)
 	}
-	l := g.levels[lowest]
-	if l == nil {
+	atRank := g.queuesByRank[lowest]
+	if atRank == nil {
 		return QueueFull, nil
 	}
-	own := 0.0
+	added := 0.0
 	if lowest == t.Rank() {
-		own = 1 / float64(t.Weight)
+		added = 1 / float64(t.Weight)
 	}
-	caller, share := heaviest(l, t.Caller, own)
-	if lowest == t.Rank() && !yields(caller, share, t.Caller, ownShare(l, t.Caller)+own) {
+	caller, length := longestQueue(atRank, t.Caller, added)
+	if lowest == t.Rank() && !evictedBefore(caller, length, t.Caller, weightedLengthOf(atRank, t.Caller)+added) {
 		return QueueFull, nil
 	}
-	q := l.queues[caller]
-	out := q.tickets[len(q.tickets)-1]
-	g.remove(out, len(q.tickets)-1)
+	q := atRank.queues[caller]
+	evicted := q.tickets[len(q.tickets)-1]
+	g.remove(evicted, len(q.tickets)-1)
 	g.push(t)
-	return Queued, &out
+	return Queued, &evicted
 }
 
-func ownShare(l *level, caller string) float64 {
-	if q := l.queues[caller]; q != nil {
-		return q.share()
+func weightedLengthOf(atRank *rankQueues, caller string) float64 {
+	if q := atRank.queues[caller]; q != nil {
+		return q.weightedLength()
 	}
 	return 0
 }
 
-// yields reports whether caller a gives way to caller b.
-func yields(a string, aShare float64, b string, bShare float64) bool {
-	if aShare != bShare {
-		return aShare > bShare
+// evictedBefore reports whether a ticket of caller a is evicted before one of
+// caller b.
+func evictedBefore(a string, aLength float64, b string, bLength float64) bool {
+	if aLength != bLength {
+		return aLength > bLength
 	}
 	return a > b
 }
 
-// heaviest returns the waiting caller with the largest share, the newcomer's
-// counted with its own ticket.
-func heaviest(l *level, newcomer string, own float64) (string, float64) {
-	caller, share := "", -1.0
-	for name, q := range l.queues {
-		s := q.share()
-		if name == newcomer {
-			s += own
+// longestQueue returns the caller with the longest queue relative to its
+// weight. The arriving caller's queue includes its new ticket.
+func longestQueue(atRank *rankQueues, arriving string, added float64) (string, float64) {
+	caller, length := "", -1.0
+	for name, q := range atRank.queues {
+		candidateLength := q.weightedLength()
+		if name == arriving {
+			candidateLength += added
 		}
-		if share < 0 || yields(name, s, caller, share) {
-			caller, share = name, s
+		if length < 0 || evictedBefore(name, candidateLength, caller, length) {
+			caller, length = name, candidateLength
 		}
 	}
-	return caller, share
+	return caller, length
 }
 
-// Wait estimates how long t would wait: the requests that go before it, served
-// at the rate at which requests have been ending.
+// Wait estimates how long t would wait: the time to serve the requests ahead
+// of it at the current average service time.
 func (g *Gate) Wait(t Ticket) time.Duration {
 	if g.running < g.limits.Concurrency && g.waiting == 0 {
 		return 0
 	}
-	ahead := g.ahead(t) + 1
-	return time.Duration(float64(g.service) * ahead / float64(max(g.limits.Concurrency, 1)))
+	ahead := g.ticketsAhead(t) + 1
+	return time.Duration(float64(g.meanServiceTime) * ahead / float64(max(g.limits.Concurrency, 1)))
 }
 
-// ahead is the number of waiting requests served before t: all of a higher
-// rank, those of its own caller, and of each other caller as many as its
-// weight gives it in the same time.
-func (g *Gate) ahead(t Ticket) float64 {
+// ticketsAhead estimates how many waiting requests are served before t: all of
+// a higher rank, all of its own caller, and of each other caller as many as
+// its weight allows in the same time.
+func (g *Gate) ticketsAhead(t Ticket) float64 {
 	total := 0.0
-	for p, l := range g.levels {
-		if p > t.Rank() {
-			total += float64(l.waiting)
+	for rank, atRank := range g.queuesByRank {
+		if rank > t.Rank() {
+			total += float64(atRank.waiting)
 		}
 	}
-	l := g.levels[t.Rank()]
-	if l == nil {
+	atRank := g.queuesByRank[t.Rank()]
+	if atRank == nil {
 		return total
 	}
 	own := 0.0
-	if q := l.queues[t.Caller]; q != nil {
+	if q := atRank.queues[t.Caller]; q != nil {
 		own = float64(len(q.tickets))
 	}
-	for caller, q := range l.queues {
+	for caller, q := range atRank.queues {
 		if caller != t.Caller {
 			total += min(float64(len(q.tickets)), (own+1)*float64(q.weight)/float64(max(t.Weight, 1)))
 		}
@@ -254,41 +258,41 @@
 
 func (g *Gate) start(t Ticket) {
 	g.running++
-	if g.tags == nil {
-		g.tags = make(map[string]float64)
+	if g.finishTags == nil {
+		g.finishTags = make(map[string]float64)
 	}
-	g.virtual = max(g.tags[t.Caller], g.virtual)
-	g.tags[t.Caller] = g.virtual + 1/float64(t.Weight)
-	// A tag that the virtual time has passed says nothing any more; dropping
-	// them bounds the map by the callers that were served lately.
-	if len(g.tags) > maxTags {
-		g.dropTags()
+	g.virtualTime = max(g.finishTags[t.Caller], g.virtualTime)
+	g.finishTags[t.Caller] = g.virtualTime + 1/float64(t.Weight)
+	// A finish tag that the virtual time has passed has no effect. Dropping
+	// these tags bounds the map by the recently served callers.
+	if len(g.finishTags) > maxFinishTags {
+		g.dropPassedTags()
 	}
 }
 
-const maxTags = 4096
+const maxFinishTags = 4096
 
-func (g *Gate) dropTags() {
-	for caller, tag := range g.tags {
-		if tag <= g.virtual {
-			delete(g.tags, caller)
+func (g *Gate) dropPassedTags() {
+	for caller, tag := range g.finishTags {
+		if tag <= g.virtualTime {
+			delete(g.finishTags, caller)
 		}
 	}
 }
 
-// Finish notes that a request that was in progress for the given time has
-// ended. It returns the tickets whose turn has come.
-func (g *Gate) Finish(took time.Duration) []Ticket {
+// Finish records the end of a request that was in progress for the given time.
+// It returns the tickets that start now.
+func (g *Gate) Finish(serviceTime time.Duration) []Ticket {
 	g.running--
-	if g.service == 0 {
-		g.service = took
+	if g.meanServiceTime == 0 {
+		g.meanServiceTime = serviceTime
 	}
-	g.service += time.Duration(Smoothing * float64(took-g.service))
+	g.meanServiceTime += time.Duration(Smoothing * float64(serviceTime-g.meanServiceTime))
 	return g.Dispatch()
 }
 
-// Dispatch starts the waiting requests that the limits allow, as after they
-// have been raised.
+// Dispatch starts the waiting requests that the limits allow, for example
+// after the limits were raised.
 func (g *Gate) Dispatch() []Ticket {
 	var started []Ticket
 	for g.running < g.limits.Concurrency && g.waiting > 0 {
@@ -300,41 +304,41 @@
 	return started
 }
 
-// next returns the waiting request to serve.
+// next returns the waiting request to serve next.
 func (g *Gate) next() Ticket {
 	first, highest := true, 0
-	for p := range g.levels {
-		if first || p > highest {
-			first, highest = false, p
+	for rank := range g.queuesByRank {
+		if first || rank > highest {
+			first, highest = false, rank
 		}
 	}
 	var best Ticket
 	first = true
-	for _, q := range g.levels[highest].queues {
-		if t := q.tickets[0]; first || g.before(t, best) {
+	for _, q := range g.queuesByRank[highest].queues {
+		if t := q.tickets[0]; first || g.servedBefore(t, best) {
 			first, best = false, t
 		}
 	}
 	return best
 }
 
-// before orders the heads of two callers' queues: the lower start tag first.
-func (g *Gate) before(a, b Ticket) bool {
-	ta, tb := max(g.tags[a.Caller], g.virtual), max(g.tags[b.Caller], g.virtual)
+// servedBefore orders the first tickets of two callers: the lower start tag
+// first.
+func (g *Gate) servedBefore(a, b Ticket) bool {
+	ta, tb := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
 	if ta != tb {
 		return ta < tb
 	}
 	return a.Compare(b) < 0
 }
 
-// Abandon takes a waiting request out of the queue and reports whether it was
-// there.
+// Abandon removes a waiting request and reports whether it was waiting.
 func (g *Gate) Abandon(id uint64) bool {
-	t, ok := g.owners[id]
+	t, ok := g.waitingByID[id]
 	if !ok {
 		return false
 	}
-	i, _ := slices.BinarySearchFunc(g.levels[t.Rank()].queues[t.Caller].tickets, t, Ticket.Compare)
+	i, _ := slices.BinarySearchFunc(g.queuesByRank[t.Rank()].queues[t.Caller].tickets, t, Ticket.Compare)
 	g.remove(t, i)
 	return true
 }
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -14,14 +14,14 @@
 	"github.com/hibiscuscart/hibiscuscart/naive"
 )
 
-// The same cases in every run.
+// A fixed seed makes every run test the same cases.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var start = time.Unix(1_000_000, 0)
 
-// TestGateAgainstNaive drives the gate and its plain version with the same
-// arrivals, ends and abandonments: every verdict, every eviction and every
-// order of service must agree.
+// TestGateAgainstNaive compares the gate with a reference implementation under
+// the same arrivals, ends and abandoned requests. Every verdict, every
+// eviction and the order of service must agree.
 func TestGateAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := admit.Limits{Concurrency: rapid.IntRange(1, 4).Draw(t, "concurrency"), Queue: rapid.IntRange(0, 8).Draw(t, "queue")}
@@ -46,7 +46,7 @@
 			},
 			"finish": func(t *rapid.T) {
 				if n.Running() == 0 {
-					t.Skip("nothing runs")
+					t.Skip("no request is running")
 				}
 				took := time.Duration(rapid.IntRange(1, 5000).Draw(t, "took")) * time.Millisecond
 				now = now.Add(took / 4)
@@ -79,9 +79,9 @@
 	return all
 }
 
-// One partner sends a flood of menus at once; a quiet caller's status checks
-// must be served next, and must not be pushed out of the full queue.
-func TestFloodDoesNotStarveQuietCaller(t *testing.T) {
+// One caller sends 50,000 requests at once and fills the queue. A request of
+// another caller must be queued, be served next and not be evicted.
+func TestFloodDoesNotStarveOtherCaller(t *testing.T) {
 	var g admit.Gate
 	g.SetLimits(admit.Limits{Concurrency: 2, Queue: 100})
 	deadline := start.Add(time.Hour)
@@ -104,7 +104,7 @@
 	require.Equal(t, "quiet", next[0].Caller)
 }
 
-func TestWeights(t *testing.T) {
+func TestCallerWeights(t *testing.T) {
 	var g admit.Gate
 	g.SetLimits(admit.Limits{Concurrency: 1, Queue: 100})
 	for i := range 60 {
@@ -121,7 +121,7 @@
 	require.Equal(t, 15, served["heavy"])
 }
 
-func TestTooLate(t *testing.T) {
+func TestUnreachableDeadlineRefused(t *testing.T) {
 	var g admit.Gate
 	g.SetLimits(admit.Limits{Concurrency: 1, Queue: 100})
 	g.Arrive(start, admit.Ticket{ID: 1, Target: start.Add(time.Hour), Deadline: start.Add(time.Hour)})
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -1,7 +1,7 @@
 // Package admit decides which requests of a profile may be in progress at a
-// VM, which wait and which are refused: a bound on concurrency, a bounded
-// queue that is fair among callers, and early refusal of what can not be
-// answered in time. It does no I/O and reads no clock.
+// VM, which wait and which are refused. It limits concurrency, queues a
+// limited number of requests fairly among callers, and refuses early those
+// that can not be answered in time. It does no I/O and reads no clock.
 package admit
 
 import (
@@ -10,107 +10,111 @@
 	"time"
 )
 
-// Verdict says what happens to a request that arrives.
+// Verdict is the decision on an arriving request.
 type Verdict int
 
 const (
-	// Admitted means that the request may go on at once.
+	// Admitted means that the request may start at once.
 	Admitted Verdict = iota
-	// Queued means that the request waits; Finish names it when its turn comes.
+	// Queued means that the request waits until Finish or Dispatch returns it.
 	Queued
-	// QueueFull means refused, because the queue is full of requests that go first.
+	// QueueFull means that the request is refused because the queue is full of
+	// requests that are served first.
 	QueueFull
-	// TooLate means refused, because it could not be answered before its deadline.
+	// TooLate means that the request is refused because it could not be answered
+	// before its deadline.
 	TooLate
 )
 
-// Ticket is a request at the gate.
+// Ticket represents a request in a Gate.
 type Ticket struct {
-	// ID is unique among the tickets of the gate.
+	// ID is unique among the tickets of a Gate.
 	ID uint64
-	// Caller and Weight decide its share of the gate. All tickets of a caller
+	// Caller and Weight determine the share of capacity. All tickets of a caller
 	// have the same weight.
 	Caller string
 	Weight int
-	// Priority goes before fairness; 9 is the most urgent.
+	// Priority takes precedence over fairness; 9 is the most urgent.
 	Priority int
-	// Target is until when the request must be admitted to meet its profile's
-	// targets; Deadline is when the answer must be whole. Of one caller, who
-	// has the earlier deadline has the earlier target.
+	// Target is the latest admission time that meets the profile's latency
+	// targets; Deadline is when the response must be complete. Of two tickets of
+	// one caller, the one with the earlier deadline has the earlier target.
 	Target   time.Time
 	Deadline time.Time
 
-	sequence uint64
-	late     bool
+	sequence     uint64
+	targetMissed bool
 }
 
-// Rank orders tickets: the higher is served first. Of one priority, those that
-// can still meet their targets go before those that can not: under overload a
-// queue in order of arrival serves each request just too late.
+// Rank orders tickets: a higher rank is served first. Within a priority,
+// tickets that can still meet their targets rank higher: under overload, a
+// queue in order of arrival would serve each request just after its target.
 func (t Ticket) Rank() int {
-	if t.late {
+	if t.targetMissed {
 		return 2 * t.Priority
 	}
 	return 2*t.Priority + 1
 }
 
 // Late reports whether the ticket has missed its target.
-func (t Ticket) Late() bool { return t.late }
+func (t Ticket) Late() bool { return t.targetMissed }
 
-// Missed returns the ticket as one that has missed its target.
+// Missed returns the ticket marked as having missed its target.
 func (t Ticket) Missed() Ticket {
-	t.late = true
+	t.targetMissed = true
 	return t
 }
 
-// Numbered returns the ticket with its number in the order of arrival.
+// Numbered returns the ticket with its number in the order of arrival and a
+// weight of at least 1.
 func (t Ticket) Numbered(sequence uint64) Ticket {
 	t.Weight = max(t.Weight, 1)
 	t.sequence = sequence
 	return t
 }
 
-// Compare orders the tickets of one caller: the earliest deadline first, then
-// the earliest arrival.
+// Compare orders the tickets of one caller: by deadline, then by arrival.
 func (t Ticket) Compare(u Ticket) int {
 	return cmp.Or(t.Deadline.Compare(u.Deadline), cmp.Compare(t.sequence, u.sequence))
 }
 
-// Limits bound a Gate.
+// Limits are the limits of a Gate on requests in progress and waiting.
 type Limits struct {
 	Concurrency int
 	Queue       int
 }
 
-// Smoothing is the weight of the newest service time in the running mean.
+// Smoothing is the weight of the newest value in the moving average of service
+// times.
 const Smoothing = 0.1
 
-// Demand is the running rate of arrivals, which tells what room there is for
-// requests that have missed their targets. The zero value has seen none.
+// Demand measures the rate of arrivals as a moving average with exponential
+// decay. The rate determines the capacity left for requests that have missed
+// their targets. The zero value has a rate of 0.
 type Demand struct {
 	rate float64
 	last time.Time
 }
 
 const (
-	demandSpan = time.Second
-	// leastRoom keeps estimates finite.
-	leastRoom = 0.02
+	rateTimeConstant = time.Second
+	// minFreeCapacity keeps estimated waits finite.
+	minFreeCapacity = 0.02
 )
 
-// Arrive counts an arrival.
+// Arrive records an arrival.
 func (d *Demand) Arrive(now time.Time) {
-	d.rate = d.Rate(now) + 1/demandSpan.Seconds()
+	d.rate = d.Rate(now) + 1/rateTimeConstant.Seconds()
 	d.last = now
 }
 
-// Rate returns the running rate, in arrivals a second.
+// Rate returns the current rate in arrivals per second.
 func (d *Demand) Rate(now time.Time) float64 {
-	return d.rate * math.Exp(-now.Sub(d.last).Seconds()/demandSpan.Seconds())
+	return d.rate * math.Exp(-now.Sub(d.last).Seconds()/rateTimeConstant.Seconds())
 }
 
-// Room returns the share of the gate's capacity that arrivals leave free.
+// Room returns the fraction of the capacity that new arrivals leave free.
 func (d *Demand) Room(now time.Time, service time.Duration, concurrency int) float64 {
 	load := d.Rate(now) * service.Seconds() / float64(max(concurrency, 1))
-	return max(1-load, leastRoom)
+	return max(1-load, minFreeCapacity)
 }
