--- a/admit/gate.go
+++ b/admit/gate.go
@@ -25,7 +25,7 @@
 	virtualTime     float64
 	finishTags      map[string]float64
 	meanServiceTime time.Duration
-	demand          Demand
+	arrivalRate     ArrivalRate
 }
 
 // rankQueues holds the waiting tickets of one rank, by caller.
@@ -58,21 +58,22 @@
 // Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int { return g.waiting }
 
-// ServiceTime returns the moving average of the time a request is in progress.
-func (g *Gate) ServiceTime() time.Duration { return g.meanServiceTime }
+// MeanServiceTime returns the moving average of the time a request is in
+// progress.
+func (g *Gate) MeanServiceTime() time.Duration { return g.meanServiceTime }
 
 // Arrive decides on a new request. If evicted is not nil, that waiting request
 // is refused instead of t.
 func (g *Gate) Arrive(now time.Time, t Ticket) (v Verdict, evicted *Ticket) {
 	g.arrivals++
-	g.demand.Arrive(now)
-	t = t.Numbered(g.arrivals)
+	g.arrivalRate.Observe(now)
+	t = t.WithSequence(g.arrivals)
 	if g.running < g.limits.Concurrency && g.waiting == 0 {
 		g.start(t)
 		return Admitted, nil
 	}
 	if g.missesDeadline(now, t) {
-		return TooLate, nil
+		return DeadlineUnreachable, nil
 	}
 	if g.waiting < g.limits.Queue {
 		g.push(t)
@@ -85,9 +86,9 @@
 // assumes that a ticket that will miss its target is served with the capacity
 // that new arrivals leave free.
 func (g *Gate) missesDeadline(now time.Time, t Ticket) bool {
-	wait := g.Wait(t)
+	wait := g.EstimateWait(t)
 	if t.targetMissed || now.Add(wait).After(t.Target) {
-		wait = time.Duration(float64(wait) / g.demand.Room(now, g.meanServiceTime, g.limits.Concurrency))
+		wait = time.Duration(float64(wait) / g.arrivalRate.FreeCapacity(now, g.meanServiceTime, g.limits.Concurrency))
 	}
 	return now.Add(wait).Add(g.meanServiceTime).After(t.Deadline)
 }
@@ -110,7 +111,7 @@
 	}
 	slices.SortFunc(missed, func(a, b Ticket) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, t := range missed {
-		t = t.Missed()
+		t = t.WithTargetMissed()
 		if g.missesDeadline(now, t) {
 			refused = append(refused, t)
 			continue
@@ -220,9 +221,9 @@
 	return caller, length
 }
 
-// Wait estimates how long t would wait: the time to serve the requests ahead
-// of it at the current average service time.
-func (g *Gate) Wait(t Ticket) time.Duration {
+// EstimateWait estimates how long t would wait: the time to serve the requests
+// ahead of it at the current average service time.
+func (g *Gate) EstimateWait(t Ticket) time.Duration {
 	if g.running < g.limits.Concurrency && g.waiting == 0 {
 		return 0
 	}
@@ -287,7 +288,7 @@
 	if g.meanServiceTime == 0 {
 		g.meanServiceTime = serviceTime
 	}
-	g.meanServiceTime += time.Duration(Smoothing * float64(serviceTime-g.meanServiceTime))
+	g.meanServiceTime += time.Duration(SmoothingFactor * float64(serviceTime-g.meanServiceTime))
 	return g.Dispatch()
 }
 
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -128,7 +128,7 @@
 	g.Finish(10 * time.Second)
 	g.Arrive(start, admit.Ticket{ID: 2, Target: start.Add(time.Hour), Deadline: start.Add(time.Hour)})
 	v, _ := g.Arrive(start, admit.Ticket{ID: 3, Target: start.Add(15 * time.Second), Deadline: start.Add(15 * time.Second)})
-	require.Equal(t, admit.TooLate, v)
+	require.Equal(t, admit.DeadlineUnreachable, v)
 	v, _ = g.Arrive(start, admit.Ticket{ID: 4, Target: start.Add(25 * time.Second), Deadline: start.Add(25 * time.Second)})
 	require.Equal(t, admit.Queued, v)
 }
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -21,9 +21,9 @@
 	// QueueFull means that the request is refused because the queue is full of
 	// requests that are served first.
 	QueueFull
-	// TooLate means that the request is refused because it could not be answered
-	// before its deadline.
-	TooLate
+	// DeadlineUnreachable means that the request is refused because it could not
+	// be answered before its deadline.
+	DeadlineUnreachable
 )
 
 // Ticket represents a request in a Gate.
@@ -56,18 +56,18 @@
 	return 2*t.Priority + 1
 }
 
-// Late reports whether the ticket has missed its target.
-func (t Ticket) Late() bool { return t.targetMissed }
+// TargetMissed reports whether the ticket has missed its target.
+func (t Ticket) TargetMissed() bool { return t.targetMissed }
 
-// Missed returns the ticket marked as having missed its target.
-func (t Ticket) Missed() Ticket {
+// WithTargetMissed returns the ticket marked as having missed its target.
+func (t Ticket) WithTargetMissed() Ticket {
 	t.targetMissed = true
 	return t
 }
 
-// Numbered returns the ticket with its number in the order of arrival and a
-// weight of at least 1.
-func (t Ticket) Numbered(sequence uint64) Ticket {
+// WithSequence returns the ticket with its number in the order of arrival and
+// a weight of at least 1.
+func (t Ticket) WithSequence(sequence uint64) Ticket {
 	t.Weight = max(t.Weight, 1)
 	t.sequence = sequence
 	return t
@@ -84,16 +84,16 @@
 	Queue       int
 }
 
-// Smoothing is the weight of the newest value in the moving average of service
-// times.
-const Smoothing = 0.1
+// SmoothingFactor is the weight of the newest value in the moving average of
+// service times.
+const SmoothingFactor = 0.1
 
-// Demand measures the rate of arrivals as a moving average with exponential
-// decay. The rate determines the capacity left for requests that have missed
-// their targets. The zero value has a rate of 0.
-type Demand struct {
-	rate float64
-	last time.Time
+// ArrivalRate measures the rate of arrivals as a moving average with
+// exponential decay. The rate determines the capacity left for requests that
+// have missed their targets. The zero value has a rate of 0.
+type ArrivalRate struct {
+	perSecond float64
+	updatedAt time.Time
 }
 
 const (
@@ -102,19 +102,20 @@
 	minFreeCapacity = 0.02
 )
 
-// Arrive records an arrival.
-func (d *Demand) Arrive(now time.Time) {
-	d.rate = d.Rate(now) + 1/rateTimeConstant.Seconds()
-	d.last = now
+// Observe records an arrival.
+func (d *ArrivalRate) Observe(now time.Time) {
+	d.perSecond = d.PerSecond(now) + 1/rateTimeConstant.Seconds()
+	d.updatedAt = now
 }
 
-// Rate returns the current rate in arrivals per second.
-func (d *Demand) Rate(now time.Time) float64 {
-	return d.rate * math.Exp(-now.Sub(d.last).Seconds()/rateTimeConstant.Seconds())
+// PerSecond returns the current rate in arrivals per second.
+func (d *ArrivalRate) PerSecond(now time.Time) float64 {
+	return d.perSecond * math.Exp(-now.Sub(d.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
 
-// Room returns the fraction of the capacity that new arrivals leave free.
-func (d *Demand) Room(now time.Time, service time.Duration, concurrency int) float64 {
-	load := d.Rate(now) * service.Seconds() / float64(max(concurrency, 1))
+// FreeCapacity returns the fraction of the capacity that new arrivals leave
+// free.
+func (d *ArrivalRate) FreeCapacity(now time.Time, service time.Duration, concurrency int) float64 {
+	load := d.PerSecond(now) * service.Seconds() / float64(max(concurrency, 1))
 	return max(1-load, minFreeCapacity)
 }
--- a/bench/repeat.go
+++ b/bench/repeat.go
@@ -75,7 +75,7 @@
 		}
 		c.one(ctx, dedup.Request{
 			Key: dedup.Key{Profile: "repeat", Caller: "bench", Key: key}, BodyHash: "body",
-			Grant: fmt.Sprintf("%s-%d-%d-g", c.prefix, worker, n), Busy: 10 * time.Second, Retain: time.Hour,
+			GrantID: fmt.Sprintf("%s-%d-%d-g", c.prefix, worker, n), InProgressTimeout: 10 * time.Second, Retention: time.Hour,
 		})
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	c.granted.Add(1)
 	c.runs.Add(r.Key.Key)
-	r.Grant = d.Grant
+	r.GrantID = d.GrantID
 	c.settle(ctx, r, d)
 }
 
@@ -178,7 +178,7 @@
 
 func startRunner(ctx context.Context, c *store.Client) *claim.Runner {
 	r := claim.NewRunner("shard-0", c, time.Now)
-	r.Interval = repeatInterval
+	r.WriteInterval = repeatInterval
 	go r.Run(ctx)
 	return r
 }
@@ -188,7 +188,7 @@
 	return &claimants{
 		claim: r.Claim, runs: runs, seed: seed, prefix: "batched",
 		settle: func(ctx context.Context, req dedup.Request, _ dedup.Decision) {
-			go func() { _ = r.Settle(ctx, req, wire.ClaimStateDone, "") }()
+			go func() { _ = r.RecordOutcome(ctx, req, wire.ClaimStateDone, "") }()
 		},
 	}
 }
@@ -203,7 +203,7 @@
 			return runners[n.Add(1)%2].Claim(ctx, req)
 		},
 		settle: func(ctx context.Context, req dedup.Request, _ dedup.Decision) {
-			go func() { _ = runners[n.Add(1)%2].Settle(ctx, req, wire.ClaimStateDone, "") }()
+			go func() { _ = runners[n.Add(1)%2].RecordOutcome(ctx, req, wire.ClaimStateDone, "") }()
 		},
 	}
 }
--- a/claim/maintenance.go
+++ b/claim/maintenance.go
@@ -21,7 +21,7 @@
 	seal, _ := r.shard.BeginSeal(r.Now(), r.newSegmentName)
 	var sources []wire.ShardSegment
 	if seal == nil {
-		sources = r.shard.BeginMerge()
+		sources = r.shard.MergeCandidates()
 	}
 	obsolete := r.obsoleteSegments
 	if seal == nil && len(sources) == 0 && len(obsolete) == 0 {
@@ -47,16 +47,16 @@
 	defer r.mu.Unlock()
 	r.maintaining = false
 	if err != nil {
-		if r.Failed != nil {
-			r.Failed(err)
+		if r.OnError != nil {
+			r.OnError(err)
 		}
 		return
 	}
 	if seal != nil {
-		r.shard.Sealed(seal)
+		r.shard.SealStored(seal)
 	}
 	if merge != nil {
-		r.shard.Merged(merge)
+		r.shard.MergeStored(merge)
 	}
 }
 
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -47,16 +47,16 @@
 // must be set before the first call; Get, Put and Delete must not retry.
 type Runner struct {
 	Name string
-	// Interval is the minimum time between two updates; 0 means 25 ms.
-	Interval time.Duration
-	Get      func(ctx context.Context, kind, name string) (store.Object, error)
-	Put      func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
-	Delete   func(ctx context.Context, kind, name string, ifVersion int) error
+	// WriteInterval is the minimum time between two updates; 0 means 25 ms.
+	WriteInterval time.Duration
+	Get           func(ctx context.Context, kind, name string) (store.Object, error)
+	Put           func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
+	Delete        func(ctx context.Context, kind, name string, ifVersion int) error
 	// Now returns the current time.
 	Now func() time.Time
-	// Failed, when set, is called with each error that makes the Runner refuse
+	// OnError, when set, is called with each error that makes the Runner refuse
 	// claims and with each error of a maintenance task.
-	Failed func(err error)
+	OnError func(err error)
 
 	mu                     sync.Mutex
 	shard                  dedup.Shard
@@ -89,14 +89,14 @@
 }
 
 func (r *Runner) writeInterval() time.Duration {
-	if r.Interval > 0 {
-		return r.Interval
+	if r.WriteInterval > 0 {
+		return r.WriteInterval
 	}
 	return defaultWriteInterval
 }
 
 // Claim requests a claim and waits for the decision. Only a granted request
-// may be sent, under Decision.Grant.
+// may be sent, under Decision.GrantID.
 func (r *Runner) Claim(ctx context.Context, req dedup.Request) dedup.Decision {
 	decision, d, decided := r.propose(req)
 	if decided {
@@ -112,7 +112,7 @@
 }
 
 func unavailable() dedup.Decision {
-	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetry}
+	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetryAfter}
 }
 
 func (r *Runner) propose(req dedup.Request) (chan dedup.Decision, dedup.Decision, bool) {
@@ -124,17 +124,17 @@
 		return nil, unavailable(), true
 	}
 	d, decided := r.shard.Propose(now, req)
-	if decided && (now.Sub(r.shard.Confirmed()) <= maxCopyAge || !mayBeStale(d.Verdict)) {
+	if decided && (now.Sub(r.shard.SyncedAt()) <= maxCopyAge || !mayBeStale(d.Verdict)) {
 		return nil, d, true
 	}
 	if decided {
 		// Another VM may have recorded the outcome of the claim since the last
 		// read. Reload the shard before replying to the caller.
-		r.shard.Unsure()
+		r.shard.Invalidate()
 		_, _ = r.shard.Propose(now, req)
 	}
 	decision := make(chan dedup.Decision, 1)
-	r.waiters[req.Grant] = decision
+	r.waiters[req.GrantID] = decision
 	r.signal()
 	return decision, d, false
 }
@@ -147,18 +147,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
-	delete(r.waiters, req.Grant)
+	delete(r.waiters, req.GrantID)
 	r.shard.Cancel(r.Now(), req)
 	r.signal()
 }
 
-// Settle records the outcome of a granted request and returns once it is
-// written, or when ctx ends.
-func (r *Runner) Settle(ctx context.Context, req dedup.Request, state wire.ClaimState, response string) error {
+// RecordOutcome records the outcome of a granted request and returns once it
+// is written, or when ctx ends.
+func (r *Runner) RecordOutcome(ctx context.Context, req dedup.Request, state wire.ClaimState, response string) error {
 	written := make(chan struct{})
 	r.mu.Lock()
 	r.init()
-	r.shard.Settle(r.Now(), req, state, response)
+	r.shard.RecordOutcome(r.Now(), req, state, response)
 	r.outcomeWaiters = append(r.outcomeWaiters, written)
 	r.signal()
 	r.mu.Unlock()
@@ -166,7 +166,7 @@
 	case <-written:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("record outcome of claim %s: %w", req.Grant, ctx.Err())
+		return fmt.Errorf("record outcome of claim %s: %w", req.GrantID, ctx.Err())
 	}
 }
 
@@ -207,7 +207,7 @@
 func (r *Runner) pending() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.shard.Pending()
+	return r.shard.HasPending()
 }
 
 // loadAndWrite loads the shard if its copy is not current and writes one
@@ -229,8 +229,8 @@
 	if err == nil || store.IsConflict(err) || store.IsLost(err) {
 		return nil
 	}
-	if r.Failed != nil {
-		r.Failed(err)
+	if r.OnError != nil {
+		r.OnError(err)
 	}
 	r.refuseAll()
 	return err
@@ -242,15 +242,15 @@
 	defer r.mu.Unlock()
 	now := r.Now()
 	r.unavailableUntil = now.Add(outageBackoff)
-	r.deliver(r.shard.Refuse(now))
+	r.deliver(r.shard.RefuseAll(now))
 }
 
 // deliver sends decisions to the waiting callers. The caller holds r.mu.
 func (r *Runner) deliver(replies []dedup.Reply) {
 	for _, reply := range replies {
-		if waiter := r.waiters[reply.Grant]; waiter != nil {
+		if waiter := r.waiters[reply.GrantID]; waiter != nil {
 			waiter <- reply.Decision
-			delete(r.waiters, reply.Grant)
+			delete(r.waiters, reply.GrantID)
 		}
 	}
 }
@@ -278,7 +278,7 @@
 		return err
 	}
 	r.mu.Lock()
-	missing := r.shard.Missing(head)
+	missing := r.shard.MissingSegments(head)
 	r.mu.Unlock()
 	segments, err := r.readSegments(ctx, missing)
 	if err != nil {
@@ -320,17 +320,17 @@
 	now := r.Now()
 	if now.Sub(r.evictedAt) > evictInterval {
 		r.evictedAt = now
-		r.shard.Forget(now)
+		r.shard.EvictExpired(now)
 	}
-	if !r.shard.Work() {
+	if !r.shard.CanWrite() {
 		r.mu.Unlock()
 		return nil
 	}
-	if r.shard.Full() {
+	if r.shard.HeadFull() {
 		r.mu.Unlock()
 		return errHeadFull
 	}
-	batch := r.shard.Next(now)
+	batch := r.shard.NextBatch(now)
 	r.inFlightOutcomeWaiters, r.outcomeWaiters = append(r.inFlightOutcomeWaiters, r.outcomeWaiters...), nil
 	r.mu.Unlock()
 	return r.writeHead(ctx, batch)
@@ -359,19 +359,19 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.deliver(r.shard.Committed(r.Now(), version))
+	r.deliver(r.shard.BatchCommitted(r.Now(), version))
 	for _, written := range r.inFlightOutcomeWaiters {
 		close(written)
 	}
 	r.inFlightOutcomeWaiters = nil
-	r.obsoleteSegments = append(r.obsoleteSegments, b.Drop...)
+	r.obsoleteSegments = append(r.obsoleteSegments, b.ObsoleteSegments...)
 	return nil
 }
 
 func (r *Runner) requeueBatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.shard.Failed()
+	r.shard.BatchFailed()
 }
 
 // handleHeadError handles a failed update of the head. If the update may have
@@ -381,9 +381,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if store.IsAway(err) || store.IsLimited(err) {
-		r.shard.Failed()
+		r.shard.BatchFailed()
 	} else {
-		r.shard.Unsure()
+		r.shard.Invalidate()
 	}
 	return fmt.Errorf("write head of shard %s: %w", r.Name, err)
 }
--- a/claim/runner_test.go
+++ b/claim/runner_test.go
@@ -32,7 +32,7 @@
 	var all []*claim.Runner
 	for range n {
 		r := claim.NewRunner("shard-0", store.New(s.URL, "", "vm"), time.Now)
-		r.Interval = time.Millisecond
+		r.WriteInterval = time.Millisecond
 		wg.Go(func() { r.Run(ctx) })
 		all = append(all, r)
 	}
@@ -41,8 +41,8 @@
 
 func request(key, grant string) dedup.Request {
 	return dedup.Request{
-		Key: dedup.Key{Profile: "p", Caller: "c", Key: key}, BodyHash: "body", Grant: grant,
-		Busy: time.Minute, Retain: time.Hour,
+		Key: dedup.Key{Profile: "p", Caller: "c", Key: key}, BodyHash: "body", GrantID: grant,
+		InProgressTimeout: time.Minute, Retention: time.Hour,
 	}
 }
 
@@ -66,7 +66,7 @@
 				req := request(fmt.Sprint(i), fmt.Sprint(i, "-", j))
 				if d := r.Claim(testContext(t), req); d.Verdict == dedup.Granted {
 					granted[i].Add(1)
-					_ = r.Settle(testContext(t), req, wire.ClaimStateDone, "")
+					_ = r.RecordOutcome(testContext(t), req, wire.ClaimStateDone, "")
 				}
 			})
 		}
--- a/dedup/claim.go
+++ b/dedup/claim.go
@@ -72,24 +72,24 @@
 // Request is a request for a claim.
 type Request struct {
 	Key Key
-	// Stored, when set, is the stored form of the key and is used instead of
+	// Digest, when set, is the stored form of the key and is used instead of
 	// Key.
-	Stored string
+	Digest string
 	// BodyHash is the digest of the request's content.
 	BodyHash string
-	// Grant identifies the attempt that requests the claim.
-	Grant string
-	// Busy is how long a granted request can be in progress. After that time a
-	// claim without an outcome counts as unknown.
-	Busy time.Duration
-	// Retain is how long the key is retained.
-	Retain time.Duration
+	// GrantID identifies the attempt that requests the claim.
+	GrantID string
+	// InProgressTimeout is how long a granted request can be in progress. After
+	// that time a claim without an outcome counts as unknown.
+	InProgressTimeout time.Duration
+	// Retention is how long the key is retained.
+	Retention time.Duration
 }
 
 // StoredKey returns the stored form of the key.
 func (r Request) StoredKey() string {
-	if r.Stored != "" {
-		return r.Stored
+	if r.Digest != "" {
+		return r.Digest
 	}
 	return r.Key.String()
 }
@@ -97,10 +97,11 @@
 // Decision is the reply to a Request.
 type Decision struct {
 	Verdict Verdict
-	// Answer is the stored response for AlreadyRan; empty if it was not stored.
-	Answer string
-	// Grant identifies the grant under which the request may be sent.
-	Grant string
+	// Response is the stored response for AlreadyRan; empty if it was not
+	// stored.
+	Response string
+	// GrantID identifies the grant under which the request may be sent.
+	GrantID string
 	// Version is the version of the object that holds a granted claim, if each
 	// claim is stored in an object of its own.
 	Version int
@@ -111,8 +112,8 @@
 // NewClaim returns the stored claim of a granted request.
 func NewClaim(now time.Time, r Request) wire.Claim {
 	return wire.Claim{
-		Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.Grant, State: wire.ClaimStateGranted,
-		GrantedMs: int(now.UnixMilli()), RetainUntilMs: int(now.Add(r.Retain).UnixMilli()),
+		Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.GrantID, State: wire.ClaimStateGranted,
+		GrantedMs: int(now.UnixMilli()), RetainUntilMs: int(now.Add(r.Retention).UnixMilli()),
 	}
 }
 
@@ -121,11 +122,11 @@
 	return now.After(time.UnixMilli(int64(c.RetainUntilMs)))
 }
 
-// Judge decides on a request whose key already has a claim. Clock skew between
-// VMs can only confuse InProgress and Unknown, and neither allows the request
-// to run.
-func Judge(now time.Time, r Request, c wire.Claim) Decision {
-	if c.Grant == r.Grant {
+// Decide returns the decision on a request whose key already has a claim.
+// Clock skew between VMs can only confuse InProgress and Unknown, and neither
+// allows the request to run.
+func Decide(now time.Time, r Request, c wire.Claim) Decision {
+	if c.Grant == r.GrantID {
 		return decideOwnGrant(c)
 	}
 	if c.BodyHash != r.BodyHash {
@@ -133,11 +134,11 @@
 	}
 	switch c.State {
 	case wire.ClaimStateDone:
-		return Decision{Verdict: AlreadyRan, Answer: c.Answer}
+		return Decision{Verdict: AlreadyRan, Response: c.Answer}
 	case wire.ClaimStateUnknown:
 		return Decision{Verdict: Unknown}
 	}
-	inProgressUntil := time.UnixMilli(int64(c.GrantedMs)).Add(r.Busy)
+	inProgressUntil := time.UnixMilli(int64(c.GrantedMs)).Add(r.InProgressTimeout)
 	if now.Before(inProgressUntil) {
 		return Decision{Verdict: InProgress, RetryAfter: inProgressRetryAfter}
 	}
@@ -149,14 +150,14 @@
 // not be sent.
 func decideOwnGrant(c wire.Claim) Decision {
 	if c.State == wire.ClaimStateGranted {
-		return Decision{Verdict: Granted, Grant: c.Grant}
+		return Decision{Verdict: Granted, GrantID: c.Grant}
 	}
-	return Decision{Verdict: Unavailable, RetryAfter: UnavailableRetry}
+	return Decision{Verdict: Unavailable, RetryAfter: UnavailableRetryAfter}
 }
 
 // Retry delays returned to callers.
 const (
-	// UnavailableRetry is the retry delay for Unavailable.
-	UnavailableRetry     = time.Second
-	inProgressRetryAfter = time.Second
+	// UnavailableRetryAfter is the retry delay for Unavailable.
+	UnavailableRetryAfter = time.Second
+	inProgressRetryAfter  = time.Second
 )
--- a/dedup/history_test.go
+++ b/dedup/history_test.go
@@ -155,7 +155,7 @@
 		pending: make(map[string]pendingClaim), runs: make(map[int]int), now: start,
 	}
 	for i := range s.nodes {
-		s.nodes[i] = &node{shard: &dedup.Shard{HeadClaims: 4}}
+		s.nodes[i] = &node{shard: &dedup.Shard{MaxHeadClaims: 4}}
 	}
 	return s
 }
@@ -171,7 +171,7 @@
 
 // recordDeferred records an operation that may take effect at any later time.
 func (s *sim) recordDeferred(kind operationKind, claim pendingClaim, calledAt int64) {
-	s.record(operation{kind: kind, key: claim.key, grant: claim.request.Grant}, calledAt, neverReturned, dedup.Unavailable)
+	s.record(operation{kind: kind, key: claim.key, grant: claim.request.GrantID}, calledAt, neverReturned, dedup.Unavailable)
 }
 
 func (s *sim) run() {
@@ -204,13 +204,13 @@
 		s.recordDecision(claim, d)
 		return
 	}
-	s.pending[claim.request.Grant] = claim
+	s.pending[claim.request.GrantID] = claim
 }
 
 // recordDecision records the decision that the caller receives.
 func (s *sim) recordDecision(claim pendingClaim, d dedup.Decision) {
-	delete(s.pending, claim.request.Grant)
-	s.record(operation{kind: opClaim, key: claim.key, grant: claim.request.Grant}, claim.calledAt, s.tick(), d.Verdict)
+	delete(s.pending, claim.request.GrantID)
+	s.record(operation{kind: opClaim, key: claim.key, grant: claim.request.GrantID}, claim.calledAt, s.tick(), d.Verdict)
 	switch d.Verdict {
 	case dedup.Granted:
 		s.granted = append(s.granted, claim)
@@ -222,7 +222,7 @@
 
 func (s *sim) recordReplies(replies []dedup.Reply) {
 	for _, r := range replies {
-		if claim, waits := s.pending[r.Grant]; waits {
+		if claim, waits := s.pending[r.GrantID]; waits {
 			s.recordDecision(claim, r.Decision)
 		}
 	}
@@ -247,7 +247,7 @@
 	default:
 		s.runs[claim.key]++
 		s.recordDeferred(opFinish, claim, s.tick())
-		shard.Settle(s.now, claim.request, wire.ClaimStateDone, "")
+		shard.RecordOutcome(s.now, claim.request, wire.ClaimStateDone, "")
 	}
 }
 
@@ -287,28 +287,28 @@
 		return
 	}
 	s.store.maintain(s.now, n.shard)
-	if n.shard.Work() {
+	if n.shard.CanWrite() {
 		s.sendUpdate(step, n)
 	}
 }
 
 // sendUpdate sends one update with a randomly chosen result.
 func (s *sim) sendUpdate(step int, n *node) {
-	b := n.shard.Next(s.now)
+	b := n.shard.NextBatch(s.now)
 	if s.variant == unconditionalWrite {
 		b.IfVersion = s.store.version
 	}
 	if s.variant == grantBeforeCommit {
 		for _, grant := range s.pendingGrants() {
 			if claim := s.pending[grant]; s.nodes[claim.node] == n && batchContains(b, claim) {
-				s.recordDecision(claim, dedup.Decision{Verdict: dedup.Granted, Grant: grant})
+				s.recordDecision(claim, dedup.Decision{Verdict: dedup.Granted, GrantID: grant})
 			}
 		}
 	}
 	switch s.rng.IntN(10) {
 	case 0: // no effect, and the node receives the error
-		n.shard.Failed()
-		s.recordReplies(n.shard.Refuse(s.now))
+		n.shard.BatchFailed()
+		s.recordReplies(n.shard.RefuseAll(s.now))
 	case 1: // no effect, and the response is lost
 		s.loseResponse(n)
 	case 2: // takes effect late, and the response is lost
@@ -327,7 +327,7 @@
 
 func batchContains(b dedup.Batch, claim pendingClaim) bool {
 	for _, c := range b.Recent {
-		if c.Grant == claim.request.Grant {
+		if c.Grant == claim.request.GrantID {
 			return true
 		}
 	}
@@ -335,16 +335,16 @@
 }
 
 func (s *sim) loseResponse(n *node) {
-	n.shard.Unsure()
+	n.shard.Invalidate()
 }
 
 // handleResponse processes the response to a node's update.
 func (s *sim) handleResponse(n *node, won bool, version int) {
 	if !won {
-		n.shard.Unsure()
+		n.shard.Invalidate()
 		return
 	}
-	s.recordReplies(n.shard.Committed(s.now, version))
+	s.recordReplies(n.shard.BatchCommitted(s.now, version))
 }
 
 func (s *sim) deliverLateUpdates(step int) {
--- a/dedup/segment.go
+++ b/dedup/segment.go
@@ -18,8 +18,8 @@
 
 // Merge holds several small segments that are merged into one.
 type Merge struct {
-	Name string
-	Old  []wire.ShardSegment
+	Name    string
+	Sources []wire.ShardSegment
 	// Claims is the content of the new segment.
 	Claims []wire.Claim
 }
@@ -34,12 +34,12 @@
 	return &Seal{Name: name(), Claims: compactClaims(now, covered), covered: covered}, true
 }
 
-// Sealed records that the segment of a Seal has been stored.
-func (s *Shard) Sealed(seal *Seal) { s.storedSeal = seal }
+// SealStored records that the segment of a Seal has been stored.
+func (s *Shard) SealStored(seal *Seal) { s.storedSeal = seal }
 
-// Full reports whether the head is so far above its maximum size that it must
-// be sealed before it accepts more claims.
-func (s *Shard) Full() bool { return len(s.recent) >= maxUnsealedHeads*s.maxHeadClaims() }
+// HeadFull reports whether the head is so far above its maximum size that it
+// must be sealed before it accepts more claims.
+func (s *Shard) HeadFull() bool { return len(s.recent) >= maxUnsealedHeads*s.maxHeadClaims() }
 
 // applySeal makes a batch refer to the stored segment of a Seal. Claims whose
 // state changed after sealing stay in the head, whose records override those
@@ -53,7 +53,7 @@
 	}
 	b.seal = seal
 	if !hasClaimPrefix(b.Recent, seal.covered) {
-		b.Drop = append(b.Drop, seal.Name)
+		b.ObsoleteSegments = append(b.ObsoleteSegments, seal.Name)
 		return
 	}
 	segment := wire.ShardSegment{Name: seal.Name, Claims: len(seal.Claims)}
@@ -82,9 +82,9 @@
 	return true
 }
 
-// BeginMerge returns adjacent small segments that are to be merged, oldest
-// first.
-func (s *Shard) BeginMerge() []wire.ShardSegment {
+// MergeCandidates returns adjacent small segments that are to be merged,
+// oldest first.
+func (s *Shard) MergeCandidates() []wire.ShardSegment {
 	if !s.loaded || s.storedMerge != nil {
 		return nil
 	}
@@ -107,11 +107,11 @@
 // NewMerge returns the Merge of source segments, whose contents are given in
 // the same order.
 func NewMerge(now time.Time, sources []wire.ShardSegment, contents [][]wire.Claim, name string) *Merge {
-	return &Merge{Name: name, Old: sources, Claims: compactClaims(now, slices.Concat(contents...))}
+	return &Merge{Name: name, Sources: sources, Claims: compactClaims(now, slices.Concat(contents...))}
 }
 
-// Merged records that the segment of a Merge has been stored.
-func (s *Shard) Merged(m *Merge) { s.storedMerge = m }
+// MergeStored records that the segment of a Merge has been stored.
+func (s *Shard) MergeStored(m *Merge) { s.storedMerge = m }
 
 // applyMerge replaces the source segments in a batch with the merged segment.
 // If the batch no longer contains the sources in sequence, the merged segment
@@ -123,15 +123,15 @@
 		return
 	}
 	b.merge = m
-	first := slices.Index(b.Segments, m.Old[0])
-	if first < 0 || first+len(m.Old) > len(b.Segments) || !slices.Equal(b.Segments[first:first+len(m.Old)], m.Old) {
-		b.Drop = append(b.Drop, m.Name)
+	first := slices.Index(b.Segments, m.Sources[0])
+	if first < 0 || first+len(m.Sources) > len(b.Segments) || !slices.Equal(b.Segments[first:first+len(m.Sources)], m.Sources) {
+		b.ObsoleteSegments = append(b.ObsoleteSegments, m.Name)
 		return
 	}
 	segment := wire.ShardSegment{Name: m.Name, Claims: len(m.Claims)}
-	for _, source := range m.Old {
+	for _, source := range m.Sources {
 		segment.RetainUntilMs = max(segment.RetainUntilMs, source.RetainUntilMs)
-		b.Drop = append(b.Drop, source.Name)
+		b.ObsoleteSegments = append(b.ObsoleteSegments, source.Name)
 	}
-	b.Segments = slices.Replace(slices.Clone(b.Segments), first, first+len(m.Old), segment)
+	b.Segments = slices.Replace(slices.Clone(b.Segments), first, first+len(m.Sources), segment)
 }
--- a/dedup/shard.go
+++ b/dedup/shard.go
@@ -41,9 +41,9 @@
 // The zero value must be loaded with Load first. A Shard is not safe for
 // concurrent use.
 type Shard struct {
-	// HeadClaims, when not 0, replaces the default maximum number of claims in
-	// the head.
-	HeadClaims int
+	// MaxHeadClaims, when not 0, replaces the default maximum number of claims
+	// in the head.
+	MaxHeadClaims int
 
 	loaded   bool
 	version  int
@@ -72,7 +72,7 @@
 
 // Reply is the decision on a waiting Request.
 type Reply struct {
-	Grant    string
+	GrantID  string
 	Decision Decision
 }
 
@@ -82,9 +82,9 @@
 	IfVersion int
 	Segments  []wire.ShardSegment
 	Recent    []wire.Claim
-	// Drop lists the segments that are obsolete once the update has taken
-	// effect.
-	Drop []string
+	// ObsoleteSegments lists the segments that are obsolete once the update has
+	// taken effect.
+	ObsoleteSegments []string
 
 	granted  []Request
 	outcomes []wire.Claim
@@ -95,26 +95,26 @@
 // Loaded reports whether the shard's copy can be used without reloading it.
 func (s *Shard) Loaded() bool { return s.loaded }
 
-// Waiting returns the number of requests waiting for a batch.
-func (s *Shard) Waiting() int { return len(s.waiting) }
+// WaitingCount returns the number of requests waiting for a batch.
+func (s *Shard) WaitingCount() int { return len(s.waiting) }
 
-// Claims returns the number of keys in memory.
-func (s *Shard) Claims() int { return len(s.index) }
+// KeyCount returns the number of keys in memory.
+func (s *Shard) KeyCount() int { return len(s.index) }
 
-// Confirmed returns when the copy was last confirmed to match the platform.
-func (s *Shard) Confirmed() time.Time { return s.syncedAt }
+// SyncedAt returns when the copy was last confirmed to match the platform.
+func (s *Shard) SyncedAt() time.Time { return s.syncedAt }
 
 func (s *Shard) maxHeadClaims() int {
-	if s.HeadClaims > 0 {
-		return s.HeadClaims
+	if s.MaxHeadClaims > 0 {
+		return s.MaxHeadClaims
 	}
 	return defaultMaxHeadClaims
 }
 
-// Missing returns the names of the segments that Load needs in addition to a
-// head. If the head's segments do not extend the loaded ones, the shard
-// discards its copy and needs all segments.
-func (s *Shard) Missing(head wire.ShardHead) []string {
+// MissingSegments returns the names of the segments that Load needs in
+// addition to a head. If the head's segments do not extend the loaded ones,
+// the shard discards its copy and needs all segments.
+func (s *Shard) MissingSegments(head wire.ShardHead) []string {
 	// Another VM may have removed the oldest segments after all of their claims
 	// expired.
 	for len(s.segments) > 0 && (len(head.Segments) == 0 || s.segments[0] != head.Segments[0]) {
@@ -132,8 +132,9 @@
 }
 
 // Load replaces the shard's copy with the platform's content: the head at a
-// version, its unpacked recent claims and the segments named by Missing. It
-// returns the replies to requests that this content decides.
+// version, its unpacked recent claims and the segments named by
+// MissingSegments. It returns the replies to requests that this content
+// decides.
 func (s *Shard) Load(now time.Time, version int, head wire.ShardHead, recent []wire.Claim, segments map[string][]wire.Claim) []Reply {
 	if s.index == nil {
 		s.index = make(map[string]wire.Claim)
@@ -196,7 +197,7 @@
 	if !used || Expired(now, c) {
 		return Decision{}, false
 	}
-	return Judge(now, r, c), true
+	return Decide(now, r, c), true
 }
 
 // decideWaiting replies to the waiting requests whose keys are already used.
@@ -204,11 +205,11 @@
 	var replies []Reply
 	kept := s.waiting[:0]
 	for _, r := range s.waiting {
-		if _, canceled := s.canceled[r.Grant]; canceled {
+		if _, canceled := s.canceled[r.GrantID]; canceled {
 			continue
 		}
 		if d, decided := s.decide(now, r); decided {
-			replies = append(replies, Reply{Grant: r.Grant, Decision: d})
+			replies = append(replies, Reply{GrantID: r.GrantID, Decision: d})
 			continue
 		}
 		kept = append(kept, r)
@@ -226,13 +227,13 @@
 
 func (s *Shard) releaseGranted(now time.Time, canceled canceledRequest) {
 	c := s.index[canceled.request.StoredKey()]
-	if c.Grant == canceled.request.Grant && c.State == wire.ClaimStateGranted {
-		s.Settle(now, canceled.request, wire.ClaimStateReleased, "")
-		delete(s.canceled, canceled.request.Grant)
+	if c.Grant == canceled.request.GrantID && c.State == wire.ClaimStateGranted {
+		s.RecordOutcome(now, canceled.request, wire.ClaimStateReleased, "")
+		delete(s.canceled, canceled.request.GrantID)
 		return
 	}
 	if now.Sub(canceled.canceledAt) > cancelRetention {
-		delete(s.canceled, canceled.request.Grant)
+		delete(s.canceled, canceled.request.GrantID)
 	}
 }
 
@@ -245,33 +246,35 @@
 		s.canceled = make(map[string]canceledRequest)
 	}
 	canceled := canceledRequest{request: r, canceledAt: now}
-	s.canceled[r.Grant] = canceled
+	s.canceled[r.GrantID] = canceled
 	s.releaseGranted(now, canceled)
 }
 
-// Settle records the outcome of a granted claim for the next batch.
-func (s *Shard) Settle(now time.Time, r Request, state wire.ClaimState, response string) {
+// RecordOutcome records the outcome of a granted claim for the next batch.
+func (s *Shard) RecordOutcome(now time.Time, r Request, state wire.ClaimState, response string) {
 	c := NewClaim(now, r)
 	c.State, c.Answer = state, response
 	s.outcomes = append(s.outcomes, c)
 }
 
-// Pending reports whether any request or outcome requires a load or a write.
-func (s *Shard) Pending() bool {
+// HasPending reports whether any request or outcome requires a load or a
+// write.
+func (s *Shard) HasPending() bool {
 	return s.inFlight != nil || len(s.waiting) > 0 || len(s.outcomes) > 0
 }
 
-// Work reports whether the shard is ready to write and has something to write.
-func (s *Shard) Work() bool {
+// CanWrite reports whether the shard is ready to write and has something to
+// write.
+func (s *Shard) CanWrite() bool {
 	return s.loaded && s.inFlight == nil && (len(s.waiting) > 0 || len(s.outcomes) > 0)
 }
 
-// Next returns the update that grants the waiting requests, one per key. The
-// shard must be loaded and have no update in flight.
-func (s *Shard) Next(now time.Time) Batch {
+// NextBatch returns the update that grants the waiting requests, one per key.
+// The shard must be loaded and have no update in flight.
+func (s *Shard) NextBatch(now time.Time) Batch {
 	b := Batch{IfVersion: s.version, outcomes: s.outcomes}
 	s.outcomes = nil
-	b.Segments, b.Drop = splitExpired(now, s.segments)
+	b.Segments, b.ObsoleteSegments = splitExpired(now, s.segments)
 	b.Recent = slices.Clone(s.recent)
 	s.applyMerge(&b)
 	s.applySeal(&b)
@@ -357,9 +360,9 @@
 	return kept
 }
 
-// Committed records that the update in flight took effect. It returns the
+// BatchCommitted records that the update in flight took effect. It returns the
 // replies to the requests that it granted and to those whose keys it used.
-func (s *Shard) Committed(now time.Time, version int) []Reply {
+func (s *Shard) BatchCommitted(now time.Time, version int) []Reply {
 	b := s.inFlight
 	s.inFlight = nil
 	s.version, s.syncedAt = version, now
@@ -367,26 +370,27 @@
 	s.applyClaims(b.Recent)
 	var replies []Reply
 	for _, r := range b.granted {
-		if _, canceled := s.canceled[r.Grant]; !canceled {
-			replies = append(replies, Reply{Grant: r.Grant, Decision: Decision{Verdict: Granted, Grant: r.Grant}})
+		if _, canceled := s.canceled[r.GrantID]; !canceled {
+			replies = append(replies, Reply{GrantID: r.GrantID, Decision: Decision{Verdict: Granted, GrantID: r.GrantID}})
 		}
 	}
 	s.releaseCanceled(now)
 	return append(replies, s.decideWaiting(now)...)
 }
 
-// Failed records that the update in flight had no effect and requeues its
+// BatchFailed records that the update in flight had no effect and requeues its
 // content.
-func (s *Shard) Failed() { s.requeueInFlight() }
+func (s *Shard) BatchFailed() { s.requeueInFlight() }
 
-// Unsure records that the update in flight lost to another writer, or that its
-// response was lost. The shard must be reloaded before anything is granted.
-func (s *Shard) Unsure() { s.loaded = false }
+// Invalidate records that the update in flight lost to another writer, or that
+// its response was lost. The shard must be reloaded before anything is
+// granted.
+func (s *Shard) Invalidate() { s.loaded = false }
 
-// Refuse withdraws all waiting requests, because no claim can be granted now.
-// If an update in flight turns out to have granted one of them, its claim is
-// released.
-func (s *Shard) Refuse(now time.Time) []Reply {
+// RefuseAll withdraws all waiting requests, because no claim can be granted
+// now. If an update in flight turns out to have granted one of them, its claim
+// is released.
+func (s *Shard) RefuseAll(now time.Time) []Reply {
 	refused := s.waiting
 	if s.inFlight != nil {
 		refused = append(slices.Clone(s.inFlight.granted), refused...)
@@ -396,13 +400,13 @@
 	var replies []Reply
 	for _, r := range refused {
 		s.Cancel(now, r)
-		replies = append(replies, Reply{Grant: r.Grant, Decision: Decision{Verdict: Unavailable, RetryAfter: UnavailableRetry}})
+		replies = append(replies, Reply{GrantID: r.GrantID, Decision: Decision{Verdict: Unavailable, RetryAfter: UnavailableRetryAfter}})
 	}
 	return replies
 }
 
-// Forget removes expired keys from memory.
-func (s *Shard) Forget(now time.Time) {
+// EvictExpired removes expired keys from memory.
+func (s *Shard) EvictExpired(now time.Time) {
 	for key, c := range s.index {
 		if Expired(now, c) {
 			delete(s.index, key)
--- a/dedup/shard_test.go
+++ b/dedup/shard_test.go
@@ -38,7 +38,7 @@
 
 func (o *memoryStore) load(now time.Time, s *dedup.Shard) []dedup.Reply {
 	segments := make(map[string][]wire.Claim)
-	for _, name := range s.Missing(o.head) {
+	for _, name := range s.MissingSegments(o.head) {
 		segments[name] = o.segments[name]
 	}
 	recent := append([]wire.Claim(nil), o.recent...)
@@ -60,9 +60,9 @@
 func (o *memoryStore) maintain(now time.Time, s *dedup.Shard) {
 	if seal, ok := s.BeginSeal(now, o.newSegmentName); ok {
 		o.segments[seal.Name] = seal.Claims
-		s.Sealed(seal)
+		s.SealStored(seal)
 	}
-	sources := s.BeginMerge()
+	sources := s.MergeCandidates()
 	if len(sources) == 0 {
 		return
 	}
@@ -72,13 +72,13 @@
 	}
 	m := dedup.NewMerge(now, sources, contents, o.newSegmentName())
 	o.segments[m.Name] = m.Claims
-	s.Merged(m)
+	s.MergeStored(m)
 }
 
 func request(key, grant int) dedup.Request {
 	return dedup.Request{
 		Key: dedup.Key{Profile: "p", Caller: "c", Key: fmt.Sprint(key)}, BodyHash: fmt.Sprint("body", key),
-		Grant: fmt.Sprint("g", grant), Busy: 5 * time.Second, Retain: time.Minute,
+		GrantID: fmt.Sprint("g", grant), InProgressTimeout: 5 * time.Second, Retention: time.Minute,
 	}
 }
 
@@ -88,16 +88,16 @@
 func TestShardAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore()
-		s := &dedup.Shard{HeadClaims: 6}
+		s := &dedup.Shard{MaxHeadClaims: 6}
 		store.load(start, s)
 		var reference naive.Keys
 		now, grants := start, 0
 		granted := make(map[int]dedup.Request)
 		write := func() []dedup.Reply {
-			b := s.Next(now)
+			b := s.NextBatch(now)
 			require.True(t, store.put(b))
-			replies := s.Committed(now, store.version)
-			for _, name := range b.Drop {
+			replies := s.BatchCommitted(now, store.version)
+			for _, name := range b.ObsoleteSegments {
 				delete(store.segments, name)
 			}
 			store.maintain(now, s)
@@ -132,20 +132,20 @@
 				if state == wire.ClaimStateReleased {
 					s.Cancel(now, r)
 				} else {
-					s.Settle(now, r, state, "")
+					s.RecordOutcome(now, r, state, "")
 				}
 				reference.End(r, state)
-				if s.Work() {
+				if s.CanWrite() {
 					write()
 				}
 			},
 			"pass time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
-				s.Forget(now)
+				s.EvictExpired(now)
 			},
-			"reload": func(*rapid.T) { s.Unsure(); store.load(now, s) },
+			"reload": func(*rapid.T) { s.Invalidate(); store.load(now, s) },
 			"another VM": func(*rapid.T) {
-				s = &dedup.Shard{HeadClaims: 6}
+				s = &dedup.Shard{MaxHeadClaims: 6}
 				store.load(now, s)
 			},
 		})
@@ -176,11 +176,11 @@
 	for i := range 20 {
 		last = request(i, i)
 		s.Propose(start, last)
-		store.put(s.Next(start))
-		s.Committed(start, store.version)
-		s.Settle(start, last, wire.ClaimStateDone, strings.Repeat("x", 8<<10))
-		store.put(s.Next(start))
-		s.Committed(start, store.version)
+		store.put(s.NextBatch(start))
+		s.BatchCommitted(start, store.version)
+		s.RecordOutcome(start, last, wire.ClaimStateDone, strings.Repeat("x", 8<<10))
+		store.put(s.NextBatch(start))
+		s.BatchCommitted(start, store.version)
 	}
 	total := 0
 	for _, c := range store.recent {
@@ -191,17 +191,17 @@
 	d, decided := s.Propose(start, again)
 	require.True(t, decided)
 	require.Equal(t, dedup.AlreadyRan, d.Verdict)
-	require.Len(t, d.Answer, 8<<10)
+	require.Len(t, d.Response, 8<<10)
 	old, _ := s.Propose(start, request(0, 101))
 	require.Equal(t, dedup.AlreadyRan, old.Verdict)
-	require.Empty(t, old.Answer)
+	require.Empty(t, old.Response)
 }
 
 func TestPackedSize(t *testing.T) {
 	var claims []wire.Claim
 	for i := range 1000 {
 		r := request(i, i)
-		r.BodyHash, r.Grant = "0123456789abcdef", "89b73396-360d-4c21-a7fb-b6348d587099"
+		r.BodyHash, r.GrantID = "0123456789abcdef", "89b73396-360d-4c21-a7fb-b6348d587099"
 		claims = append(claims, dedup.NewClaim(start, r))
 	}
 	packed, err := dedup.Pack(claims)
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -71,7 +71,7 @@
 func (s *admitStage) refuseLate(g *gate) {
 	for _, t := range g.Expire(s.now()) {
 		s.wake(t.ID, hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable,
-			"the answer could not be whole in time").WithRetryAfter(max(g.Wait(t), shortestRetryHint)))
+			"the answer could not be whole in time").WithRetryAfter(max(g.EstimateWait(t), shortestRetryHint)))
 	}
 }
 
@@ -95,7 +95,7 @@
 		return nil
 	case admit.QueueFull:
 		return hibiscuscart.Fail(hibiscuscart.CauseQueueFull, "the queue of profile %q is full", x.profile.Name()).WithRetryAfter(s.estimate(x))
-	case admit.TooLate:
+	case admit.DeadlineUnreachable:
 		return hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable, "the answer could not be whole in time").WithRetryAfter(s.estimate(x))
 	}
 	select {
@@ -116,7 +116,7 @@
 	verdict, evicted := g.Arrive(s.now(), g.ticket(id, x))
 	if evicted != nil {
 		s.wake(evicted.ID, hibiscuscart.Fail(hibiscuscart.CauseQueueFull,
-			"the queue is full and this caller has the most requests in it").WithRetryAfter(g.Wait(*evicted)))
+			"the queue is full and this caller has the most requests in it").WithRetryAfter(g.EstimateWait(*evicted)))
 	}
 	if verdict != admit.Queued {
 		return id, verdict, nil
@@ -181,7 +181,7 @@
 	if g.first == 0 {
 		g.first = took
 	}
-	g.first += time.Duration(admit.Smoothing * float64(took-g.first))
+	g.first += time.Duration(admit.SmoothingFactor * float64(took-g.first))
 }
 
 // wake ends the wait of a ticket. The caller holds s.mu.
@@ -228,7 +228,7 @@
 func (s *admitStage) estimate(x *Exchange) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := s.gate(x).Wait(admit.Ticket{Caller: x.request.Caller, Priority: x.profile.Priority()})
+	wait := s.gate(x).EstimateWait(admit.Ticket{Caller: x.request.Caller, Priority: x.profile.Priority()})
 	return max(wait, shortestRetryHint)
 }
 
--- a/entry/claimer.go
+++ b/entry/claimer.go
@@ -76,8 +76,8 @@
 		return r
 	}
 	r = claim.NewRunner(fmt.Sprintf("shard-%d", shard), c.d.store, c.d.now)
-	r.Interval = c.d.config.ClaimInterval
-	r.Failed = func(err error) {
+	r.WriteInterval = c.d.config.ClaimInterval
+	r.OnError = func(err error) {
 		c.d.meter.Count("claim.shard_failed", 1)
 		c.d.log.Warn().Err(err).Int("shard", shard).Msg("claims are not granted")
 	}
@@ -104,7 +104,7 @@
 		// under that grant, and so may withdraw it; it goes on under another,
 		// so that the withdrawal can not undo what is granted here.
 		go c.abandon(owner, shard, r)
-		r.Grant = uuid.NewString()
+		r.GrantID = uuid.NewString()
 	}
 	return c.runner(shard).Claim(ctx, r), nil
 }
@@ -129,7 +129,7 @@
 			return nil
 		}
 	}
-	return c.runner(shard).Settle(ctx, r, state, answer)
+	return c.runner(shard).RecordOutcome(ctx, r, state, answer)
 }
 
 // release gives up a claim whose request was not sent.
@@ -149,8 +149,8 @@
 	ctx, span := spans.Start(ctx, "claim owner")
 	defer span.End()
 	r := dedup.Request{
-		Stored: call.Key, BodyHash: call.BodyHash, Grant: call.Grant,
-		Busy: time.Duration(call.BusyMs) * time.Millisecond, Retain: time.Duration(call.RetainMs) * time.Millisecond,
+		Digest: call.Key, BodyHash: call.BodyHash, GrantID: call.Grant,
+		InProgressTimeout: time.Duration(call.BusyMs) * time.Millisecond, Retention: time.Duration(call.RetainMs) * time.Millisecond,
 	}
 	runner := c.runner(c.shardOf(call.Key))
 	reply := &wire.ClaimReply{Call: call.Call, Verdict: wire.ClaimReplyVerdictGranted}
@@ -160,9 +160,9 @@
 	case wire.ClaimCallOperationClaim:
 		d := runner.Claim(ctx, r)
 		reply.Verdict = wire.ClaimReplyVerdict(d.Verdict.String())
-		reply.Answer, reply.RetryAfterMs = d.Answer, int(d.RetryAfter.Milliseconds())
+		reply.Answer, reply.RetryAfterMs = d.Response, int(d.RetryAfter.Milliseconds())
 	case wire.ClaimCallOperationDone, wire.ClaimCallOperationUnknown:
-		if err := runner.Settle(ctx, r, wire.ClaimState(call.Operation), call.Answer); err != nil {
+		if err := runner.RecordOutcome(ctx, r, wire.ClaimState(call.Operation), call.Answer); err != nil {
 			reply.Verdict = wire.ClaimReplyVerdictUnavailable
 		}
 	case wire.ClaimCallOperationRelease:
@@ -173,16 +173,16 @@
 
 func newClaimCall(operation wire.ClaimCallOperation, r dedup.Request, answer string) *wire.ClaimCall {
 	return &wire.ClaimCall{
-		Operation: operation, Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.Grant, Answer: answer,
-		BusyMs: int(r.Busy.Milliseconds()), RetainMs: int(r.Retain.Milliseconds()),
+		Operation: operation, Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.GrantID, Answer: answer,
+		BusyMs: int(r.InProgressTimeout.Milliseconds()), RetainMs: int(r.Retention.Milliseconds()),
 	}
 }
 
 func decisionOf(r dedup.Request, reply *wire.ClaimReply) dedup.Decision {
-	d := dedup.Decision{Answer: reply.Answer, RetryAfter: time.Duration(reply.RetryAfterMs) * time.Millisecond}
+	d := dedup.Decision{Response: reply.Answer, RetryAfter: time.Duration(reply.RetryAfterMs) * time.Millisecond}
 	d.Verdict = dedup.ParseVerdict(string(reply.Verdict))
 	if d.Verdict == dedup.Granted {
-		d.Grant = r.Grant
+		d.GrantID = r.GrantID
 	}
 	return d
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -45,8 +45,8 @@
 	}
 	r := dedup.Request{
 		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.Key},
-		BodyHash: x.request.BodyHash(), Grant: x.request.ID,
-		Busy: x.profile.WholeAnswer() + time.Second, Retain: x.profile.KeyRetention(),
+		BodyHash: x.request.BodyHash(), GrantID: x.request.ID,
+		InProgressTimeout: x.profile.WholeAnswer() + time.Second, Retention: x.profile.KeyRetention(),
 	}
 	d, err := s.claim(ctx, r)
 	if d.Verdict != dedup.Granted {
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := detach(ctx, x)
 	defer cancel()
-	r.Grant = d.Grant
+	r.GrantID = d.GrantID
 	err = next(ctx, x)
 	s.settling.Add(1)
 	go s.settle(x, r, d, err)
@@ -103,7 +103,7 @@
 // replay gives the kept answer of a request that has run, or says that it ran.
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
 	var a hibiscuscart.Answer
-	if d.Answer == "" || json.Unmarshal([]byte(d.Answer), &a) != nil {
+	if d.Response == "" || json.Unmarshal([]byte(d.Response), &a) != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
 	}
 	x.replayed = true
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -20,7 +20,7 @@
 
 // offered is the load offered for one model.
 type offered struct {
-	arrivals admit.Demand
+	arrivals admit.ArrivalRate
 	service  time.Duration
 }
 
@@ -44,7 +44,7 @@
 func (u *modelUsage) arrived(now time.Time, model string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.model(model).arrivals.Arrive(now)
+	u.model(model).arrivals.Observe(now)
 }
 
 // served takes in the time that a server took for a request.
@@ -55,7 +55,7 @@
 	if o.service == 0 {
 		o.service = took
 	}
-	o.service += time.Duration(admit.Smoothing * float64(took-o.service))
+	o.service += time.Duration(admit.SmoothingFactor * float64(took-o.service))
 }
 
 // demand returns the load offered for each model, in thousandths.
@@ -64,7 +64,7 @@
 	defer u.mu.Unlock()
 	demand := []wire.ModelDemand{}
 	for name, o := range u.models {
-		load := o.arrivals.Rate(now) * o.service.Seconds()
+		load := o.arrivals.PerSecond(now) * o.service.Seconds()
 		if n := int(math.Round(load * milli)); n > 0 {
 			demand = append(demand, wire.ModelDemand{Model: name, Load: n})
 		}
--- a/naive/claims.go
+++ b/naive/claims.go
@@ -39,7 +39,7 @@
 	version, err := c.Put(ctx, ClaimKind, r.StoredKey(), ifVersion, dedup.NewClaim(now, r))
 	switch {
 	case err == nil:
-		return dedup.Decision{Verdict: dedup.Granted, Grant: r.Grant, Version: version}, nil
+		return dedup.Decision{Verdict: dedup.Granted, GrantID: r.GrantID, Version: version}, nil
 	case store.IsConflict(err), store.IsLost(err):
 		return c.readBack(ctx, now, r)
 	}
@@ -62,16 +62,16 @@
 	if err := json.Unmarshal(obj.Value, &claim); err != nil {
 		return unavailable(), fmt.Errorf("decode claim: %w", err)
 	}
-	if claim.Grant != r.Grant && dedup.Expired(now, claim) {
+	if claim.Grant != r.GrantID && dedup.Expired(now, claim) {
 		return c.claimAt(ctx, now, r, obj.Version)
 	}
-	d := dedup.Judge(now, r, claim)
+	d := dedup.Decide(now, r, claim)
 	d.Version = obj.Version
 	return d, nil
 }
 
 func unavailable() dedup.Decision {
-	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetry}
+	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetryAfter}
 }
 
 // Finish records how a granted request ended, with its answer if it is to be
--- a/naive/gate.go
+++ b/naive/gate.go
@@ -17,7 +17,7 @@
 	virtual float64
 	tags    map[string]float64
 	service time.Duration
-	demand  admit.Demand
+	demand  admit.ArrivalRate
 }
 
 // Running returns how many requests are in progress.
@@ -29,14 +29,14 @@
 // Arrive takes in a request.
 func (g *Gate) Arrive(now time.Time, t admit.Ticket) (admit.Verdict, *admit.Ticket) {
 	g.count++
-	g.demand.Arrive(now)
-	t = t.Numbered(g.count)
+	g.demand.Observe(now)
+	t = t.WithSequence(g.count)
 	if g.running < g.Limits.Concurrency && len(g.waiting) == 0 {
 		g.start(t)
 		return admit.Admitted, nil
 	}
 	if g.hopeless(now, t) {
-		return admit.TooLate, nil
+		return admit.DeadlineUnreachable, nil
 	}
 	if len(g.waiting) < g.Limits.Queue {
 		g.waiting = append(g.waiting, t)
@@ -47,8 +47,8 @@
 
 func (g *Gate) hopeless(now time.Time, t admit.Ticket) bool {
 	wait := g.Wait(t)
-	if t.Late() || now.Add(wait).After(t.Target) {
-		wait = time.Duration(float64(wait) / g.demand.Room(now, g.service, g.Limits.Concurrency))
+	if t.TargetMissed() || now.Add(wait).After(t.Target) {
+		wait = time.Duration(float64(wait) / g.demand.FreeCapacity(now, g.service, g.Limits.Concurrency))
 	}
 	return now.Add(wait).Add(g.service).After(t.Deadline)
 }
@@ -58,7 +58,7 @@
 func (g *Gate) Expire(now time.Time) []admit.Ticket {
 	var missed, kept, refused []admit.Ticket
 	for _, t := range g.waiting {
-		if !t.Late() && t.Target.Before(now) {
+		if !t.TargetMissed() && t.Target.Before(now) {
 			missed = append(missed, t)
 			continue
 		}
@@ -66,7 +66,7 @@
 	}
 	g.waiting = kept
 	for _, t := range missed {
-		t = t.Missed()
+		t = t.WithTargetMissed()
 		if g.hopeless(now, t) {
 			refused = append(refused, t)
 			continue
@@ -159,7 +159,7 @@
 	if g.service == 0 {
 		g.service = took
 	}
-	g.service += time.Duration(admit.Smoothing * float64(took-g.service))
+	g.service += time.Duration(admit.SmoothingFactor * float64(took-g.service))
 	var started []admit.Ticket
 	for g.running < g.Limits.Concurrency && len(g.waiting) > 0 {
 		best := 0
--- a/naive/keys.go
+++ b/naive/keys.go
@@ -18,7 +18,7 @@
 	}
 	c, used := k.claims[r.StoredKey()]
 	if used && !dedup.Expired(now, c) {
-		return dedup.Judge(now, r, c).Verdict
+		return dedup.Decide(now, r, c).Verdict
 	}
 	k.claims[r.StoredKey()] = dedup.NewClaim(now, r)
 	return dedup.Granted
@@ -27,7 +27,7 @@
 // End records how a granted claim ended; a released one is free again.
 func (k *Keys) End(r dedup.Request, state wire.ClaimState) {
 	c, used := k.claims[r.StoredKey()]
-	if !used || c.Grant != r.Grant || c.State != wire.ClaimStateGranted {
+	if !used || c.Grant != r.GrantID || c.State != wire.ClaimStateGranted {
 		return
 	}
 	if state == wire.ClaimStateReleased {
