--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -11,23 +11,26 @@
 	"time"
 )
 
-// writeAside is the size from which a body is written beside the reading of
-// the answer: a server may answer before it has read a long body, and a write
-// that waits for it would keep the answer from being read.
-const writeAside = 8 << 10
+// asyncWriteBytes is the body size from which a separate goroutine writes the
+// body. A server may respond before it has read a long body, and a blocking
+// write would delay reading that response.
+const asyncWriteBytes = 8 << 10
 
-// Exchange is one request over a connection.
+// Exchange is one request and its response on a connection.
 type Exchange struct {
-	conn    *Conn
-	method  string
-	written chan error
+	conn   *Conn
+	method string
+	// writeResult receives the result of an asynchronous body write; nil when
+	// the request was written synchronously.
+	writeResult chan error
 }
 
 // Send writes a request: its head, which ends with an empty line, and its body.
-// An error tells that it was not written whole; the server may have seen a part.
+// After an error the request was not written completely; the server may have
+// received a part of it.
 func (c *Conn) Send(method string, head, body []byte) (*Exchange, error) {
 	x := &Exchange{conn: c, method: method}
-	if len(body) < writeAside {
+	if len(body) < asyncWriteBytes {
 		if _, err := c.net.Write(append(head, body...)); err != nil {
 			return nil, fmt.Errorf("write request: %w", err)
 		}
@@ -36,20 +39,20 @@
 	if _, err := c.net.Write(head); err != nil {
 		return nil, fmt.Errorf("write request: %w", err)
 	}
-	x.written = make(chan error, 1)
+	x.writeResult = make(chan error, 1)
 	go func() {
 		_, err := c.net.Write(body)
-		x.written <- err
+		x.writeResult <- err
 	}()
 	return x, nil
 }
 
-// Answer reads the head of the answer. Interim answers are passed over.
+// Answer reads the head of the response. It skips interim (1xx) responses.
 func (x *Exchange) Answer() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.method})
 		if err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		if resp.StatusCode >= 200 {
 			return resp, nil
@@ -57,34 +60,34 @@
 	}
 }
 
-// Pending reports how many bytes of the answer can be read without waiting.
+// Pending returns how many bytes of the response can be read without blocking.
 func (x *Exchange) Pending() int { return x.conn.reader.Buffered() }
 
-// Finish hands the connection back when the answer was read to its end and the
-// body was taken, and closes it otherwise.
-func (x *Exchange) Finish(now time.Time, p *Pool, resp *http.Response, whole bool) {
-	if !whole || resp == nil || resp.Close || !x.sent() {
-		p.Discard(x.conn)
+// Finish returns the connection to the pool when the request was written and
+// the response was read completely, and closes it otherwise.
+func (x *Exchange) Finish(now time.Time, pool *Pool, resp *http.Response, complete bool) {
+	if !complete || resp == nil || resp.Close || !x.requestWritten() {
+		pool.Discard(x.conn)
 		return
 	}
-	p.Keep(now, x.conn, idleTime(resp.Header))
+	pool.Keep(now, x.conn, keepAliveTimeout(resp.Header))
 }
 
-// sent reports whether the whole request has been written.
-func (x *Exchange) sent() bool {
-	if x.written == nil {
+// requestWritten reports whether the whole request was written without error.
+func (x *Exchange) requestWritten() bool {
+	if x.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// idleTime returns the time that a Keep-Alive header names, 0 for none.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTimeout returns the timeout of a Keep-Alive header, 0 for none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -97,8 +100,9 @@
 	return 0
 }
 
-// ConnectionLost reports whether an error from Send, Answer or reading an answer means that the
-// connection was closed or reset by the server or timed out, rather than closed by this VM.
+// ConnectionLost reports whether an error from Send, Answer or reading a
+// response body means that the connection was closed or reset by the server or
+// timed out, rather than closed by this VM.
 func ConnectionLost(err error) bool {
 	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
 		if errors.Is(err, target) {
@@ -108,10 +112,10 @@
 	return false
 }
 
-// ErrTooLong says that a body is longer than allowed.
+// ErrTooLong is returned for a body that is longer than allowed.
 var ErrTooLong = errors.New("body is longer than allowed")
 
-// ReadAll reads a body of at most limit bytes.
+// ReadAll reads a body of at most limit bytes. A longer body is an ErrTooLong.
 func ReadAll(r io.Reader, limit int) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -1,10 +1,10 @@
-// Package conns keeps connections to backend servers and speaks HTTP/1.1 over
-// them one request at a time.
+// Package conns pools connections to backend servers and sends HTTP/1.1
+// requests over them, one at a time per connection.
 //
-// It does by hand what net/http's transport hides: it never sends a request
-// twice, it tells whether any byte of one was written, and it can be asked
-// whether a kept connection is still sound before something that may run only
-// once is sent over it.
+// It offers control that net/http's transport does not: it never sends a
+// request twice, it reports whether a request was written completely, and it
+// checks an idle connection before a request that must not run twice is sent
+// over it.
 package conns
 
 import (
@@ -22,43 +22,45 @@
 )
 
 const (
-	// readBuffer holds the head of an answer and some events of a stream.
-	readBuffer = 4 << 10
-	// DefaultIdle is how long an unused connection is kept when the server
-	// names no time: servers commonly close them after five seconds or more.
+	// readBufferBytes fits the head of a response and some events of a stream.
+	readBufferBytes = 4 << 10
+	// DefaultIdle is how long an idle connection is kept when the server sends
+	// no Keep-Alive timeout. Servers commonly close idle connections after five
+	// seconds or more.
 	DefaultIdle = 4 * time.Second
-	// LongIdle is how long one is kept for requests that may be repeated, when
-	// the server names no time: the kernel tells of a close before the send, and
-	// what crosses a close is sent again.
+	// LongIdle is how long an idle connection is kept for repeatable requests
+	// when the server sends no Keep-Alive timeout. The kernel reports a close
+	// before the send, and a request that crosses a close is sent again.
 	LongIdle = 12 * time.Second
-	// idleMargin is taken off the time that a server names, for the way of its
-	// close and of a request that crosses it.
-	idleMargin = 500 * time.Millisecond
-	// silence is how long sent bytes may stay unacknowledged before the kernel
-	// gives the connection up: some retransmissions over paths of milliseconds.
-	// Without it a request to a server that lost power or is cut off hangs for
-	// minutes.
-	silence = 1200 * time.Millisecond
-	// probeEvery is when and how often the kernel probes a connection that
-	// waits for the other side; unanswered probes end it after silence.
-	probeEvery = time.Second
+	// idleTimeoutMargin is subtracted from the idle timeout. It covers the
+	// network delay of the server's close and of a request that crosses it.
+	idleTimeoutMargin = 500 * time.Millisecond
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the
+	// kernel aborts the connection: some retransmissions on paths with a latency
+	// of milliseconds. Without it a request to a server that lost power or is
+	// partitioned hangs for minutes.
+	tcpUserTimeout = 1200 * time.Millisecond
+	// keepAliveInterval is the idle time before the first TCP keep-alive probe
+	// and the interval between probes. Unanswered probes abort the connection
+	// after tcpUserTimeout.
+	keepAliveInterval = time.Second
 )
 
-// Dial opens a TCP connection that notices a dead peer. Closing it drops what
-// has not been delivered: bytes held up in a cut would reach the other side
-// when it heals, and a request or an order that was given up long ago would
-// run then.
+// Dial opens a TCP connection that detects a dead peer. Closing it discards
+// undelivered bytes. Otherwise bytes delayed by a network partition would
+// arrive when the partition heals, and the peer would run a request or an order
+// that was abandoned long ago.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	probes := net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: 2}
+	probes := net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2}
 	d := net.Dialer{KeepAliveConfig: probes, Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var sockoptErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+			sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return fmt.Errorf("set user timeout: %w", err)
 		}
-		return failed
+		return sockoptErr
 	}}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -78,148 +80,151 @@
 	net    net.Conn
 	reader *bufio.Reader
 	key    string
-	// kept says that it has carried an answer before.
-	kept bool
-	// until is when it is too old to be used again, careful when it is too old
-	// for a request that must not be lost.
-	until, careful time.Time
-	// silence is how long a read waits before giveUp is asked, 0 for as long as
-	// the connection lasts.
-	silence time.Duration
-	giveUp  func() bool
+	// reused is set once the connection has been in the pool.
+	reused bool
+	// expiresAt is when the connection is too old for any request, safeUntil
+	// when it is too old for a request that can not be repeated.
+	expiresAt, safeUntil time.Time
+	// stallTimeout is how long a read waits before it calls abortOnStall; 0
+	// waits for as long as the connection lasts.
+	stallTimeout time.Duration
+	abortOnStall func() bool
 }
 
-// Kept reports whether the connection has been used before.
-func (c *Conn) Kept() bool { return c.kept }
+// Kept reports whether the connection has been in the pool before.
+func (c *Conn) Kept() bool { return c.reused }
 
-// Close ends the connection. It may be called more than once and while another
-// goroutine reads or writes.
+// Close closes the connection. It may be called more than once and while
+// another goroutine reads or writes.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// Watch makes each read that waits for longer than d ask giveUp, and again after
-// every further d. The read fails only when giveUp says so: a silent server may
-// well go on, and whoever decides to leave it must know where to go instead. The
-// readers of net/http can not go on behind a read that failed, so the wait must not
-// end by a deadline that they see. 0 ends the watch.
-func (c *Conn) Watch(d time.Duration, giveUp func() bool) {
-	c.silence, c.giveUp = d, giveUp
-	if d == 0 {
+// Watch makes each read that waits for longer than timeout call abort, and again
+// after every further timeout. The read fails only when abort returns true: a
+// silent server may continue, and a request should leave it only for another
+// server. The readers of net/http can not continue after a failed read, so they
+// must not see the deadline. A timeout of 0 disables the check.
+func (c *Conn) Watch(timeout time.Duration, abort func() bool) {
+	c.stallTimeout, c.abortOnStall = timeout, abort
+	if timeout == 0 {
 		_ = c.net.SetReadDeadline(time.Time{})
 	}
 }
 
-// watched reads from the connection under its watch.
-type watched struct{ *Conn }
+// stallReader reads from a connection and applies its stall timeout.
+type stallReader struct{ *Conn }
 
 // Read implements io.Reader.
-func (w watched) Read(p []byte) (int, error) {
+func (w stallReader) Read(p []byte) (int, error) {
 	for {
-		if w.silence > 0 {
-			_ = w.net.SetReadDeadline(time.Now().Add(w.silence))
+		if w.stallTimeout > 0 {
+			_ = w.net.SetReadDeadline(time.Now().Add(w.stallTimeout))
 		}
 		n, err := w.net.Read(p)
-		if n > 0 || w.silence == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.giveUp() {
+		if n > 0 || w.stallTimeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.abortOnStall() {
 			return n, err
 		}
 	}
 }
 
-// sound reports whether the connection is open and holds no bytes that belong
-// to no request.
-func (c *Conn) sound() bool { return c.reader.Buffered() == 0 && peek(c.net) == quiet }
+// isReusable reports whether the connection is open and holds no unread bytes;
+// those would belong to no request.
+func (c *Conn) isReusable() bool { return c.reader.Buffered() == 0 && peekSocket(c.net) == socketIdle }
 
-// state is what the kernel knows of a connection without waiting.
-type state int
+// socketState is the state of a connection that the kernel reports without
+// blocking.
+type socketState int
 
 const (
-	quiet state = iota
-	pending
-	closed
+	socketIdle socketState = iota
+	socketReadable
+	socketClosed
 )
 
-// Closed reports whether the other side has closed a connection, as far as this
-// VM has heard.
-func Closed(c net.Conn) bool { return peek(c) == closed }
+// Closed reports whether the kernel has received the peer's close of a
+// connection.
+func Closed(c net.Conn) bool { return peekSocket(c) == socketClosed }
 
-// peek looks at a connection without taking bytes from it. One that can not be
-// looked at counts as quiet.
-func peek(c net.Conn) state {
+// peekSocket returns the state of a connection without consuming bytes. A
+// connection without a system call interface counts as idle.
+func peekSocket(c net.Conn) socketState {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return quiet
+		return socketIdle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return closed
+		return socketClosed
 	}
-	found := closed
-	// Control and not Read, which waits for a reader that is at work.
+	observed := socketClosed
+	// Read of the raw connection would wait for a concurrent reader; Control
+	// does not.
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN || err == unix.EINTR:
-			found = quiet
+			observed = socketIdle
 		case err == nil && n > 0:
-			found = pending
+			observed = socketReadable
 		}
 	})
 	if err != nil {
-		return closed
+		return socketClosed
 	}
-	return found
+	return observed
 }
 
-// Pool keeps idle connections by key, which names one start of one server. The
-// zero value works.
+// Pool keeps idle connections by key. A key identifies one run of one server
+// process. The zero value is ready to use.
 type Pool struct {
-	// Open makes a connection; nil takes Dial.
+	// Open opens a connection; nil uses the function Dial.
 	Open func(ctx context.Context, address string) (net.Conn, error)
 
-	mu   sync.Mutex
-	idle map[string][]*Conn
-	open map[string]int
+	mu         sync.Mutex
+	idle       map[string][]*Conn
+	openCounts map[string]int
 }
 
-// Take returns the freshest sound idle connection of a key, nil when there is
-// none. The freshest is the least likely to have been closed on the way. With
-// care one that the server may be about to close is left alone.
-func (p *Pool) Take(now time.Time, key string, care bool) *Conn {
+// Take removes and returns the most recently used idle connection of a key that
+// is reusable, nil when there is none. The most recently used one is the least
+// likely to have a close in transit. For a nonRepeatable request it returns no
+// connection that the server may be about to close.
+func (p *Pool) Take(now time.Time, key string, nonRepeatable bool) *Conn {
 	for {
-		c := p.pop(key)
+		c := p.popIdle(key)
 		if c == nil {
 			return nil
 		}
-		if care && now.Before(c.until) && !now.Before(c.careful) {
-			// It is the freshest, so no other will do.
-			p.push(c)
+		if nonRepeatable && now.Before(c.expiresAt) && !now.Before(c.safeUntil) {
+			// All other connections of the key are older.
+			p.pushIdle(c)
 			return nil
 		}
-		if now.Before(c.until) && c.sound() {
+		if now.Before(c.expiresAt) && c.isReusable() {
 			return c
 		}
 		p.Discard(c)
 	}
 }
 
-// Return takes back a connection that was taken or dialled and not used. One
-// that was kept before stays as old as it was.
+// Return puts back a connection that was taken or dialled and not used. A
+// connection that was in the pool before keeps its expiry.
 func (p *Pool) Return(now time.Time, c *Conn) {
-	if c.kept {
-		p.push(c)
+	if c.reused {
+		p.pushIdle(c)
 		return
 	}
 	p.Keep(now, c, 0)
 }
 
-// Idle reports whether a connection of a key is kept.
+// Idle reports whether the pool holds an idle connection of a key.
 func (p *Pool) Idle(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[key]) > 0
 }
 
-func (p *Pool) push(c *Conn) {
+func (p *Pool) pushIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -228,7 +233,7 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-func (p *Pool) pop(key string) *Conn {
+func (p *Pool) popIdle(key string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[key]
@@ -242,22 +247,22 @@
 
 // Dial opens a new connection.
 func (p *Pool) Dial(ctx context.Context, key, address string) (*Conn, error) {
-	open := p.Open
-	if open == nil {
-		open = Dial
+	dial := p.Open
+	if dial == nil {
+		dial = Dial
 	}
-	raw, err := open(ctx, address)
+	raw, err := dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open == nil {
-		p.open = make(map[string]int)
+	if p.openCounts == nil {
+		p.openCounts = make(map[string]int)
 	}
-	p.open[key]++
+	p.openCounts[key]++
 	c := &Conn{net: raw, key: key}
-	c.reader = bufio.NewReaderSize(watched{c}, readBuffer)
+	c.reader = bufio.NewReaderSize(stallReader{c}, readBufferBytes)
 	return c, nil
 }
 
@@ -265,39 +270,40 @@
 func (p *Pool) Connections(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open[key]
+	return p.openCounts[key]
 }
 
-// Keep takes back a connection that has carried a whole answer, for idle at
-// most; 0 takes DefaultIdle, and LongIdle for requests that may be repeated.
+// Keep puts a connection without a request in progress into the pool, for at
+// most idle. An idle of 0 uses DefaultIdle, and LongIdle for repeatable
+// requests.
 func (p *Pool) Keep(now time.Time, c *Conn, idle time.Duration) {
-	long := idle
+	repeatableIdle := idle
 	if idle == 0 {
-		idle, long = DefaultIdle, LongIdle
+		idle, repeatableIdle = DefaultIdle, LongIdle
 	}
-	c.careful = now.Add(idle - min(idleMargin, idle/4))
-	c.until = now.Add(long - min(idleMargin, long/4))
-	c.kept = true
+	c.safeUntil = now.Add(idle - min(idleTimeoutMargin, idle/4))
+	c.expiresAt = now.Add(repeatableIdle - min(idleTimeoutMargin, repeatableIdle/4))
+	c.reused = true
 	if c.reader.Buffered() > 0 {
 		p.Discard(c)
 		return
 	}
-	p.push(c)
+	p.pushIdle(c)
 }
 
-// Discard closes a connection and forgets it.
+// Discard closes a connection and removes it from the count of its key.
 func (p *Pool) Discard(c *Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[c.key]--; p.open[c.key] <= 0 {
-		delete(p.open, c.key)
+	if p.openCounts[c.key]--; p.openCounts[c.key] <= 0 {
+		delete(p.openCounts, c.key)
 	}
 }
 
-// Forget closes the idle connections of a key whose server is gone.
+// Forget closes the idle connections of a key whose server was removed.
 func (p *Pool) Forget(key string) {
-	for c := p.pop(key); c != nil; c = p.pop(key) {
+	for c := p.popIdle(key); c != nil; c = p.popIdle(key) {
 		p.Discard(c)
 	}
 	p.mu.Lock()
@@ -305,30 +311,29 @@
 	delete(p.idle, key)
 }
 
-// Sweep closes idle connections that are too old, at most as many as there
-// are.
+// Sweep closes the expired idle connections of all keys.
 func (p *Pool) Sweep(now time.Time) {
-	for _, c := range p.old(now) {
+	for _, c := range p.removeExpired(now) {
 		p.Discard(c)
 	}
 }
 
-func (p *Pool) old(now time.Time) []*Conn {
+func (p *Pool) removeExpired(now time.Time) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var old []*Conn
+	var expired []*Conn
 	for key, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
-				kept = append(kept, c)
+			if now.Before(c.expiresAt) {
+				remaining = append(remaining, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		if p.idle[key] = kept; len(kept) == 0 {
+		if p.idle[key] = remaining; len(remaining) == 0 {
 			delete(p.idle, key)
 		}
 	}
-	return old
+	return expired
 }
--- a/conns/pool_test.go
+++ b/conns/pool_test.go
@@ -15,7 +15,7 @@
 
 var now = time.Unix(1000, 0)
 
-// listen accepts connections into a channel.
+// listen starts a listener and sends the accepted connections to a channel.
 func listen(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,15 +35,16 @@
 	return l.Addr().String(), accepted
 }
 
-// A server closes a kept connection, or sends bytes that belong to no request.
-// A request sent over it would be lost without a sign whether it ran, or would
-// get an answer that is not its own. Such connections are not used again.
-func TestTakeLeavesUnsoundConnections(t *testing.T) {
+// The server closes an idle connection, or sends bytes that belong to no
+// request. A request sent over that connection would be lost with an unknown
+// outcome, or would get the response to another request. The pool must not
+// return such connections.
+func TestGetSkipsClosedOrDirtyConnections(t *testing.T) {
 	tests := map[string]struct {
-		harm func(t *testing.T, c net.Conn)
-		want bool
+		disturb  func(t *testing.T, c net.Conn)
+		reusable bool
 	}{
-		"untouched":   {func(*testing.T, net.Conn) {}, true},
+		"undisturbed": {func(*testing.T, net.Conn) {}, true},
 		"closed":      {func(t *testing.T, c net.Conn) { require.NoError(t, c.Close()) }, false},
 		"extra bytes": {func(t *testing.T, c net.Conn) { _, err := c.Write([]byte("x")); require.NoError(t, err) }, false},
 	}
@@ -55,19 +56,19 @@
 			require.NoError(t, err)
 			p.Keep(now, c, time.Second)
 			server := <-accepted
-			tc.harm(t, server)
+			tc.disturb(t, server)
 			require.Eventually(t, func() bool {
 				got := p.Take(now, "k", true)
 				if got != nil {
 					p.Keep(now, got, time.Second)
 				}
-				return (got != nil) == tc.want
+				return (got != nil) == tc.reusable
 			}, 10*time.Second, time.Millisecond)
 		})
 	}
 }
 
-func TestTakeLeavesOldConnections(t *testing.T) {
+func TestGetDiscardsExpiredConnections(t *testing.T) {
 	address, _ := listen(t)
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
@@ -77,7 +78,7 @@
 	require.Zero(t, p.Connections("k"))
 }
 
-func TestTakeReturnsTheFreshest(t *testing.T) {
+func TestGetReturnsMostRecent(t *testing.T) {
 	address, _ := listen(t)
 	var p conns.Pool
 	var all []*conns.Conn
@@ -94,11 +95,11 @@
 	require.Nil(t, p.Take(now, "k", true))
 }
 
-// An order or a request is given up while a cut holds its bytes up. When the
-// cut heals they would reach the server and be carried out, long after another
-// VM has taken over. Closing the connection drops them: the server sees a reset
-// and not the rest.
-func TestCloseDropsWhatIsNotDelivered(t *testing.T) {
+// The sender abandons an order or a request while a network partition delays
+// its bytes. When the partition heals, the bytes would reach the server and be
+// executed, long after another VM has taken over. Closing the connection must
+// discard them: the server sees a reset and not the remaining bytes.
+func TestCloseDropsUndeliveredBytes(t *testing.T) {
 	address, accepted := listen(t)
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
@@ -112,25 +113,27 @@
 	require.NoError(t, err)
 	p.Discard(c)
 	_, err = io.Copy(io.Discard, server)
-	require.Error(t, err, "the server read the connection to a clean end")
+	require.Error(t, err, "the server read to EOF without a reset")
 }
 
-// A server answers twice, the second time after the answer was taken for whole.
+// Responses of several forms are read, among them one that is followed by bytes
+// of a second response. The connection must return to the pool only when its
+// response has ended and nothing else was received.
 func TestExchange(t *testing.T) {
 	tests := map[string]struct {
-		answer string
-		status int
-		body   string
-		kept   bool
-		fails  bool
+		response string
+		status   int
+		body     string
+		reusable bool
+		wantErr  bool
 	}{
-		"with length":    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", true, false},
-		"chunked":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200, "hi", true, false},
-		"interim first":  {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", true, false},
-		"asks to close":  {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", false, false},
-		"bytes left":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", 200, "hi", false, false},
-		"not an answer":  {"garbage\r\n\r\n", 0, "", false, true},
-		"keep-alive set": {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n", 200, "", true, false},
+		"with length":        {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", true, false},
+		"chunked":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 200, "hi", true, false},
+		"interim response":   {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", true, false},
+		"connection close":   {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", 200, "hi", false, false},
+		"extra bytes":        {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", 200, "hi", false, false},
+		"malformed":          {"garbage\r\n\r\n", 0, "", false, true},
+		"keep-alive timeout": {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n", 200, "", true, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -139,12 +142,12 @@
 			c, err := p.Dial(context.Background(), "k", address)
 			require.NoError(t, err)
 			server := <-accepted
-			_, err = server.Write([]byte(tc.answer))
+			_, err = server.Write([]byte(tc.response))
 			require.NoError(t, err)
 			x, err := c.Send("GET", []byte("GET / HTTP/1.1\r\n\r\n"), nil)
 			require.NoError(t, err)
 			resp, err := x.Answer()
-			require.Equal(t, tc.fails, err != nil)
+			require.Equal(t, tc.wantErr, err != nil)
 			if err != nil {
 				x.Finish(now, &p, nil, false)
 				require.Zero(t, p.Connections("k"))
@@ -156,41 +159,42 @@
 			require.Equal(t, tc.status, resp.StatusCode)
 			require.Equal(t, tc.body, string(body))
 			x.Finish(now, &p, resp, true)
-			require.Equal(t, tc.kept, p.Take(now, "k", true) != nil)
+			require.Equal(t, tc.reusable, p.Take(now, "k", true) != nil)
 		})
 	}
 }
 
-func TestReadAllRefusesLongBodies(t *testing.T) {
+func TestReadAllLimit(t *testing.T) {
 	_, err := conns.ReadAll(strings.NewReader("abc"), 2)
 	require.ErrorIs(t, err, conns.ErrTooLong)
 }
 
-// The server of callers reads a connection in the background while a request is
-// worked on. Asking whether the caller has left must not wait for that reader:
-// every request would hang until its caller gives up.
-func TestClosedBesideAReader(t *testing.T) {
+// The HTTP server reads a caller's connection in the background while it handles
+// a request. Checking whether the caller has closed the connection must not wait
+// for that reader; otherwise every request hangs until its caller disconnects.
+func TestPeerClosedDuringRead(t *testing.T) {
 	address, accepted := listen(t)
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	server := <-accepted
-	read := make(chan struct{})
+	readDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readDone)
 		_, _ = server.Read(make([]byte, 1))
 	}()
 	for range 100 {
 		require.False(t, conns.Closed(server))
 	}
 	require.NoError(t, c.Close())
-	<-read
+	<-readDone
 	require.Eventually(t, func() bool { return conns.Closed(server) }, 10*time.Second, time.Millisecond)
 }
 
-// A server closes idle connections after some seconds that it does not name. A
-// request that may be lost for good does not go over an old one; one that may be
-// repeated does, as a new connection costs the server more.
-func TestOldConnectionsAreForRepeatableRequests(t *testing.T) {
+// A server closes idle connections after some seconds without announcing the
+// timeout. A request that can not be repeated must not use an aged connection,
+// where it could be lost. A repeatable one must, as a new connection costs the
+// server more.
+func TestAgedConnectionsServeRepeatableRequestsOnly(t *testing.T) {
 	address, _ := listen(t)
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
@@ -202,9 +206,10 @@
 	require.Same(t, c, p.Take(later, "k", false))
 }
 
-// A kept connection is taken and given back unused. It must not seem younger
-// than it is: a request that may be lost for good would go over it.
-func TestReturnedConnectionsStayAsOldAsTheyWere(t *testing.T) {
+// A connection is taken from the pool and put back unused. Its expiry must not
+// move, or a request that can not be repeated could use an aged connection and
+// be lost.
+func TestPutUnusedKeepsExpiry(t *testing.T) {
 	address, _ := listen(t)
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
