--- a/store/client.go
+++ b/store/client.go
@@ -1,6 +1,6 @@
-// Package store is the client of the platform's object API: objects with
-// versions, conditional updates, lists and watches, and the lagging list of
-// VMs. It tells a call that failed without effect from one whose answer was
+// Package store is the client of the platform's object API: versioned objects,
+// conditional updates, lists and watches, and the list of entry VMs. Its errors
+// distinguish a call that failed without effect from one whose response was
 // lost.
 package store
 
@@ -24,19 +24,19 @@
 
 // Headers of the object API.
 const (
-	// HeaderIfVersion holds the version an update expects; 0 means that the
+	// HeaderIfVersion is the version that an update expects; 0 means that the
 	// object must not exist.
 	HeaderIfVersion = "If-Version"
-	// HeaderNode names the calling VM.
+	// HeaderNode is the name of the calling VM.
 	HeaderNode = "Calling-Node"
 )
 
-// Defaults of a Client.
+// Timeout, retry intervals and limits of a Client.
 const (
-	DefaultTimeout = 2 * time.Second
-	retryFirst     = 20 * time.Millisecond
-	retryMax       = 2 * time.Second
-	maxErrorBody   = 4 << 10
+	DefaultTimeout       = 2 * time.Second
+	initialRetryInterval = 20 * time.Millisecond
+	maxRetryInterval     = 2 * time.Second
+	maxErrorBodyBytes    = 4 << 10
 )
 
 // Object is one stored value with its version.
@@ -47,26 +47,28 @@
 	Value   json.RawMessage `json:"value"`
 }
 
-// Listing is the objects of a kind, with the version the list was taken at.
+// Listing is the list of objects of a kind and the version of the list.
 type Listing struct {
 	Version int      `json:"version"`
 	Items   []Object `json:"items"`
 }
 
-// Client calls the platform. Base is its URL; the other fields may be zero.
+// Client calls the platform's object API. Base is the platform's URL, Key the
+// bearer token and Node the name of this VM. Fields other than Base may be zero.
 type Client struct {
 	Base string
 	Key  string
 	Node string
-	// Timeout bounds each try; 0 takes DefaultTimeout.
+	// Timeout limits each attempt; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// HTTP carries the calls; nil uses a Client of its own.
+	// HTTP sends the requests; nil uses a new httpx.Client.
 	HTTP *httpx.Client
-	// Single makes each call once; a caller that batches repeats by itself.
+	// Single disables retries, for a user that batches writes and retries them
+	// itself.
 	Single bool
 }
 
-// New returns a client of the platform at base.
+// New returns a client of the platform at the URL base.
 func New(base, key, node string) *Client {
 	return &Client{Base: base, Key: key, Node: node, HTTP: &httpx.Client{}}
 }
@@ -88,7 +90,7 @@
 
 func objectPath(kind, name string) string { return "/objects/" + kind + "/" + name }
 
-// Get returns an object. An object that does not exist is a trace.NotFound.
+// Get returns an object. The error is a trace.NotFound when it does not exist.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var obj Object
 	err := c.read(ctx, objectPath(kind, name), &obj)
@@ -108,7 +110,8 @@
 	return list, nil
 }
 
-// VMs returns the platform's list of entry VMs. It lags behind the truth.
+// VMs returns the platform's list of entry VMs. The list is eventually
+// consistent.
 func (c *Client) VMs(ctx context.Context) ([]wire.VM, error) {
 	var vms []wire.VM
 	err := c.read(ctx, "/vms", &vms)
@@ -118,14 +121,14 @@
 	return vms, nil
 }
 
-// read makes an idempotent call, repeated with back-off until ctx ends.
-func (c *Client) read(ctx context.Context, path string, into any) error {
-	return c.repeat(ctx, func() error { return c.try(ctx, c.request().Get(path), into) })
+// read sends a GET request, retried with back-off until ctx ends.
+func (c *Client) read(ctx context.Context, path string, out any) error {
+	return c.retry(ctx, func() error { return c.callOnce(ctx, c.request().Get(path), out) })
 }
 
 // Put writes value when the object has version ifVersion (0: does not exist)
-// and returns the new version. It repeats calls that had no effect until ctx
-// ends; a lost answer is returned as a LostError, never repeated.
+// and returns the new version. It retries calls that had no effect until ctx
+// ends. A lost response is returned as a LostError and never retried.
 func (c *Client) Put(ctx context.Context, kind, name string, ifVersion int, value any) (int, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -143,7 +146,7 @@
 	return version, nil
 }
 
-// Delete removes the object when it has version ifVersion.
+// Delete removes the object when it has version ifVersion. It retries like Put.
 func (c *Client) Delete(ctx context.Context, kind, name string, ifVersion int) error {
 	_, err := c.write(ctx, func() *sling.Sling {
 		return c.request().Delete(objectPath(kind, name)).Set(HeaderIfVersion, strconv.Itoa(ifVersion))
@@ -155,46 +158,47 @@
 }
 
 func (c *Client) write(ctx context.Context, build func() *sling.Sling) (int, error) {
-	var answer struct {
+	var response struct {
 		Version int `json:"version"`
 	}
-	err := c.repeat(ctx, func() error { return c.try(ctx, build(), &answer) })
-	return answer.Version, err
+	err := c.retry(ctx, func() error { return c.callOnce(ctx, build(), &response) })
+	return response.Version, err
 }
 
-// repeat calls try until it succeeds, fails for good or ctx ends. It returns
-// the last error of try and not that of ctx, which would hide whether the call
-// can have had an effect.
-func (c *Client) repeat(ctx context.Context, try func() error) error {
+// retry repeats call until it succeeds, fails permanently or ctx ends. It
+// returns the last error of call and not that of ctx, which would hide whether
+// the call may have had an effect.
+func (c *Client) retry(ctx context.Context, call func() error) error {
 	if c.Single {
-		return try()
+		return call()
 	}
-	var last error
+	var lastErr error
 	op := func() (struct{}, error) {
-		last = try()
-		return struct{}{}, permanentUnlessTransient(last)
+		lastErr = call()
+		return struct{}{}, markPermanent(lastErr)
 	}
 	_, _ = backoff.Retry(ctx, op, backoff.WithBackOff(newBackOff()), backoff.WithMaxElapsedTime(0))
-	return last
+	return lastErr
 }
 
 func newBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = retryFirst
-	b.MaxInterval = retryMax
+	b.InitialInterval = initialRetryInterval
+	b.MaxInterval = maxRetryInterval
 	return b
 }
 
-// permanentUnlessTransient lets back-off repeat only calls that had no effect.
-func permanentUnlessTransient(err error) error {
+// markPermanent marks errors as permanent except those of calls without effect,
+// so that only these are retried.
+func markPermanent(err error) error {
 	if err == nil || IsAway(err) || IsLimited(err) {
 		return err
 	}
 	return backoff.Permanent(err)
 }
 
-// try makes one call and decodes its answer.
-func (c *Client) try(ctx context.Context, s *sling.Sling, into any) error {
+// callOnce sends one request and decodes the response into out.
+func (c *Client) callOnce(ctx context.Context, s *sling.Sling, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout())
 	defer cancel()
 	req, err := s.Request()
@@ -203,14 +207,14 @@
 	}
 	resp, written, err := c.http().Do(req.WithContext(ctx))
 	if err != nil {
-		return callError(req.Method, written, err)
+		return classifyCallError(req.Method, written, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
 		return statusError(req.Method, resp)
 	}
-	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
-		return callError(req.Method, true, fmt.Errorf("read answer: %w", err))
+	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
+		return classifyCallError(req.Method, true, fmt.Errorf("read response: %w", err))
 	}
 	return nil
 }
@@ -222,9 +226,9 @@
 	return c.HTTP
 }
 
-// callError sorts a broken call: a read had no effect, and neither had a write
-// of which nothing was written.
-func callError(method string, written bool, err error) error {
+// classifyCallError returns an AwayError for a failed call without effect, which
+// is a read or a write of which no byte was sent, and a LostError otherwise.
+func classifyCallError(method string, written bool, err error) error {
 	if method == http.MethodGet || !written {
 		return &AwayError{Err: err}
 	}
@@ -232,8 +236,8 @@
 }
 
 func statusError(method string, resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
-	message := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
+	respBody, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
+	message := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(respBody))
 	switch resp.StatusCode {
 	case http.StatusNotFound:
 		return trace.NotFound("object does not exist")
@@ -241,10 +245,10 @@
 		var body struct {
 			Version int `json:"version"`
 		}
-		_ = json.Unmarshal(text, &body)
+		_ = json.Unmarshal(respBody, &body)
 		return &ConflictError{Current: body.Version}
 	case http.StatusTooManyRequests:
-		return &LimitedError{RetryAfter: retryAfter(resp.Header)}
+		return &LimitedError{RetryAfter: parseRetryAfter(resp.Header)}
 	case http.StatusGone:
 		return &GoneError{}
 	case http.StatusServiceUnavailable:
@@ -254,10 +258,10 @@
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
 		return trace.BadParameter("%s", message)
 	}
-	return callError(method, true, message)
+	return classifyCallError(method, true, message)
 }
 
-func retryAfter(h http.Header) time.Duration {
+func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
 		return time.Second
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -22,7 +22,7 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-func platform(t *testing.T) (*stand.Platform, *store.Client) {
+func newPlatform(t *testing.T) (*stand.Platform, *store.Client) {
 	t.Helper()
 	p := &stand.Platform{}
 	s := httptest.NewServer(p.Handler())
@@ -32,7 +32,7 @@
 	return p, c
 }
 
-func brief(t *testing.T, d time.Duration) context.Context {
+func timeoutContext(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
@@ -40,8 +40,8 @@
 }
 
 func TestConditionalUpdate(t *testing.T) {
-	_, c := platform(t)
-	ctx := brief(t, 5*time.Second)
+	_, c := newPlatform(t)
+	ctx := timeoutContext(t, 5*time.Second)
 	_, err := c.Get(ctx, "things", "a")
 	require.True(t, trace.IsNotFound(err), "%v", err)
 	v1, err := c.Put(ctx, "things", "a", 0, 1)
@@ -57,86 +57,88 @@
 	require.NoError(t, c.Delete(ctx, "things", "a", v2))
 }
 
-// The platform carries out a write and its answer is lost on the way back. The
-// caller must learn that the change may have taken effect, and must not find
-// it done twice: the client does not send it again.
-func TestLostAnswerIsNotRepeated(t *testing.T) {
-	p, c := platform(t)
+// The platform applies a write and its response is lost. The client must report
+// that the change may have taken effect, and must not send the write again, as
+// it would be applied twice.
+func TestLostResponseIsNotRetried(t *testing.T) {
+	p, c := newPlatform(t)
 	p.SetFaults(stand.PlatformFaults{LoseAnswers: 1})
-	_, err := c.Put(brief(t, 5*time.Second), "things", "a", 0, 1)
+	_, err := c.Put(timeoutContext(t, 5*time.Second), "things", "a", 0, 1)
 	require.True(t, store.IsLost(err), "%v", err)
 	require.Equal(t, int64(1), p.Counts().Writes)
 	_, exists := p.Get("things", "a")
 	require.True(t, exists)
 }
 
-// The platform is out, or can not be reached, or stops answering just before the
-// caller's time is over. The client tries again until then. It says that nothing
-// took effect only when no try was still unanswered: a write that the platform may
-// have read can have taken effect. The clock is the bubble's, so that no try is in
-// flight at the end but where the case says so.
-func TestAway(t *testing.T) {
+// The platform is unavailable, unreachable, or stops responding shortly before
+// the deadline of the call. The client retries until the deadline. It may report
+// that nothing took effect only when no attempt is without a response: a write
+// that the platform may have read can have taken effect. The test runs on the
+// synctest clock, so that an attempt is in flight at the deadline only in the
+// case that says so.
+func TestUnavailable(t *testing.T) {
 	outage := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	for name, tc := range map[string]struct {
 		platform http.HandlerFunc
 		dial     func(context.Context, string, string) (net.Conn, error)
-		is       func(error) bool
+		matches  func(error) bool
 	}{
-		"outage": {platform: outage, is: store.IsAway},
+		"outage": {platform: outage, matches: store.IsAway},
 		"unreachable": {
 			dial: func(context.Context, string, string) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 			},
-			is: store.IsAway,
+			matches: store.IsAway,
 		},
-		"silent at the end": {
-			platform: silentFrom(3, outage),
-			is:       store.IsLost,
+		"no response at the deadline": {
+			platform: hangFromCall(3, outage),
+			matches:  store.IsLost,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var tries atomic.Int64
+				var calls atomic.Int64
 				c := store.New("http://platform", "", "vm-1")
 				dial := tc.dial
 				if dial == nil {
-					dial = pipeTo(t, tc.platform, &tries)
+					dial = pipeDialer(t, tc.platform, &calls)
 				}
 				c.HTTP.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 					if tc.dial != nil {
-						tries.Add(1)
+						calls.Add(1)
 					}
 					return dial(ctx, network, address)
 				}
 				defer c.HTTP.CloseIdle()
 				start := time.Now()
-				_, err := c.Put(brief(t, 200*time.Millisecond), "things", "a", 0, 1)
-				require.True(t, tc.is(err), "%v", err)
+				_, err := c.Put(timeoutContext(t, 200*time.Millisecond), "things", "a", 0, 1)
+				require.True(t, tc.matches(err), "%v", err)
 				require.Equal(t, 200*time.Millisecond, time.Since(start))
-				require.GreaterOrEqual(t, tries.Load(), int64(3))
+				require.GreaterOrEqual(t, calls.Load(), int64(3))
 			})
 		})
 	}
 }
 
-// silentFrom answers with first until the n-th call, and that and later ones only
-// when their caller has gone.
-func silentFrom(n int64, first http.HandlerFunc) http.HandlerFunc {
+// hangFromCall serves calls before the n-th with earlier. The n-th and later
+// calls return only when their client has disconnected.
+func hangFromCall(n int64, earlier http.HandlerFunc) http.HandlerFunc {
 	var calls atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) < n {
-			first(w, r)
+			earlier(w, r)
 			return
 		}
-		// The body is read first: the server sees that its caller has gone only then.
+		// The server detects a disconnected client only after the body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}
 }
 
-// pipeTo returns a dial function whose connections h serves in memory, so that a
-// test's bubble sees when all of it waits. It counts the calls.
-func pipeTo(t *testing.T, h http.HandlerFunc, calls *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
+// pipeDialer returns a dial function whose connections h serves over in-memory
+// pipes, as synctest can not detect that a goroutine is blocked on a socket. It
+// counts the calls.
+func pipeDialer(t *testing.T, h http.HandlerFunc, calls *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 	t.Helper()
 	l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -148,7 +150,7 @@
 	return l.dial
 }
 
-// pipeListener hands the other ends of dialled pipes to a server.
+// pipeListener accepts the server ends of dialled pipes.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -156,10 +158,10 @@
 }
 
 func (l *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- theirs:
-		return ours, nil
+	case l.conns <- server:
+		return client, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -184,41 +186,41 @@
 // Addr implements net.Listener.
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// The platform's rate limit lets one write through and refuses the next until the
-// caller's time is over: the caller learns of the limit, not of a lost answer. The
-// clock is the bubble's, as in TestAway.
+// The platform's rate limit admits one write and rejects the next until the
+// deadline of the call. The client must report the rate limit and not a lost
+// response. The test runs on the synctest clock, like TestUnavailable.
 func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &stand.Platform{WritesPerSecond: 0.001}
 		var calls atomic.Int64
 		c := store.New("http://platform", "", "vm-1")
-		c.HTTP.Dial = pipeTo(t, p.Handler().ServeHTTP, &calls)
+		c.HTTP.Dial = pipeDialer(t, p.Handler().ServeHTTP, &calls)
 		defer c.HTTP.CloseIdle()
-		_, err := c.Put(brief(t, time.Second), "things", "a", 0, 1)
+		_, err := c.Put(timeoutContext(t, time.Second), "things", "a", 0, 1)
 		require.NoError(t, err)
-		_, err = c.Put(brief(t, 200*time.Millisecond), "things", "b", 0, 1)
+		_, err = c.Put(timeoutContext(t, 200*time.Millisecond), "things", "b", 0, 1)
 		require.True(t, store.IsLimited(err), "%v", err)
 	})
 }
 
-// The caller has the wrong key, then sends a value beyond the platform's limit:
-// each is told as what it is. The time for the calls is ample, as the two
-// megabytes take over a second to encode and send on a busy machine.
-func TestErrorsOfTheCaller(t *testing.T) {
-	p, c := platform(t)
+// The client has the wrong key, then sends a value beyond the platform's size
+// limit. Each must be reported as its own error. The deadlines are long because
+// the two megabytes take over a second to encode and send on a busy machine.
+func TestCallerErrors(t *testing.T) {
+	p, c := newPlatform(t)
 	p.Key = "right"
 	c.Timeout = time.Minute
-	_, err := c.Get(brief(t, time.Minute), "things", "a")
+	_, err := c.Get(timeoutContext(t, time.Minute), "things", "a")
 	require.True(t, trace.IsAccessDenied(err), "%v", err)
 	c.Key = "right"
-	_, err = c.Put(brief(t, time.Minute), "things", "a", 0, make([]int, 1<<20))
+	_, err = c.Put(timeoutContext(t, time.Minute), "things", "a", 0, make([]int, 1<<20))
 	require.True(t, trace.IsBadParameter(err), "%v", err)
 }
 
 // A watch breaks, objects change and one is deleted meanwhile, and the platform
-// forgets the history of the gap. The follower must end with what there is.
-func TestFollowAcrossGap(t *testing.T) {
-	p, c := platform(t)
+// discards the history of the gap. The client must end with the current objects.
+func TestListAndWatchAcrossGap(t *testing.T) {
+	p, c := newPlatform(t)
 	put := func(name string, ifVersion, value int) int {
 		v, ok := p.Put("things", name, ifVersion, json.RawMessage([]byte{byte('0' + value)}))
 		require.True(t, ok)
@@ -228,7 +230,7 @@
 	b := put("b", 0, 1)
 
 	var mu sync.Mutex
-	seen := make(map[string]string)
+	observed := make(map[string]string)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -236,29 +238,29 @@
 		c.Follow(ctx, "things", func(l store.Listing) {
 			mu.Lock()
 			defer mu.Unlock()
-			clear(seen)
+			clear(observed)
 			for _, o := range l.Items {
-				seen[o.Name] = string(o.Value)
+				observed[o.Name] = string(o.Value)
 			}
 		}, func(e store.Event) {
 			mu.Lock()
 			defer mu.Unlock()
 			if e.Type == store.EventDelete {
-				delete(seen, e.Name)
+				delete(observed, e.Name)
 				return
 			}
-			seen[e.Name] = string(e.Value)
+			observed[e.Name] = string(e.Value)
 		})
 	}()
 	eventually := func(want map[string]string) {
 		require.Eventually(t, func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			if len(seen) != len(want) {
+			if len(observed) != len(want) {
 				return false
 			}
 			for k, v := range want {
-				if seen[k] != v {
+				if observed[k] != v {
 					return false
 				}
 			}
@@ -281,23 +283,23 @@
 	<-done
 }
 
-// What counts as an answer decides whether the store was away: a refusal for the state of the
-// objects is one, a call that failed is none.
-func TestAnswersAreNoted(t *testing.T) {
+// The observer decides whether the platform was available. An error about the
+// state of an object is a response, a failed call is not.
+func TestResponseObserver(t *testing.T) {
 	for name, tc := range map[string]struct {
-		err   error
-		noted int
+		err       error
+		responses int
 	}{
-		"done":        {nil, 4},
-		"not found":   {trace.NotFound("no object"), 4},
-		"conflict":    {&store.ConflictError{}, 4},
-		"gone":        {&store.GoneError{}, 4},
-		"away":        {&store.AwayError{Err: errors.New("no answer")}, 0},
-		"answer lost": {&store.LostError{Err: errors.New("no answer")}, 0},
-		"limited":     {&store.LimitedError{}, 0},
+		"success":       {nil, 4},
+		"not found":     {trace.NotFound("no object"), 4},
+		"conflict":      {&store.ConflictError{}, 4},
+		"gone":          {&store.GoneError{}, 4},
+		"unavailable":   {&store.AwayError{Err: errors.New("no response")}, 0},
+		"response lost": {&store.LostError{Err: errors.New("no response")}, 0},
+		"rate limited":  {&store.LimitedError{}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			noted := 0
+			responses := 0
 			o := store.Objects{
 				List: func(context.Context, string) (store.Listing, error) { return store.Listing{}, tc.err },
 				Get:  func(context.Context, string, string) (store.Object, error) { return store.Object{}, tc.err },
@@ -305,7 +307,7 @@
 				Watch: func(context.Context, string, int, time.Duration) ([]store.Change, int, error) {
 					return nil, 7, tc.err
 				},
-			}.Noting(func() { noted++ })
+			}.Noting(func() { responses++ })
 			_, err := o.List(t.Context(), "k")
 			require.Equal(t, tc.err, err)
 			_, err = o.Get(t.Context(), "k", "n")
@@ -317,7 +319,7 @@
 			require.Equal(t, tc.err, err)
 			require.Equal(t, 7, next)
 			require.Nil(t, o.Recall)
-			require.Equal(t, tc.noted, noted)
+			require.Equal(t, tc.responses, responses)
 		})
 	}
 }
--- a/store/watch.go
+++ b/store/watch.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuscart/hibiscuscart/pause"
 )
 
-// EventType is what a watch event tells.
+// EventType is the type of a watch event.
 type EventType string
 
 // The event types of a watch.
@@ -25,7 +25,8 @@
 
 const maxEventBytes = 2 << 20
 
-// Event is one change of an object, or a bookmark that only advances Version.
+// Event is one change of an object, or a bookmark, which only advances the
+// version to watch from.
 type Event struct {
 	Type    EventType       `json:"type"`
 	Name    string          `json:"name"`
@@ -33,68 +34,69 @@
 	Value   json.RawMessage `json:"value"`
 }
 
-// Watch calls handle for each change of a kind after version from, until ctx
+// Watch calls onEvent for each change of a kind after fromVersion, until ctx
 // ends or the stream breaks. It returns the version to watch from next.
-func (c *Client) Watch(ctx context.Context, kind string, from int, handle func(Event)) (int, error) {
-	req, err := c.request().Get("/watch/"+kind).Set("From-Version", strconv.Itoa(from)).Request()
+func (c *Client) Watch(ctx context.Context, kind string, fromVersion int, onEvent func(Event)) (int, error) {
+	req, err := c.request().Get("/watch/"+kind).Set("From-Version", strconv.Itoa(fromVersion)).Request()
 	if err != nil {
-		return from, fmt.Errorf("build watch: %w", err)
+		return fromVersion, fmt.Errorf("build watch request: %w", err)
 	}
 	resp, _, err := c.http().Do(req.WithContext(ctx))
 	if err != nil {
-		return from, fmt.Errorf("watch %s: %w", kind, &AwayError{Err: err})
+		return fromVersion, fmt.Errorf("watch %s: %w", kind, &AwayError{Err: err})
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return from, fmt.Errorf("watch %s: %w", kind, statusError(http.MethodGet, resp))
+		return fromVersion, fmt.Errorf("watch %s: %w", kind, statusError(http.MethodGet, resp))
 	}
-	return readEvents(resp, from, handle)
+	return readEvents(resp, fromVersion, onEvent)
 }
 
-func readEvents(resp *http.Response, from int, handle func(Event)) (int, error) {
+func readEvents(resp *http.Response, version int, onEvent func(Event)) (int, error) {
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), maxEventBytes)
 	for lines.Scan() {
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return from, fmt.Errorf("decode watch event: %w", err)
+			return version, fmt.Errorf("decode watch event: %w", err)
 		}
-		from = max(from, e.Version)
+		version = max(version, e.Version)
 		if e.Type != EventBookmark {
-			handle(e)
+			onEvent(e)
 		}
 	}
-	return from, fmt.Errorf("watch stream ended: %w", &AwayError{Err: lines.Err()})
+	return version, fmt.Errorf("watch stream ended: %w", &AwayError{Err: lines.Err()})
 }
 
-// Follow lists a kind, then watches it, for as long as ctx lives: it lists
-// again after a gap and backs off while the platform is away. The listing is
-// handed over whole, so that deletions during a gap are seen.
-func (c *Client) Follow(ctx context.Context, kind string, listed func(Listing), handle func(Event)) {
-	wait := newBackOff()
+// Follow lists a kind and then watches it until ctx ends. It lists again after a
+// gap in the watch and backs off while the platform is unavailable. onList gets
+// the complete list, so that deletions during a gap are seen.
+func (c *Client) Follow(ctx context.Context, kind string, onList func(Listing), onEvent func(Event)) {
+	backOff := newBackOff()
 	for ctx.Err() == nil {
 		list, err := c.List(ctx, kind)
 		if err != nil {
-			pause.For(ctx, wait.NextBackOff())
+			pause.For(ctx, backOff.NextBackOff())
 			continue
 		}
-		wait.Reset()
-		listed(list)
-		c.watchOn(ctx, kind, list.Version, handle, wait)
+		backOff.Reset()
+		onList(list)
+		c.watchUntilGone(ctx, kind, list.Version, onEvent, backOff)
 	}
 }
 
-// watchOn watches until the platform says that the version is too old.
-func (c *Client) watchOn(ctx context.Context, kind string, from int, handle func(Event), wait *backoff.ExponentialBackOff) {
+// watchUntilGone repeats the watch until ctx ends or the platform reports that
+// the version is too old.
+func (c *Client) watchUntilGone(ctx context.Context, kind string, version int, onEvent func(Event), backOff *backoff.ExponentialBackOff) {
 	for ctx.Err() == nil {
-		next, err := c.Watch(ctx, kind, from, handle)
+		next, err := c.Watch(ctx, kind, version, onEvent)
 		if IsGone(err) {
 			return
 		}
-		if next > from {
-			wait.Reset()
+		if next > version {
+			backOff.Reset()
 		}
-		from = next
-		pause.For(ctx, wait.NextBackOff())
+		version = next
+		pause.For(ctx, backOff.NextBackOff())
 	}
 }
