--- a/ctrl/book.go
+++ b/ctrl/book.go
@@ -1,7 +1,8 @@
-// Package ctrl decides the orders to backend servers, so that their memory is
-// never overcommitted: what an order needs is recorded in the platform before
-// the order is sent, and counted until its outcome has been seen on the
-// server. It does no I/O and reads no clock.
+// Package ctrl decides which load and unload orders a controller sends to
+// backend servers. It never overcommits their memory: the memory that an order
+// needs is reserved in a ledger in the platform before the order is sent, and
+// stays reserved until the server reports the outcome. The package does no I/O
+// and reads no clock.
 package ctrl
 
 import (
@@ -12,7 +13,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Artifact is a model, or an adapter of one, in a version.
+// Artifact is one version of a model or of an adapter. Adapter is empty for a
+// model.
 type Artifact struct {
 	Model   string
 	Adapter string
@@ -20,71 +22,73 @@
 	Bytes   int
 }
 
-func (a Artifact) same(h wire.Holding) bool {
+func (a Artifact) matches(h wire.Holding) bool {
 	return a.Model == h.Model && a.Adapter == h.Adapter && a.Version == h.Version
 }
 
-// Book is what one server holds or is ordered to hold. Server must be set.
+// Book reconciles the ledger of one server with the server's load reports and
+// with the artifacts that the server should hold. Server must be set.
 type Book struct {
-	// Server is the server's document; its MemoryBytes are what holdings may
-	// take up.
+	// Server is the server's stored description. The holdings may use its
+	// MemoryBytes.
 	Server wire.Server
-	// Lateness is the longest time by which an order can be late. Servers that
-	// do not check fencing numbers may still get an order from a controller
-	// that has lost its lease; memory that an unload freed is given out again
-	// only after this time.
+	// Lateness is the maximum delay of an order. A server that does not check
+	// fencing tokens may still get an order from a controller that has lost its
+	// lease, so memory that an unload freed stays reserved for this time.
 	Lateness time.Duration
-	// ReportLag is how old a load report may be. A report is no evidence of
-	// absence for a holding that changed more recently.
+	// ReportLag is the maximum age of a load report. A report does not prove the
+	// absence of a holding that changed more recently.
 	ReportLag time.Duration
 
-	ledger  wire.Ledger
-	version int
-	// fence is the version of the book's own last winning update, 0 before it;
-	// firstFence that of its first.
-	fence      int
-	firstFence int
-	// unloadFence has, for each unload order of this controller, the version
-	// that recorded it: every load order was sent under a lower one.
-	unloadFence map[string]int
-	sentAt      map[string]time.Time
-	tries       map[string]int
-	pending     wire.Ledger
+	ledger        wire.Ledger
+	ledgerVersion int
+	// fencingToken is the ledger version of this controller's last successful
+	// update, 0 before the first; firstFencingToken is that of its first.
+	fencingToken      int
+	firstFencingToken int
+	// unloadFencingTokens maps each unload order of this controller to the ledger
+	// version that recorded it. Every load order of the holding was sent with a
+	// lower fencing token.
+	unloadFencingTokens map[string]int
+	lastSentAt          map[string]time.Time
+	sendCounts          map[string]int
+	proposedLedger      wire.Ledger
 }
 
-// Back-off between two sendings of one order.
+// Back-off between resends of an order.
 const (
-	resendFirst = 200 * time.Millisecond
-	resendMax   = 5 * time.Second
-	// triesBeforeNewOrder is how often an order is sent before it gets a new
-	// identifier.
-	triesBeforeNewOrder = 5
+	initialResendDelay = 200 * time.Millisecond
+	maxResendDelay     = 5 * time.Second
+	// maxSendsPerOrderID is the number of sends after which an order without
+	// effect gets a new identifier.
+	maxSendsPerOrderID = 5
 )
 
-// Allowance is how many loads may be begun now; nil allows any number.
+// Allowance is a number of loads of models and of adapters. As a limit on new
+// loads, nil means no limit.
 type Allowance struct {
 	Loads    int
 	Adapters int
 }
 
-// take uses up the allowance for one artifact and reports whether there was
-// any.
-func (l *Allowance) take(a Artifact) bool {
+// consume takes the load of one artifact from the quota and reports whether the
+// quota sufficed.
+func (l *Allowance) consume(a Artifact) bool {
 	if l == nil {
 		return true
 	}
-	left := &l.Loads
+	remaining := &l.Loads
 	if a.Adapter != "" {
-		left = &l.Adapters
+		remaining = &l.Adapters
 	}
-	if *left <= 0 {
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
-// Loading counts the models and adapters that are being loaded.
+// Loading returns how many models and adapters are being loaded.
 func (b *Book) Loading() (models, adapters int) {
 	for _, h := range b.ledger.Holdings {
 		switch {
@@ -98,11 +102,11 @@
 	return models, adapters
 }
 
-// Complete reports whether every artifact is recorded as loaded, in its version.
+// Complete reports whether every artifact is recorded as loaded in its version.
 func (b *Book) Complete(artifacts []Artifact) bool {
 	for _, a := range artifacts {
 		if !slices.ContainsFunc(b.ledger.Holdings, func(h wire.Holding) bool {
-			return a.same(h) && h.State == wire.HoldingStateLoaded
+			return a.matches(h) && h.State == wire.HoldingStateLoaded
 		}) {
 			return false
 		}
@@ -110,66 +114,67 @@
 	return true
 }
 
-// Absent returns the artifacts of which no holding is recorded.
+// Absent returns the artifacts that have no holding in the ledger.
 func (b *Book) Absent(artifacts []Artifact) []Artifact {
 	var absent []Artifact
 	for _, a := range artifacts {
-		if !slices.ContainsFunc(b.ledger.Holdings, a.same) {
+		if !slices.ContainsFunc(b.ledger.Holdings, a.matches) {
 			absent = append(absent, a)
 		}
 	}
 	return absent
 }
 
-// LoadedSince returns the models that were recorded as loaded after a time, or
+// LoadedSince returns the models that were recorded as loaded after since, or
 // are being loaded.
-func (b *Book) LoadedSince(at time.Time) []string {
+func (b *Book) LoadedSince(since time.Time) []string {
 	var names []string
 	for _, h := range b.ledger.Holdings {
-		fresh := h.State == wire.HoldingStateLoading || h.State == wire.HoldingStateLoaded && h.ChangedMs > int(at.UnixMilli())
-		if h.Adapter == "" && fresh {
+		recent := h.State == wire.HoldingStateLoading || h.State == wire.HoldingStateLoaded && h.ChangedMs > int(since.UnixMilli())
+		if h.Adapter == "" && recent {
 			names = append(names, h.Model)
 		}
 	}
 	return names
 }
 
-// HasBase reports whether a model is recorded as loaded, in any version.
+// HasBase reports whether any version of a model is recorded as loaded.
 func (b *Book) HasBase(model string) bool { return hasBase(b.ledger.Holdings, model) }
 
 // Models returns the models that are loaded or being loaded.
 func (b *Book) Models() []string {
 	var names []string
 	for _, h := range b.ledger.Holdings {
-		held := h.State == wire.HoldingStateLoaded || h.State == wire.HoldingStateLoading
-		if h.Adapter == "" && held && !slices.Contains(names, h.Model) {
+		loadedOrLoading := h.State == wire.HoldingStateLoaded || h.State == wire.HoldingStateLoading
+		if h.Adapter == "" && loadedOrLoading && !slices.Contains(names, h.Model) {
 			names = append(names, h.Model)
 		}
 	}
 	return names
 }
 
-// Load takes in the ledger as the platform holds it.
+// Load replaces the cached ledger with the one read from the platform. The
+// controller has no fencing token until its next update.
 func (b *Book) Load(version int, ledger wire.Ledger) {
-	b.ledger, b.version, b.fence, b.firstFence = ledger, version, 0, 0
-	b.unloadFence = nil
+	b.ledger, b.ledgerVersion, b.fencingToken, b.firstFencingToken = ledger, version, 0, 0
+	b.unloadFencingTokens = nil
 }
 
-// Version returns the version of the ledger taken in last.
-func (b *Book) Version() int { return b.version }
+// Version returns the version of the cached ledger.
+func (b *Book) Version() int { return b.ledgerVersion }
 
-// Fence returns the fencing number for orders: the version of this
-// controller's own last update of the ledger, 0 while it has none. A successor
-// begins with an update, and so with a higher number.
-func (b *Book) Fence() int { return b.fence }
+// Fence returns the fencing token for orders: the ledger version of this
+// controller's last successful update, 0 while there is none. A succeeding
+// controller starts with an update, and so has a higher token.
+func (b *Book) Fence() int { return b.fencingToken }
 
 // Holdings returns a copy of the holdings.
 func (b *Book) Holdings() []wire.Holding { return slices.Clone(b.ledger.Holdings) }
 
-// Reserved returns the bytes that holdings take up, whatever their state.
-func (b *Book) Reserved() int { return reserved(b.ledger.Holdings) }
+// Reserved returns the bytes of all holdings in any state.
+func (b *Book) Reserved() int { return reservedBytes(b.ledger.Holdings) }
 
-func reserved(holdings []wire.Holding) int {
+func reservedBytes(holdings []wire.Holding) int {
 	total := 0
 	for _, h := range holdings {
 		total += h.Bytes
@@ -177,133 +182,138 @@
 	return total
 }
 
-// Revise returns the next ledger: outcomes that the report shows are noted,
-// wanted artifacts get an intent where their bytes fit, and unwanted ones that
-// may go are marked. It reports whether there is anything to write; a new
-// controller always writes, which raises the fence.
-func (b *Book) Revise(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, allow *Allowance, newOrder func() string) (wire.Ledger, bool) {
+// Revise returns the next ledger. It records the outcomes that the report shows,
+// adds an intent for each wanted artifact whose bytes fit, and marks unwanted
+// holdings for unloading where mayRemove allows it. It reports whether the
+// ledger must be written. A new controller always writes it, which raises the
+// fencing token.
+func (b *Book) Revise(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, quota *Allowance, newOrderID func() string) (wire.Ledger, bool) {
 	next := wire.Ledger{Server: b.Server.Name, Holdings: []wire.Holding{}}
-	changed := b.fence == 0
+	changed := b.fencingToken == 0
 	for _, h := range b.ledger.Holdings {
-		kept, differs, keep := b.settle(now, h, report, wanted, newOrder)
-		changed = changed || differs
+		updated, modified, keep := b.reconcileHolding(now, h, report, wanted, newOrderID)
+		changed = changed || modified
 		if keep {
-			next.Holdings = append(next.Holdings, kept)
+			next.Holdings = append(next.Holdings, updated)
 		}
 	}
-	if found := strays(now, next.Holdings, report, newOrder); len(found) > 0 {
-		next.Holdings = append(next.Holdings, found...)
+	if unrecorded := unrecordedHoldings(now, next.Holdings, report, newOrderID); len(unrecorded) > 0 {
+		next.Holdings = append(next.Holdings, unrecorded...)
 		changed = true
 	}
 	for i, h := range next.Holdings {
-		if marked, ok := markUnwanted(now, h, wanted, mayRemove, newOrder); ok {
+		if marked, ok := markUnwanted(now, h, wanted, mayRemove, newOrderID); ok {
 			next.Holdings[i] = marked
 			changed = true
 		}
 	}
 	for _, a := range wanted {
-		if h, ok := b.intend(now, next.Holdings, a, allow, newOrder); ok {
+		if h, ok := b.newLoadIntent(now, next.Holdings, a, quota, newOrderID); ok {
 			next.Holdings = append(next.Holdings, h)
 			changed = true
 		}
 	}
-	b.pending = next
+	b.proposedLedger = next
 	return next, changed
 }
 
-// settle notes the outcome of a holding's order, when the report shows it.
-func (b *Book) settle(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrder func() string) (next wire.Holding, differs, keep bool) {
+// reconcileHolding returns the holding with the outcome of its order, if the
+// report shows one, and reports whether the holding changed and whether it stays
+// in the ledger.
+func (b *Book) reconcileHolding(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrderID func() string) (next wire.Holding, modified, keep bool) {
 	state, present := residentState(report, h)
-	absent := !present && b.since(now, h) >= b.ReportLag
+	absent := !present && b.sinceChange(now, h) >= b.ReportLag
 	switch h.State {
 	case wire.HoldingStateLoading:
 		if present && state == wire.ResidentStateLoaded {
 			return withState(now, h, wire.HoldingStateLoaded), true, true
 		}
-		// The server has seen the order and yet holds nothing: a stray unload
-		// undid it. Only an order with a new identifier is carried out again.
-		if absent && b.tries[h.Order] >= triesBeforeNewOrder {
-			h.Order = newOrder()
+		// The server received the order and does not hold the artifact: a
+		// delayed unload order undid it. The server executes the load again only
+		// under a new identifier.
+		if absent && b.sendCounts[h.Order] >= maxSendsPerOrderID {
+			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateLoading), true, true
 		}
 	case wire.HoldingStateLoaded:
-		// A server that restarted has lost what it held: load it anew, or set
-		// its bytes aside until no order for it can be on its way any more.
-		if absent && !slices.ContainsFunc(wanted, func(a Artifact) bool { return a.same(h) }) {
+		// A restarted server has lost its holdings. Load a wanted artifact again.
+		// Otherwise keep its bytes reserved until no order for it can be in
+		// flight.
+		if absent && !slices.ContainsFunc(wanted, func(a Artifact) bool { return a.matches(h) }) {
 			return withState(now, h, wire.HoldingStateGone), true, true
 		}
 		if absent {
-			h.Order = newOrder()
+			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateLoading), true, true
 		}
 	case wire.HoldingStateUnloading:
-		if !present && b.fencedOff(h, report) {
+		if !present && b.loadOrdersFenced(h, report) {
 			return h, true, false
 		}
 		if absent {
 			return withState(now, h, wire.HoldingStateGone), true, true
 		}
-		// A late load order undid the unload, whose identifier the server has
-		// already seen; or requests still use the weights, and then a second
-		// unload does no harm.
-		if present && b.tries[h.Order] >= triesBeforeNewOrder {
-			h.Order = newOrder()
+		// Either a delayed load order undid the unload, and the server ignores
+		// the unload's identifier as a duplicate. Or requests still use the
+		// weights, and a second unload is harmless.
+		if present && b.sendCounts[h.Order] >= maxSendsPerOrderID {
+			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateUnloading), true, true
 		}
 	case wire.HoldingStateGone:
-		// A duplicate of the load order may still be on its way to a server
-		// that takes orders from anyone; its bytes stay set aside until the
-		// longest lateness has passed.
+		// A duplicate of the load order may still be in flight to a server that
+		// does not check fencing tokens. The bytes stay reserved for the maximum
+		// delay of an order.
 		if present {
-			h.Order = newOrder()
+			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateUnloading), true, true
 		}
-		if b.since(now, h) >= b.Lateness {
+		if b.sinceChange(now, h) >= b.Lateness {
 			return h, true, false
 		}
 	}
 	return h, false, true
 }
 
-// fencedOff reports whether the server surely refuses every load order that
-// may still be on its way for a holding being unloaded: it has seen a fencing
-// number above all of theirs. Its report was taken after that, and so shows
-// what is left.
-func (b *Book) fencedOff(h wire.Holding, report wire.LoadReport) bool {
-	if !b.Server.ChecksFencing || b.fence == 0 {
+// loadOrdersFenced reports whether the server rejects every load order that may
+// still be in flight for a holding being unloaded, because it has received a
+// higher fencing token. The report was taken after that, so it shows what
+// remains on the server.
+func (b *Book) loadOrdersFenced(h wire.Holding, report wire.LoadReport) bool {
+	if !b.Server.ChecksFencing || b.fencingToken == 0 {
 		return false
 	}
-	recorded, own := b.unloadFence[h.Order]
-	if !own {
-		recorded = b.firstFence
+	unloadToken, ownUnload := b.unloadFencingTokens[h.Order]
+	if !ownUnload {
+		unloadToken = b.firstFencingToken
 	}
-	return report.Fence >= recorded
+	return report.Fence >= unloadToken
 }
 
-// since returns how long ago a holding changed its state.
-func (b *Book) since(now time.Time, h wire.Holding) time.Duration {
+// sinceChange returns the time since a holding changed its state.
+func (b *Book) sinceChange(now time.Time, h wire.Holding) time.Duration {
 	return now.Sub(time.UnixMilli(int64(h.ChangedMs)))
 }
 
-// strays returns holdings for what a server holds that nobody recorded, such
-// as what was loaded by hand. Its bytes count like all others.
-func strays(now time.Time, holdings []wire.Holding, report wire.LoadReport, newOrder func() string) []wire.Holding {
-	var found []wire.Holding
+// unrecordedHoldings returns holdings for the reported artifacts that the ledger
+// lacks, such as manually loaded ones. Their bytes count like all others.
+func unrecordedHoldings(now time.Time, holdings []wire.Holding, report wire.LoadReport, newOrderID func() string) []wire.Holding {
+	var unrecorded []wire.Holding
 	for _, r := range report.Residents {
 		a := Artifact{Model: r.Model, Adapter: r.Adapter, Version: r.Version}
-		if slices.ContainsFunc(holdings, a.same) {
+		if slices.ContainsFunc(holdings, a.matches) {
 			continue
 		}
 		state := wire.HoldingStateLoaded
 		if r.State == wire.ResidentStateLoading {
 			state = wire.HoldingStateLoading
 		}
-		found = append(found, wire.Holding{
+		unrecorded = append(unrecorded, wire.Holding{
 			Model: r.Model, Adapter: r.Adapter, Version: r.Version, Bytes: r.Bytes,
-			State: state, Order: newOrder(), ChangedMs: int(now.UnixMilli()),
+			State: state, Order: newOrderID(), ChangedMs: int(now.UnixMilli()),
 		})
 	}
-	return found
+	return unrecorded
 }
 
 func residentState(report wire.LoadReport, h wire.Holding) (wire.ResidentState, bool) {
@@ -321,39 +331,41 @@
 	return h
 }
 
-// markUnwanted marks a loaded holding that nobody wants for unloading.
-func markUnwanted(now time.Time, h wire.Holding, wanted []Artifact, mayRemove func(Artifact) bool, newOrder func() string) (wire.Holding, bool) {
+// markUnwanted marks a loaded holding for unloading if its artifact is not
+// wanted and may be removed.
+func markUnwanted(now time.Time, h wire.Holding, wanted []Artifact, mayRemove func(Artifact) bool, newOrderID func() string) (wire.Holding, bool) {
 	if h.State != wire.HoldingStateLoaded {
 		return h, false
 	}
-	if slices.ContainsFunc(wanted, func(a Artifact) bool { return a.same(h) }) {
+	if slices.ContainsFunc(wanted, func(a Artifact) bool { return a.matches(h) }) {
 		return h, false
 	}
 	if !mayRemove(Artifact{Model: h.Model, Adapter: h.Adapter, Version: h.Version, Bytes: h.Bytes}) {
 		return h, false
 	}
-	h.Order = newOrder()
+	h.Order = newOrderID()
 	return withState(now, h, wire.HoldingStateUnloading), true
 }
 
-// intend returns the intent to load an artifact when its bytes fit beside all
-// that is recorded, and its base model is loaded.
-func (b *Book) intend(now time.Time, holdings []wire.Holding, a Artifact, allow *Allowance, newOrder func() string) (wire.Holding, bool) {
-	if slices.ContainsFunc(holdings, a.same) {
+// newLoadIntent returns the intent to load an artifact that has no holding, if
+// its bytes fit in addition to all recorded ones, the base model of an adapter
+// is loaded, and the quota suffices.
+func (b *Book) newLoadIntent(now time.Time, holdings []wire.Holding, a Artifact, quota *Allowance, newOrderID func() string) (wire.Holding, bool) {
+	if slices.ContainsFunc(holdings, a.matches) {
 		return wire.Holding{}, false
 	}
-	if reserved(holdings)+a.Bytes > b.Server.MemoryBytes {
+	if reservedBytes(holdings)+a.Bytes > b.Server.MemoryBytes {
 		return wire.Holding{}, false
 	}
 	if a.Adapter != "" && !hasBase(holdings, a.Model) {
 		return wire.Holding{}, false
 	}
-	if !allow.take(a) {
+	if !quota.consume(a) {
 		return wire.Holding{}, false
 	}
 	return wire.Holding{
 		Model: a.Model, Adapter: a.Adapter, Version: a.Version, Bytes: a.Bytes,
-		State: wire.HoldingStateLoading, Order: newOrder(), ChangedMs: int(now.UnixMilli()),
+		State: wire.HoldingStateLoading, Order: newOrderID(), ChangedMs: int(now.UnixMilli()),
 	}, true
 }
 
@@ -363,56 +375,57 @@
 	})
 }
 
-// Written notes that the ledger of the last Revise took effect as a version.
+// Written records that the platform stored the ledger of the last Revise under a
+// version.
 func (b *Book) Written(version int) {
-	b.ledger, b.version, b.fence = b.pending, version, version
-	if b.firstFence == 0 {
-		b.firstFence = version
+	b.ledger, b.ledgerVersion, b.fencingToken = b.proposedLedger, version, version
+	if b.firstFencingToken == 0 {
+		b.firstFencingToken = version
 	}
 	for _, h := range b.ledger.Holdings {
-		if _, known := b.unloadFence[h.Order]; h.State != wire.HoldingStateUnloading || known {
+		if _, recorded := b.unloadFencingTokens[h.Order]; h.State != wire.HoldingStateUnloading || recorded {
 			continue
 		}
-		if b.unloadFence == nil {
-			b.unloadFence = make(map[string]int)
+		if b.unloadFencingTokens == nil {
+			b.unloadFencingTokens = make(map[string]int)
 		}
-		b.unloadFence[h.Order] = version
+		b.unloadFencingTokens[h.Order] = version
 	}
 }
 
-// Orders returns the orders to send now: those of recorded intents whose
-// outcome has not been seen, again after a back-off. Nothing is ordered before
-// this controller's own update has won.
+// Orders returns the orders to send now: those of recorded intents without a
+// reported outcome, resent with back-off. It returns none before this
+// controller's first successful update.
 func (b *Book) Orders(now time.Time) []wire.Order {
-	if b.fence == 0 {
+	if b.fencingToken == 0 {
 		return nil
 	}
-	if b.sentAt == nil {
-		b.sentAt, b.tries = make(map[string]time.Time), make(map[string]int)
+	if b.lastSentAt == nil {
+		b.lastSentAt, b.sendCounts = make(map[string]time.Time), make(map[string]int)
 	}
 	var orders []wire.Order
 	for _, h := range b.ledger.Holdings {
-		order, open := orderOf(h)
-		if !open || !b.due(now, order.Order) {
+		order, outstanding := outstandingOrder(h)
+		if !outstanding || !b.isDue(now, order.Order) {
 			continue
 		}
-		b.sentAt[order.Order] = now
-		b.tries[order.Order]++
+		b.lastSentAt[order.Order] = now
+		b.sendCounts[order.Order]++
 		orders = append(orders, order)
 	}
 	return orders
 }
 
-func (b *Book) due(now time.Time, order string) bool {
-	sent, ok := b.sentAt[order]
+func (b *Book) isDue(now time.Time, orderID string) bool {
+	lastSent, ok := b.lastSentAt[orderID]
 	if !ok {
 		return true
 	}
-	wait := min(resendFirst<<min(b.tries[order]-1, 10), resendMax)
-	return now.Sub(sent) >= wait
+	delay := min(initialResendDelay<<min(b.sendCounts[orderID]-1, 10), maxResendDelay)
+	return now.Sub(lastSent) >= delay
 }
 
-func orderOf(h wire.Holding) (wire.Order, bool) {
+func outstandingOrder(h wire.Holding) (wire.Order, bool) {
 	order := wire.Order{Order: h.Order, Model: h.Model, Adapter: h.Adapter, Version: h.Version, Bytes: h.Bytes}
 	switch h.State {
 	case wire.HoldingStateLoading:
@@ -425,12 +438,12 @@
 	return order, true
 }
 
-// NewOrderID returns a source of order identifiers that are unique when prefix
-// is unique to the run of the controller.
+// NewOrderID returns a generator of order identifiers. They are unique if prefix
+// is unique to one run of a controller.
 func NewOrderID(prefix string) func() string {
-	n := 0
+	sequence := 0
 	return func() string {
-		n++
-		return fmt.Sprintf("%s-%d", prefix, n)
+		sequence++
+		return fmt.Sprintf("%s-%d", prefix, sequence)
 	}
 }
--- a/ctrl/book_test.go
+++ b/ctrl/book_test.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	memory   = 100
-	lateness = 5 * time.Second
-	// pause is for how long a controller may go on after another has taken its
-	// place: it checks its lease before each step, and is then paused.
-	pause = time.Second
+	memoryBytes   = 100
+	maxOrderDelay = 5 * time.Second
+	// maxLeaseOverrun is how long a controller may continue after another has
+	// replaced it, as it can be paused between its lease check and its step.
+	maxLeaseOverrun = time.Second
 )
 
-// safeguards are the parts of the protocol that a trial can leave out, to show
-// that each is needed.
+// safeguards are the parts of the protocol that a simulation can disable to show
+// that each is necessary.
 type safeguards struct {
-	intent, fence, lateWait bool
+	ledgerWrite, fencing, delayWait bool
 }
 
-var allSafeguards = safeguards{intent: true, fence: true, lateWait: true}
+var allSafeguards = safeguards{ledgerWrite: true, fencing: true, delayWait: true}
 
-// server is a model of an engine: it takes orders from anyone, unless it checks
-// fencing numbers, and carries out each order identifier once, as long as it
-// remembers it: it restarts now and then, and keeps only its fencing number.
-type server struct {
-	checksFencing bool
-	fence         int
-	seen          map[string]bool
-	residents     map[ctrl.Artifact]bool // false while loading
-	overcommitted bool
+// simulatedEngine is a model of an engine. It accepts orders from any controller
+// unless it checks fencing tokens, and executes each order identifier once until
+// it restarts. A restart clears its state except for the fencing token.
+type simulatedEngine struct {
+	checksFencing  bool
+	fencingToken   int
+	executedOrders map[string]bool
+	residents      map[ctrl.Artifact]bool // false while loading
+	overcommitted  bool
 }
 
-func (s *server) apply(o wire.Order, fence int) {
-	if s.checksFencing && fence < s.fence {
+func (s *simulatedEngine) apply(o wire.Order, fencingToken int) {
+	if s.checksFencing && fencingToken < s.fencingToken {
 		return
 	}
-	s.fence = max(s.fence, fence)
-	if s.seen[o.Order] {
+	s.fencingToken = max(s.fencingToken, fencingToken)
+	if s.executedOrders[o.Order] {
 		return
 	}
-	s.seen[o.Order] = true
+	s.executedOrders[o.Order] = true
 	a := ctrl.Artifact{Model: o.Model, Version: o.Version, Bytes: o.Bytes}
 	switch o.Action {
 	case wire.OrderActionLoad:
@@ -61,11 +61,11 @@
 	for a := range s.residents {
 		used += a.Bytes
 	}
-	s.overcommitted = s.overcommitted || used > memory
+	s.overcommitted = s.overcommitted || used > memoryBytes
 }
 
-func (s *server) report() wire.LoadReport {
-	r := wire.LoadReport{Fence: s.fence}
+func (s *simulatedEngine) report() wire.LoadReport {
+	r := wire.LoadReport{Fence: s.fencingToken}
 	for a, loaded := range s.residents {
 		state := wire.ResidentStateLoading
 		if loaded {
@@ -76,247 +76,250 @@
 	return r
 }
 
-// delivery is an order on its way.
+// delivery is an order in flight.
 type delivery struct {
-	at    time.Time
-	order wire.Order
-	fence int
+	at           time.Time
+	order        wire.Order
+	fencingToken int
 }
 
-// trial runs two controllers of one server over a store, with late, doubled and
-// lost orders, lost store answers, and controllers that are paused or die.
-type trial struct {
-	rng      *rand.Rand
-	safe     safeguards
-	now      time.Time
-	engine   *server
-	version  int
-	ledger   wire.Ledger
-	books    [2]*ctrl.Book
-	ids      func() string
-	inFlight []delivery
-	wanted   []ctrl.Artifact
-	// writer is the controller that wrote last, and lost when the other one
-	// was displaced by it.
-	writer int
-	lost   time.Time
+// simulation runs two controllers of one server over a store, with delayed,
+// duplicated and lost orders, lost store responses, and controllers that pause
+// or crash.
+type simulation struct {
+	rng         *rand.Rand
+	enabled     safeguards
+	now         time.Time
+	engine      *simulatedEngine
+	version     int
+	ledger      wire.Ledger
+	reconcilers [2]*ctrl.Book
+	newOrderID  func() string
+	inFlight    []delivery
+	wanted      []ctrl.Artifact
+	// lastWriter is the controller that wrote last, and takeoverAt is when it
+	// replaced the other one.
+	lastWriter int
+	takeoverAt time.Time
 }
 
-func newTrial(seed uint64, fencing bool, safe safeguards) *trial {
-	tr := &trial{
-		rng: rand.New(rand.NewPCG(seed, 1)), safe: safe, now: time.Unix(1_000_000, 0),
-		engine: &server{checksFencing: fencing && safe.fence, seen: map[string]bool{}, residents: map[ctrl.Artifact]bool{}},
-		ids:    ctrl.NewOrderID("o"),
+func newSimulation(seed uint64, fencing bool, enabled safeguards) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 1)), enabled: enabled, now: time.Unix(1_000_000, 0),
+		engine:     &simulatedEngine{checksFencing: fencing && enabled.fencing, executedOrders: map[string]bool{}, residents: map[ctrl.Artifact]bool{}},
+		newOrderID: ctrl.NewOrderID("o"),
 	}
-	for i := range tr.books {
-		tr.books[i] = tr.newBook(fencing)
+	for i := range sim.reconcilers {
+		sim.reconcilers[i] = sim.newReconciler(fencing)
 	}
-	return tr
+	return sim
 }
 
-func (tr *trial) newBook(fencing bool) *ctrl.Book {
-	wait := lateness
-	if !tr.safe.lateWait {
-		wait = 0
+func (sim *simulation) newReconciler(fencing bool) *ctrl.Book {
+	orderDelay := maxOrderDelay
+	if !sim.enabled.delayWait {
+		orderDelay = 0
 	}
-	return &ctrl.Book{Server: wire.Server{Name: "s", MemoryBytes: memory, ChecksFencing: fencing}, Lateness: wait}
+	return &ctrl.Book{Server: wire.Server{Name: "s", MemoryBytes: memoryBytes, ChecksFencing: fencing}, Lateness: orderDelay}
 }
 
-func (tr *trial) chance(p float64) bool { return tr.rng.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.rng.Float64() < p }
 
-// want draws a new set of wanted models, each 40 of the 100 bytes.
-func (tr *trial) want() {
-	tr.wanted = nil
-	for _, i := range tr.rng.Perm(5)[:2] {
-		tr.wanted = append(tr.wanted, ctrl.Artifact{Model: fmt.Sprint("m", i), Version: 1, Bytes: 40})
+// drawWanted draws a new set of wanted models. Each needs 40 of the 100 bytes.
+func (sim *simulation) drawWanted() {
+	sim.wanted = nil
+	for _, i := range sim.rng.Perm(5)[:2] {
+		sim.wanted = append(sim.wanted, ctrl.Artifact{Model: fmt.Sprint("m", i), Version: 1, Bytes: 40})
 	}
 }
 
-func (tr *trial) step(faults bool) {
-	tr.now = tr.now.Add(time.Duration(tr.rng.IntN(600)) * time.Millisecond)
-	tr.deliver()
-	for a, loaded := range tr.engine.residents {
-		if !loaded && tr.chance(0.6) {
-			tr.engine.residents[a] = true
+func (sim *simulation) step(faults bool) {
+	sim.now = sim.now.Add(time.Duration(sim.rng.IntN(600)) * time.Millisecond)
+	sim.deliverDue()
+	for a, loaded := range sim.engine.residents {
+		if !loaded && sim.chance(0.6) {
+			sim.engine.residents[a] = true
 		}
 	}
-	if tr.chance(0.1) && faults {
-		tr.want()
+	if sim.chance(0.1) && faults {
+		sim.drawWanted()
 	}
-	if tr.chance(0.03) && faults {
-		clear(tr.engine.seen)
-		clear(tr.engine.residents)
+	if sim.chance(0.03) && faults {
+		clear(sim.engine.executedOrders)
+		clear(sim.engine.residents)
 	}
-	// Mostly the first controller acts; the second is a successor or an
-	// ex-controller that still believes in its lease.
+	// Mostly the first controller acts. The second is its successor, or a
+	// replaced controller that has not yet detected the loss of its lease.
 	i := 0
-	if faults && tr.chance(0.3) {
+	if faults && sim.chance(0.3) {
 		i = 1
 	}
-	tr.control(i, faults)
+	sim.controllerStep(i, faults)
 }
 
-func (tr *trial) deliver() {
-	kept := tr.inFlight[:0]
-	for _, d := range tr.inFlight {
-		if d.at.After(tr.now) {
-			kept = append(kept, d)
+func (sim *simulation) deliverDue() {
+	remaining := sim.inFlight[:0]
+	for _, d := range sim.inFlight {
+		if d.at.After(sim.now) {
+			remaining = append(remaining, d)
 			continue
 		}
-		tr.engine.apply(d.order, d.fence)
+		sim.engine.apply(d.order, d.fencingToken)
 	}
-	tr.inFlight = kept
+	sim.inFlight = remaining
 }
 
-// control is one step of a controller.
-func (tr *trial) control(i int, faults bool) {
-	b := tr.books[i]
-	// On servers that check fencing numbers an ex-controller may go on for as
-	// long as it likes; on the others its lease stops it after the pause.
-	lapsed := tr.writer != i && tr.now.Sub(tr.lost) > pause
-	if lapsed && !b.Server.ChecksFencing && tr.safe.intent {
+// controllerStep runs one step of a controller.
+func (sim *simulation) controllerStep(i int, faults bool) {
+	b := sim.reconcilers[i]
+	// With servers that check fencing tokens, a replaced controller may continue
+	// without limit. With other servers, its lease check stops it after
+	// maxLeaseOverrun.
+	leaseExpired := sim.lastWriter != i && sim.now.Sub(sim.takeoverAt) > maxLeaseOverrun
+	if leaseExpired && !b.Server.ChecksFencing && sim.enabled.ledgerWrite {
 		b.Load(0, wire.Ledger{})
 	}
 	if b.Fence() == 0 {
-		b.Load(tr.version, tr.ledger)
+		b.Load(sim.version, sim.ledger)
 	}
-	next, changed := b.Revise(tr.now, tr.engine.report(), tr.wanted, func(ctrl.Artifact) bool { return true }, nil, tr.ids)
-	if changed && !tr.write(i, next, faults) && tr.safe.intent {
+	next, changed := b.Revise(sim.now, sim.engine.report(), sim.wanted, func(ctrl.Artifact) bool { return true }, nil, sim.newOrderID)
+	if changed && !sim.writeLedger(i, next, faults) && sim.enabled.ledgerWrite {
 		return
 	}
-	for _, o := range b.Orders(tr.now) {
-		tr.send(o, b.Fence(), faults)
+	for _, o := range b.Orders(sim.now) {
+		sim.sendOrder(o, b.Fence(), faults)
 	}
 }
 
-// write is the conditional update; its answer may be lost.
-func (tr *trial) write(i int, next wire.Ledger, faults bool) bool {
-	b := tr.books[i]
-	if b.Version() != tr.version {
-		if !tr.safe.intent {
+// writeLedger makes the conditional update. Its response may be lost.
+func (sim *simulation) writeLedger(i int, next wire.Ledger, faults bool) bool {
+	b := sim.reconcilers[i]
+	if b.Version() != sim.version {
+		if !sim.enabled.ledgerWrite {
 			b.Written(b.Version() + 1)
 			return false
 		}
 		b.Load(0, wire.Ledger{})
 		return false
 	}
-	tr.version++
-	tr.ledger = next
-	if tr.writer != i {
-		tr.writer, tr.lost = i, tr.now
+	sim.version++
+	sim.ledger = next
+	if sim.lastWriter != i {
+		sim.lastWriter, sim.takeoverAt = i, sim.now
 	}
-	if faults && tr.chance(0.1) {
+	if faults && sim.chance(0.1) {
 		b.Load(0, wire.Ledger{})
 		return false
 	}
-	b.Written(tr.version)
+	b.Written(sim.version)
 	return true
 }
 
-func (tr *trial) send(o wire.Order, fence int, faults bool) {
+func (sim *simulation) sendOrder(o wire.Order, fencingToken int, faults bool) {
 	if !faults {
-		tr.engine.apply(o, fence)
+		sim.engine.apply(o, fencingToken)
 		return
 	}
-	switch tr.rng.IntN(5) {
+	switch sim.rng.IntN(5) {
 	case 0: // lost
-	case 1, 2: // late, and twice
+	case 1, 2: // delayed and duplicated
 		for range 2 {
-			late := time.Duration(tr.rng.Int64N(int64(lateness - pause)))
-			tr.inFlight = append(tr.inFlight, delivery{tr.now.Add(late), o, fence})
+			delay := time.Duration(sim.rng.Int64N(int64(maxOrderDelay - maxLeaseOverrun)))
+			sim.inFlight = append(sim.inFlight, delivery{sim.now.Add(delay), o, fencingToken})
 		}
 	default:
-		tr.engine.apply(o, fence)
+		sim.engine.apply(o, fencingToken)
 	}
 }
 
-// settled reports whether the server holds just what is wanted.
-func (tr *trial) settled() bool {
-	for _, a := range tr.wanted {
-		if !tr.engine.residents[a] {
+// converged reports whether the server and its ledger hold exactly the wanted
+// models.
+func (sim *simulation) converged() bool {
+	for _, a := range sim.wanted {
+		if !sim.engine.residents[a] {
 			return false
 		}
 	}
-	return len(tr.engine.residents) == len(tr.wanted) && len(tr.ledger.Holdings) == len(tr.wanted)
+	return len(sim.engine.residents) == len(sim.wanted) && len(sim.ledger.Holdings) == len(sim.wanted)
 }
 
-// run returns whether memory was overcommitted and whether the server held
-// what was wanted once the faults had ended.
-func (tr *trial) run() (overcommitted, settled bool) {
-	tr.want()
+// run returns whether the memory was overcommitted, and whether the server held
+// the wanted models after the faults had ended.
+func (sim *simulation) run() (overcommitted, converged bool) {
+	sim.drawWanted()
 	for range 150 {
-		tr.step(true)
+		sim.step(true)
 	}
 	for range 400 {
-		tr.step(false)
-		if tr.settled() && len(tr.inFlight) == 0 {
+		sim.step(false)
+		if sim.converged() && len(sim.inFlight) == 0 {
 			break
 		}
 	}
-	return tr.engine.overcommitted, tr.settled()
+	return sim.engine.overcommitted, sim.converged()
 }
 
-const histories = 1000
+const simulationRuns = 1000
 
-// TestMemoryIsNeverOvercommitted: two controllers of one server act in turn on
-// what each believes, while orders are lost, late and doubled and the store's
-// answers are lost. The server must never hold more than its memory, and when
-// the faults end every intent must come to its end.
-func TestMemoryIsNeverOvercommitted(t *testing.T) {
+// Two controllers of one server act in turn on their cached state, while orders
+// are lost, delayed and duplicated and responses of the store are lost. The
+// server must never hold more than its memory, and after the faults end every
+// intent must complete.
+func TestMemoryNeverOvercommitted(t *testing.T) {
 	for name, fencing := range map[string]bool{"checks fencing": true, "ignores fencing": false} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(histories) {
-				overcommitted, settled := newTrial(seed, fencing, allSafeguards).run()
+			for seed := range uint64(simulationRuns) {
+				overcommitted, converged := newSimulation(seed, fencing, allSafeguards).run()
 				require.False(t, overcommitted, "seed %d", seed)
-				require.True(t, settled, "seed %d: an intent is stuck", seed)
+				require.True(t, converged, "seed %d: an intent is stuck", seed)
 			}
 		})
 	}
 }
 
-// TestEachSafeguardIsNeeded leaves out one safeguard at a time; some history
-// must then overcommit the memory.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+// With any one safeguard disabled, some simulation must overcommit the memory.
+// Otherwise the simulation could not detect a missing safeguard.
+func TestMissingSafeguardOvercommits(t *testing.T) {
 	cases := map[string]struct {
 		fencing bool
-		safe    safeguards
+		enabled safeguards
 	}{
-		"intent before order": {false, safeguards{fence: true, lateWait: true}},
-		"fencing number":      {true, safeguards{intent: true, lateWait: true}},
-		"wait for lateness":   {false, safeguards{intent: true, fence: true}},
+		"ledger write before order": {false, safeguards{fencing: true, delayWait: true}},
+		"fencing token":             {true, safeguards{ledgerWrite: true, delayWait: true}},
+		"wait for delayed orders":   {false, safeguards{ledgerWrite: true, fencing: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(histories) {
-				if overcommitted, _ := newTrial(seed, c.fencing, c.safe).run(); overcommitted {
+			for seed := range uint64(simulationRuns) {
+				if overcommitted, _ := newSimulation(seed, c.fencing, c.enabled).run(); overcommitted {
 					return
 				}
 			}
-			t.Fatal("no history overcommitted the memory: the check can not fail")
+			t.Fatal("no simulation overcommitted the memory: the check can not fail")
 		})
 	}
 }
 
-func TestStraysAreCounted(t *testing.T) {
-	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memory}}
+func TestUnrecordedResidentsAreCounted(t *testing.T) {
+	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memoryBytes}}
 	b.Load(0, wire.Ledger{})
 	report := wire.LoadReport{Residents: []wire.Resident{{Model: "by-hand", Version: 1, Bytes: 70, State: wire.ResidentStateLoaded}}}
 	next, changed := b.Revise(time.Unix(1, 0), report, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 40}},
 		func(ctrl.Artifact) bool { return false }, nil, ctrl.NewOrderID("o"))
 	require.True(t, changed)
-	require.Len(t, next.Holdings, 1, "there is no room beside what was loaded by hand")
+	require.Len(t, next.Holdings, 1, "the wanted model does not fit in addition to the manually loaded one")
 	require.Equal(t, "by-hand", next.Holdings[0].Model)
 }
 
-func TestNothingIsOrderedBeforeItIsRecorded(t *testing.T) {
-	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memory}}
+func TestNoOrderBeforeLedgerWrite(t *testing.T) {
+	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memoryBytes}}
 	b.Load(7, wire.Ledger{Holdings: []wire.Holding{{Model: "m", Version: 1, Bytes: 1, State: wire.HoldingStateLoading, Order: "x"}}})
-	require.Empty(t, b.Orders(time.Unix(1, 0)), "a successor first raises the fence")
+	require.Empty(t, b.Orders(time.Unix(1, 0)), "a new controller sent an order before it wrote the ledger")
 	b.Revise(time.Unix(1, 0), wire.LoadReport{}, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 1}}, nil, nil, ctrl.NewOrderID("o"))
 	b.Written(8)
 	orders := b.Orders(time.Unix(1, 0))
 	require.Len(t, orders, 1)
-	require.Equal(t, "x", orders[0].Order, "the recorded intent goes on under its identifier")
-	require.Empty(t, b.Orders(time.Unix(1, 0)), "not again before the back-off")
+	require.Equal(t, "x", orders[0].Order, "the order of a recorded intent must keep its identifier")
+	require.Empty(t, b.Orders(time.Unix(1, 0)), "an order was resent before its back-off")
 	require.Len(t, b.Orders(time.Unix(2, 0)), 1)
 }
--- a/ctrl/budget.go
+++ b/ctrl/budget.go
@@ -6,37 +6,38 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Budget divides the fleet-wide limits on loads from the weight store among the
-// failure domains, through one object in the platform. A domain takes what it
-// wants of what is free and gives back what it does not need, so that the sum
-// never exceeds the limits, whoever is cut off: a share is taken by a
-// conditional update that sees all the others.
+// Budget divides the fleet-wide limits on concurrent loads from the weight store
+// among the failure domains. The shares are in one object in the platform. Each
+// domain acquires a share of the free loads and returns what it does not need,
+// by conditional update of the object with all shares. The sum of the shares
+// therefore never exceeds the limits, even when domains are partitioned.
 //
-// Domain, Loads and Adapters must be set; Loads and Adapters are the limits.
+// Domain, Loads and Adapters must be set. Loads is the limit for models,
+// Adapters that for adapters.
 type Budget struct {
 	Domain   string
 	Loads    int
 	Adapters int
 
-	version int
-	doc     wire.Budget
-	pending wire.Budget
+	version  int
+	stored   wire.Budget
+	proposed wire.Budget
 }
 
-// Load takes in the object as the platform holds it.
-func (b *Budget) Load(version int, doc wire.Budget) { b.version, b.doc = version, doc }
+// Load replaces the cached object with the one read from the platform.
+func (b *Budget) Load(version int, doc wire.Budget) { b.version, b.stored = version, doc }
 
 // Version returns the version that the next update is conditional on.
 func (b *Budget) Version() int { return b.version }
 
-// Share returns what the domain holds.
+// Share returns the domain's share.
 func (b *Budget) Share() Allowance {
-	s := b.own()
+	s := b.ownShare()
 	return Allowance{Loads: s.Loads, Adapters: s.Adapters}
 }
 
-func (b *Budget) own() wire.BudgetShare {
-	for _, s := range b.doc.Shares {
+func (b *Budget) ownShare() wire.BudgetShare {
+	for _, s := range b.stored.Shares {
 		if s.FailureDomain == b.Domain {
 			return s
 		}
@@ -44,28 +45,28 @@
 	return wire.BudgetShare{FailureDomain: b.Domain}
 }
 
-// Revise returns the next object, for what the domain wants and what it has in
-// transit, which it can not give back. It reports whether there is anything to
-// write.
-func (b *Budget) Revise(wants, inTransit Allowance) (wire.Budget, bool) {
-	own := b.own()
+// Revise returns the next object, for the loads that the domain wants and those
+// in progress. The domain can not return the share of loads in progress. It
+// reports whether the object must be written.
+func (b *Budget) Revise(wanted, inProgress Allowance) (wire.Budget, bool) {
+	current := b.ownShare()
 	next := wire.Budget{Shares: []wire.BudgetShare{}}
 	freeLoads, freeAdapters := b.Loads, b.Adapters
-	wantLoads, wantAdapters := 1, 1
-	for _, s := range b.doc.Shares {
+	loadRequesters, adapterRequesters := 1, 1
+	for _, s := range b.stored.Shares {
 		if s.FailureDomain == b.Domain {
 			continue
 		}
 		next.Shares = append(next.Shares, s)
 		freeLoads -= s.Loads
 		freeAdapters -= s.Adapters
-		wantLoads += min(s.WantsLoads, 1)
-		wantAdapters += min(s.WantsAdapters, 1)
+		loadRequesters += min(s.WantsLoads, 1)
+		adapterRequesters += min(s.WantsAdapters, 1)
 	}
 	share := wire.BudgetShare{
-		FailureDomain: b.Domain, WantsLoads: wants.Loads, WantsAdapters: wants.Adapters,
-		Loads:    part(wants.Loads, freeLoads, b.Loads, wantLoads, inTransit.Loads),
-		Adapters: part(wants.Adapters, freeAdapters, b.Adapters, wantAdapters, inTransit.Adapters),
+		FailureDomain: b.Domain, WantsLoads: wanted.Loads, WantsAdapters: wanted.Adapters,
+		Loads:    fairShare(wanted.Loads, freeLoads, b.Loads, loadRequesters, inProgress.Loads),
+		Adapters: fairShare(wanted.Adapters, freeAdapters, b.Adapters, adapterRequesters, inProgress.Adapters),
 	}
 	next.Shares = append(next.Shares, share)
 	slices.SortFunc(next.Shares, func(x, y wire.BudgetShare) int {
@@ -74,16 +75,18 @@
 		}
 		return 1
 	})
-	b.pending = next
-	return next, share != own
+	b.proposed = next
+	return next, share != current
 }
 
-// part is what a domain takes: what it wants, of what is free, and no more than
-// an even part among the domains that want any; what is in transit stays.
-func part(wants, free, limit, wanting, inTransit int) int {
-	even := max(limit/wanting, 1)
-	return max(min(wants, free, even), min(inTransit, max(free, 0)), 0)
+// fairShare returns the share of a domain: the wanted loads, limited by the free
+// ones and by an even share among the requesters, but no less than the loads in
+// progress.
+func fairShare(wanted, free, limit, requesters, inProgress int) int {
+	evenShare := max(limit/requesters, 1)
+	return max(min(wanted, free, evenShare), min(inProgress, max(free, 0)), 0)
 }
 
-// Written notes that the object of the last Revise took effect as a version.
-func (b *Budget) Written(version int) { b.version, b.doc = version, b.pending }
+// Written records that the platform stored the object of the last Revise under a
+// version.
+func (b *Budget) Written(version int) { b.version, b.stored = version, b.proposed }
--- a/ctrl/keepers_test.go
+++ b/ctrl/keepers_test.go
@@ -12,59 +12,59 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// keeperTrial runs the controllers of three failure domains, each with an
-// ex-controller that may act at any time, over models with copies on several
-// servers. The controllers drop copies as they like and load them again.
-type keeperTrial struct {
-	rng     *rand.Rand
-	guarded bool
-	version int
-	doc     wire.Keepers
-	// ledgers count the writes of each server's ledger, which a controller must
-	// win before it unloads.
-	ledgers map[string]int
-	holds   map[ctrl.Copy]bool
-	players []*player
+// pinSimulation runs the controllers of three failure domains, each with a
+// replaced predecessor that may act at any time, over models with replicas on
+// several servers. The controllers unload and reload random replicas.
+type pinSimulation struct {
+	rng          *rand.Rand
+	pinsEnforced bool
+	version      int
+	stored       wire.Keepers
+	// ledgerVersions counts the writes of each server's ledger. A controller must
+	// update the ledger before it unloads.
+	ledgerVersions map[string]int
+	loaded         map[ctrl.Copy]bool
+	controllers    []*simulatedController
 }
 
-// player is one controller, with what it has read.
-type player struct {
-	keepers *ctrl.Keepers
-	servers []string
-	seen    map[string]int
-	holds   map[ctrl.Copy]bool
-	drop    []ctrl.Copy
-	read    bool
+// simulatedController is one controller with the state that it has read.
+type simulatedController struct {
+	pins           *ctrl.Keepers
+	servers        []string
+	ledgerVersions map[string]int
+	loaded         map[ctrl.Copy]bool
+	toUnload       []ctrl.Copy
+	hasRead        bool
 }
 
-const keeperModels = 3
+const modelCount = 3
 
-func newKeeperTrial(seed uint64, guarded bool) *keeperTrial {
-	tr := &keeperTrial{
-		rng: rand.New(rand.NewPCG(seed, 2)), guarded: guarded,
-		ledgers: make(map[string]int), holds: make(map[ctrl.Copy]bool),
+func newPinSimulation(seed uint64, pinsEnforced bool) *pinSimulation {
+	sim := &pinSimulation{
+		rng: rand.New(rand.NewPCG(seed, 2)), pinsEnforced: pinsEnforced,
+		ledgerVersions: make(map[string]int), loaded: make(map[ctrl.Copy]bool),
 	}
 	for d := range 3 {
 		servers := []string{fmt.Sprint("s", d, "a"), fmt.Sprint("s", d, "b")}
 		for i := range 2 {
-			tr.players = append(tr.players, &player{
-				keepers: &ctrl.Keepers{Domain: fmt.Sprint("d", d), Controller: fmt.Sprint("c", d, i)}, servers: servers,
+			sim.controllers = append(sim.controllers, &simulatedController{
+				pins: &ctrl.Keepers{Domain: fmt.Sprint("d", d), Controller: fmt.Sprint("c", d, i)}, servers: servers,
 			})
 		}
 		for _, s := range servers {
-			for m := range keeperModels {
-				tr.holds[ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}] = true
+			for m := range modelCount {
+				sim.loaded[ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}] = true
 			}
 		}
 	}
-	return tr
+	return sim
 }
 
-func (tr *keeperTrial) copiesOn(holds map[ctrl.Copy]bool, servers []string) []ctrl.Copy {
+func (sim *pinSimulation) replicasOn(loaded map[ctrl.Copy]bool, servers []string) []ctrl.Copy {
 	var all []ctrl.Copy
-	for m := range keeperModels {
+	for m := range modelCount {
 		for _, s := range servers {
-			if c := (ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}); holds[c] {
+			if c := (ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}); loaded[c] {
 				all = append(all, c)
 			}
 		}
@@ -72,92 +72,94 @@
 	return all
 }
 
-// step lets one controller read, write or unload; between two of its steps any
-// others may come.
-func (tr *keeperTrial) step() {
-	p := tr.players[tr.rng.IntN(len(tr.players))]
-	switch tr.rng.IntN(4) {
+// step lets one controller read, write, unload or reload. Steps of different
+// controllers interleave at random.
+func (sim *pinSimulation) step() {
+	p := sim.controllers[sim.rng.IntN(len(sim.controllers))]
+	switch sim.rng.IntN(4) {
 	case 0:
-		p.look(tr)
+		p.readState(sim)
 	case 1:
-		p.bind(tr)
+		p.writePins(sim)
 	case 2:
-		p.unload(tr)
+		p.unload(sim)
 	default:
-		p.reload(tr)
+		p.reload(sim)
 	}
 }
 
-// look reads the object and what the domain's servers hold, and writes their
-// ledgers, so that no other controller's update of them can win any more.
-func (p *player) look(tr *keeperTrial) {
-	p.keepers.Load(tr.version, tr.doc)
-	p.seen, p.holds, p.read = make(map[string]int), make(map[ctrl.Copy]bool), true
+// readState reads the object and the replicas on the domain's servers, and
+// writes the servers' ledgers, so that concurrent updates of them by other
+// controllers fail.
+func (p *simulatedController) readState(sim *pinSimulation) {
+	p.pins.Load(sim.version, sim.stored)
+	p.ledgerVersions, p.loaded, p.hasRead = make(map[string]int), make(map[ctrl.Copy]bool), true
 	for _, s := range p.servers {
-		tr.ledgers[s]++
-		p.seen[s] = tr.ledgers[s]
+		sim.ledgerVersions[s]++
+		p.ledgerVersions[s] = sim.ledgerVersions[s]
 	}
-	for _, c := range tr.copiesOn(tr.holds, p.servers) {
-		p.holds[c] = true
+	for _, c := range sim.replicasOn(sim.loaded, p.servers) {
+		p.loaded[c] = true
 	}
-	copies := tr.copiesOn(p.holds, p.servers)
-	p.drop = nil
-	for _, c := range copies {
-		if tr.rng.IntN(2) == 0 {
-			p.drop = append(p.drop, c)
+	replicas := sim.replicasOn(p.loaded, p.servers)
+	p.toUnload = nil
+	for _, c := range replicas {
+		if sim.rng.IntN(2) == 0 {
+			p.toUnload = append(p.toUnload, c)
 		}
 	}
 }
 
-// bind writes the object; the answer may be lost.
-func (p *player) bind(tr *keeperTrial) {
-	if !p.read {
+// writePins writes the object. The response may be lost.
+func (p *simulatedController) writePins(sim *pinSimulation) {
+	if !p.hasRead {
 		return
 	}
-	next, changed := p.keepers.Revise(p.servers, tr.copiesOn(p.holds, p.servers), p.drop, func(ctrl.Copy) bool { return true })
-	if !changed || p.keepers.Version() != tr.version {
+	next, changed := p.pins.Revise(p.servers, sim.replicasOn(p.loaded, p.servers), p.toUnload, func(ctrl.Copy) bool { return true })
+	if !changed || p.pins.Version() != sim.version {
 		return
 	}
-	tr.version++
-	tr.doc = next
-	if tr.rng.IntN(5) > 0 {
-		p.keepers.Written(tr.version)
+	sim.version++
+	sim.stored = next
+	if sim.rng.IntN(5) > 0 {
+		p.pins.Written(sim.version)
 	}
 }
 
-// unload drops the copies that may go, after winning the server's ledger.
-func (p *player) unload(tr *keeperTrial) {
-	for _, c := range p.drop {
-		if tr.guarded && !p.keepers.MayUnload(c) || p.seen[c.Server] != tr.ledgers[c.Server] {
+// unload unloads the replicas that may be unloaded, after an update of the
+// server's ledger.
+func (p *simulatedController) unload(sim *pinSimulation) {
+	for _, c := range p.toUnload {
+		if sim.pinsEnforced && !p.pins.MayUnload(c) || p.ledgerVersions[c.Server] != sim.ledgerVersions[c.Server] {
 			continue
 		}
-		tr.ledgers[c.Server]++
-		p.seen[c.Server]++
-		delete(tr.holds, c)
-		delete(p.holds, c)
+		sim.ledgerVersions[c.Server]++
+		p.ledgerVersions[c.Server]++
+		delete(sim.loaded, c)
+		delete(p.loaded, c)
 	}
 }
 
-// reload loads the domain's copies again.
-func (p *player) reload(tr *keeperTrial) {
+// reload loads the domain's replicas again.
+func (p *simulatedController) reload(sim *pinSimulation) {
 	for _, s := range p.servers {
-		if p.seen[s] != tr.ledgers[s] || tr.rng.IntN(2) == 0 || !p.read {
+		if p.ledgerVersions[s] != sim.ledgerVersions[s] || sim.rng.IntN(2) == 0 || !p.hasRead {
 			continue
 		}
-		tr.ledgers[s]++
-		p.seen[s]++
-		for m := range keeperModels {
+		sim.ledgerVersions[s]++
+		p.ledgerVersions[s]++
+		for m := range modelCount {
 			c := ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}
-			tr.holds[c] = true
-			p.holds[c] = true
+			sim.loaded[c] = true
+			p.loaded[c] = true
 		}
 	}
 }
 
-func (tr *keeperTrial) reachable() bool {
-	for m := range keeperModels {
+func (sim *pinSimulation) everyModelLoaded() bool {
+	for m := range modelCount {
 		found := false
-		for c := range tr.holds {
+		for c := range sim.loaded {
 			found = found || c.Model == fmt.Sprint("m", m)
 		}
 		if !found {
@@ -167,38 +169,38 @@
 	return true
 }
 
-func (tr *keeperTrial) run() bool {
+func (sim *pinSimulation) run() bool {
 	for range 400 {
-		tr.step()
-		if !tr.reachable() {
+		sim.step()
+		if !sim.everyModelLoaded() {
 			return false
 		}
 	}
 	return true
 }
 
-// TestLastCopyStays: controllers of several domains and their paused
-// predecessors drop copies at once, each by what it has read. Some server must
-// hold each model at every moment. Without the keepers two domains give up the
-// last two copies at once, each counting on the other's.
-func TestLastCopyStays(t *testing.T) {
-	for seed := range uint64(histories) {
-		require.True(t, newKeeperTrial(seed, true).run(), "seed %d", seed)
+// Controllers of several domains and their paused predecessors unload replicas
+// concurrently, each on the state that it has read. Some server must hold each
+// model at all times. Without pins, two domains unload the last two replicas
+// concurrently, each relying on the replica of the other.
+func TestLastReplicaStays(t *testing.T) {
+	for seed := range uint64(simulationRuns) {
+		require.True(t, newPinSimulation(seed, true).run(), "seed %d", seed)
 	}
-	for seed := range uint64(histories) {
-		if !newKeeperTrial(seed, false).run() {
+	for seed := range uint64(simulationRuns) {
+		if !newPinSimulation(seed, false).run() {
 			return
 		}
 	}
-	t.Fatal("no history lost a model without the keepers: the check can not fail")
+	t.Fatal("no simulation without pins lost a model: the check can not fail")
 }
 
-// TestBudgetIsNeverExceeded: domains want loads and give them back, by what they
-// have read, and some are cut off and keep their share. The sum of the shares
-// stays within the limits, and when the others want nothing one domain gets all.
-func TestBudgetIsNeverExceeded(t *testing.T) {
+// Domains acquire and return loads on the state that they have read, and some
+// are partitioned and keep their share. The sum of the shares must stay within
+// the limits, and when the others want nothing one domain must get all loads.
+func TestBudgetNeverExceeded(t *testing.T) {
 	const limit = 4
-	for seed := range uint64(histories) {
+	for seed := range uint64(simulationRuns) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var doc wire.Budget
 		version := 0
@@ -212,16 +214,16 @@
 				b.Load(version, doc)
 				continue
 			}
-			held := b.Share()
-			inTransit := ctrl.Allowance{Loads: rng.IntN(held.Loads + 1), Adapters: rng.IntN(held.Adapters + 1)}
-			next, changed := b.Revise(ctrl.Allowance{Loads: rng.IntN(6), Adapters: rng.IntN(9)}, inTransit)
+			share := b.Share()
+			inProgress := ctrl.Allowance{Loads: rng.IntN(share.Loads + 1), Adapters: rng.IntN(share.Adapters + 1)}
+			next, changed := b.Revise(ctrl.Allowance{Loads: rng.IntN(6), Adapters: rng.IntN(9)}, inProgress)
 			if !changed || b.Version() != version {
 				continue
 			}
 			version++
 			doc = next
 			b.Written(version)
-			require.GreaterOrEqual(t, b.Share().Loads, inTransit.Loads)
+			require.GreaterOrEqual(t, b.Share().Loads, inProgress.Loads)
 			loads, adapters := 0, 0
 			for _, s := range doc.Shares {
 				loads += s.Loads
@@ -232,11 +234,11 @@
 		}
 		for _, b := range append(slices.Clone(budgets[1:]), budgets[0]) {
 			b.Load(version, doc)
-			want := ctrl.Allowance{}
+			wanted := ctrl.Allowance{}
 			if b == budgets[0] {
-				want.Loads = limit
+				wanted.Loads = limit
 			}
-			if next, changed := b.Revise(want, ctrl.Allowance{}); changed {
+			if next, changed := b.Revise(wanted, ctrl.Allowance{}); changed {
 				version++
 				doc = next
 				b.Written(version)
