--- a/claim/runner.go
+++ b/claim/runner.go
@@ -74,7 +74,7 @@
 // NewRunner returns a Runner whose calls go to a client.
 func NewRunner(name string, c *store.Client, now func() time.Time) *Runner {
 	single := *c
-	single.Single = true
+	single.DisableRetries = true
 	return &Runner{Name: name, Get: single.Get, Put: single.Put, Delete: single.Delete, Now: now}
 }
 
@@ -215,14 +215,14 @@
 	if err == nil {
 		err = r.write(ctx)
 	}
-	if store.IsLimited(err) && r.limited < limitedTries {
+	if store.IsRateLimited(err) && r.limited < limitedTries {
 		// The rate limit passes in a moment; those who wait are not refused for
 		// it, unless it stays.
 		r.limited++
 		return err
 	}
 	r.limited = 0
-	if err == nil || store.IsConflict(err) || store.IsLost(err) {
+	if err == nil || store.IsConflict(err) || store.IsResponseLost(err) {
 		return nil
 	}
 	if r.Failed != nil {
@@ -374,7 +374,7 @@
 func (r *Runner) headFailed(err error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if store.IsAway(err) || store.IsLimited(err) {
+	if store.IsUnavailable(err) || store.IsRateLimited(err) {
 		r.shard.Failed()
 	} else {
 		r.shard.Unsure()
--- a/claim/tidy.go
+++ b/claim/tidy.go
@@ -71,7 +71,7 @@
 	if err == nil || store.IsConflict(err) {
 		return nil
 	}
-	if store.IsLost(err) {
+	if store.IsResponseLost(err) {
 		if _, readErr := r.Get(ctx, KindSegment, name); readErr == nil {
 			return nil
 		}
--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -47,8 +47,8 @@
 	return x, nil
 }
 
-// Answer reads the head of the response. It skips interim (1xx) responses.
-func (x *Exchange) Answer() (*http.Response, error) {
+// ReadResponse reads the head of the response. It skips interim (1xx) responses.
+func (x *Exchange) ReadResponse() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.method})
 		if err != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Pending returns how many bytes of the response can be read without blocking.
-func (x *Exchange) Pending() int { return x.conn.reader.Buffered() }
+// Buffered returns how many bytes of the response can be read without blocking.
+func (x *Exchange) Buffered() int { return x.conn.reader.Buffered() }
 
 // Finish returns the connection to the pool when the request was written and
 // the response was read completely, and closes it otherwise.
@@ -70,7 +70,7 @@
 		pool.Discard(x.conn)
 		return
 	}
-	pool.Keep(now, x.conn, keepAliveTimeout(resp.Header))
+	pool.Put(now, x.conn, keepAliveTimeout(resp.Header))
 }
 
 // requestWritten reports whether the whole request was written without error.
@@ -100,7 +100,7 @@
 	return 0
 }
 
-// ConnectionLost reports whether an error from Send, Answer or reading a
+// ConnectionLost reports whether an error from Send, ReadResponse or reading a
 // response body means that the connection was closed or reset by the server or
 // timed out, rather than closed by this VM.
 func ConnectionLost(err error) bool {
@@ -112,17 +112,18 @@
 	return false
 }
 
-// ErrTooLong is returned for a body that is longer than allowed.
-var ErrTooLong = errors.New("body is longer than allowed")
+// ErrBodyTooLarge is returned for a body that is longer than allowed.
+var ErrBodyTooLarge = errors.New("body is longer than allowed")
 
-// ReadAll reads a body of at most limit bytes. A longer body is an ErrTooLong.
+// ReadAll reads a body of at most limit bytes. A longer body is an
+// ErrBodyTooLarge.
 func ReadAll(r io.Reader, limit int) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
 		return data, fmt.Errorf("read body: %w", err)
 	}
 	if len(data) > limit {
-		return nil, ErrTooLong
+		return nil, ErrBodyTooLarge
 	}
 	return data, nil
 }
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -24,14 +24,15 @@
 const (
 	// readBufferBytes fits the head of a response and some events of a stream.
 	readBufferBytes = 4 << 10
-	// DefaultIdle is how long an idle connection is kept when the server sends
-	// no Keep-Alive timeout. Servers commonly close idle connections after five
-	// seconds or more.
-	DefaultIdle = 4 * time.Second
-	// LongIdle is how long an idle connection is kept for repeatable requests
-	// when the server sends no Keep-Alive timeout. The kernel reports a close
-	// before the send, and a request that crosses a close is sent again.
-	LongIdle = 12 * time.Second
+	// DefaultIdleTimeout is how long an idle connection is kept when the server
+	// sends no Keep-Alive timeout. Servers commonly close idle connections
+	// after five seconds or more.
+	DefaultIdleTimeout = 4 * time.Second
+	// RepeatableIdleTimeout is how long an idle connection is kept for
+	// repeatable requests when the server sends no Keep-Alive timeout. The
+	// kernel reports a close before the send, and a request that crosses a
+	// close is sent again.
+	RepeatableIdleTimeout = 12 * time.Second
 	// idleTimeoutMargin is subtracted from the idle timeout. It covers the
 	// network delay of the server's close and of a request that crosses it.
 	idleTimeoutMargin = 500 * time.Millisecond
@@ -91,19 +92,20 @@
 	abortOnStall func() bool
 }
 
-// Kept reports whether the connection has been in the pool before.
-func (c *Conn) Kept() bool { return c.reused }
+// Reused reports whether the connection has been in the pool before.
+func (c *Conn) Reused() bool { return c.reused }
 
 // Close closes the connection. It may be called more than once and while
 // another goroutine reads or writes.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// Watch makes each read that waits for longer than timeout call abort, and again
-// after every further timeout. The read fails only when abort returns true: a
-// silent server may continue, and a request should leave it only for another
-// server. The readers of net/http can not continue after a failed read, so they
-// must not see the deadline. A timeout of 0 disables the check.
-func (c *Conn) Watch(timeout time.Duration, abort func() bool) {
+// SetStallTimeout makes each read that waits for longer than timeout call
+// abort, and again after every further timeout. The read fails only when abort
+// returns true: a silent server may still respond, and a request should abandon
+// it only when another server is available. The readers of net/http can not
+// continue after a failed read, so they must not see the deadline. A timeout of
+// 0 disables the check.
+func (c *Conn) SetStallTimeout(timeout time.Duration, abort func() bool) {
 	c.stallTimeout, c.abortOnStall = timeout, abort
 	if timeout == 0 {
 		_ = c.net.SetReadDeadline(time.Time{})
@@ -140,9 +142,9 @@
 	socketClosed
 )
 
-// Closed reports whether the kernel has received the peer's close of a
+// PeerClosed reports whether the kernel has received the peer's close of a
 // connection.
-func Closed(c net.Conn) bool { return peekSocket(c) == socketClosed }
+func PeerClosed(c net.Conn) bool { return peekSocket(c) == socketClosed }
 
 // peekSocket returns the state of a connection without consuming bytes. A
 // connection without a system call interface counts as idle.
@@ -177,19 +179,19 @@
 // Pool keeps idle connections by key. A key identifies one run of one server
 // process. The zero value is ready to use.
 type Pool struct {
-	// Open opens a connection; nil uses the function Dial.
-	Open func(ctx context.Context, address string) (net.Conn, error)
+	// DialFunc opens a connection; nil uses the function Dial.
+	DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 	mu         sync.Mutex
 	idle       map[string][]*Conn
 	openCounts map[string]int
 }
 
-// Take removes and returns the most recently used idle connection of a key that
+// Get removes and returns the most recently used idle connection of a key that
 // is reusable, nil when there is none. The most recently used one is the least
 // likely to have a close in transit. For a nonRepeatable request it returns no
 // connection that the server may be about to close.
-func (p *Pool) Take(now time.Time, key string, nonRepeatable bool) *Conn {
+func (p *Pool) Get(now time.Time, key string, nonRepeatable bool) *Conn {
 	for {
 		c := p.popIdle(key)
 		if c == nil {
@@ -207,18 +209,18 @@
 	}
 }
 
-// Return puts back a connection that was taken or dialled and not used. A
+// PutUnused adds a connection that was acquired or dialled and not used. A
 // connection that was in the pool before keeps its expiry.
-func (p *Pool) Return(now time.Time, c *Conn) {
+func (p *Pool) PutUnused(now time.Time, c *Conn) {
 	if c.reused {
 		p.pushIdle(c)
 		return
 	}
-	p.Keep(now, c, 0)
+	p.Put(now, c, 0)
 }
 
-// Idle reports whether the pool holds an idle connection of a key.
-func (p *Pool) Idle(key string) bool {
+// HasIdle reports whether the pool holds an idle connection of a key.
+func (p *Pool) HasIdle(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[key]) > 0
@@ -247,7 +249,7 @@
 
 // Dial opens a new connection.
 func (p *Pool) Dial(ctx context.Context, key, address string) (*Conn, error) {
-	dial := p.Open
+	dial := p.DialFunc
 	if dial == nil {
 		dial = Dial
 	}
@@ -266,20 +268,20 @@
 	return c, nil
 }
 
-// Connections returns how many connections of a key are open.
-func (p *Pool) Connections(key string) int {
+// OpenConnections returns how many connections of a key are open.
+func (p *Pool) OpenConnections(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openCounts[key]
 }
 
-// Keep puts a connection without a request in progress into the pool, for at
-// most idle. An idle of 0 uses DefaultIdle, and LongIdle for repeatable
-// requests.
-func (p *Pool) Keep(now time.Time, c *Conn, idle time.Duration) {
+// Put adds a connection without a request in progress to the pool, for at most
+// idle. An idle of 0 uses DefaultIdleTimeout, and RepeatableIdleTimeout for
+// repeatable requests.
+func (p *Pool) Put(now time.Time, c *Conn, idle time.Duration) {
 	repeatableIdle := idle
 	if idle == 0 {
-		idle, repeatableIdle = DefaultIdle, LongIdle
+		idle, repeatableIdle = DefaultIdleTimeout, RepeatableIdleTimeout
 	}
 	c.safeUntil = now.Add(idle - min(idleTimeoutMargin, idle/4))
 	c.expiresAt = now.Add(repeatableIdle - min(idleTimeoutMargin, repeatableIdle/4))
@@ -301,8 +303,8 @@
 	}
 }
 
-// Forget closes the idle connections of a key whose server was removed.
-func (p *Pool) Forget(key string) {
+// CloseIdle closes the idle connections of a key whose server was removed.
+func (p *Pool) CloseIdle(key string) {
 	for c := p.popIdle(key); c != nil; c = p.popIdle(key) {
 		p.Discard(c)
 	}
@@ -311,8 +313,8 @@
 	delete(p.idle, key)
 }
 
-// Sweep closes the expired idle connections of all keys.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the expired idle connections of all keys.
+func (p *Pool) CloseExpired(now time.Time) {
 	for _, c := range p.removeExpired(now) {
 		p.Discard(c)
 	}
--- a/conns/pool_test.go
+++ b/conns/pool_test.go
@@ -54,13 +54,13 @@
 			var p conns.Pool
 			c, err := p.Dial(context.Background(), "k", address)
 			require.NoError(t, err)
-			p.Keep(now, c, time.Second)
+			p.Put(now, c, time.Second)
 			server := <-accepted
 			tc.disturb(t, server)
 			require.Eventually(t, func() bool {
-				got := p.Take(now, "k", true)
+				got := p.Get(now, "k", true)
 				if got != nil {
-					p.Keep(now, got, time.Second)
+					p.Put(now, got, time.Second)
 				}
 				return (got != nil) == tc.reusable
 			}, 10*time.Second, time.Millisecond)
@@ -73,9 +73,9 @@
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
 	require.NoError(t, err)
-	p.Keep(now, c, time.Second)
-	require.Nil(t, p.Take(now.Add(time.Second), "k", true))
-	require.Zero(t, p.Connections("k"))
+	p.Put(now, c, time.Second)
+	require.Nil(t, p.Get(now.Add(time.Second), "k", true))
+	require.Zero(t, p.OpenConnections("k"))
 }
 
 func TestGetReturnsMostRecent(t *testing.T) {
@@ -88,11 +88,11 @@
 		all = append(all, c)
 	}
 	for _, c := range all {
-		p.Keep(now, c, time.Second)
+		p.Put(now, c, time.Second)
 	}
-	require.Same(t, all[2], p.Take(now, "k", true))
-	p.Forget("k")
-	require.Nil(t, p.Take(now, "k", true))
+	require.Same(t, all[2], p.Get(now, "k", true))
+	p.CloseIdle("k")
+	require.Nil(t, p.Get(now, "k", true))
 }
 
 // The sender abandons an order or a request while a network partition delays
@@ -146,11 +146,11 @@
 			require.NoError(t, err)
 			x, err := c.Send("GET", []byte("GET / HTTP/1.1\r\n\r\n"), nil)
 			require.NoError(t, err)
-			resp, err := x.Answer()
+			resp, err := x.ReadResponse()
 			require.Equal(t, tc.wantErr, err != nil)
 			if err != nil {
 				x.Finish(now, &p, nil, false)
-				require.Zero(t, p.Connections("k"))
+				require.Zero(t, p.OpenConnections("k"))
 				return
 			}
 			body, err := conns.ReadAll(resp.Body, 100)
@@ -159,14 +159,14 @@
 			require.Equal(t, tc.status, resp.StatusCode)
 			require.Equal(t, tc.body, string(body))
 			x.Finish(now, &p, resp, true)
-			require.Equal(t, tc.reusable, p.Take(now, "k", true) != nil)
+			require.Equal(t, tc.reusable, p.Get(now, "k", true) != nil)
 		})
 	}
 }
 
 func TestReadAllLimit(t *testing.T) {
 	_, err := conns.ReadAll(strings.NewReader("abc"), 2)
-	require.ErrorIs(t, err, conns.ErrTooLong)
+	require.ErrorIs(t, err, conns.ErrBodyTooLarge)
 }
 
 // The HTTP server reads a caller's connection in the background while it handles
@@ -183,11 +183,11 @@
 		_, _ = server.Read(make([]byte, 1))
 	}()
 	for range 100 {
-		require.False(t, conns.Closed(server))
+		require.False(t, conns.PeerClosed(server))
 	}
 	require.NoError(t, c.Close())
 	<-readDone
-	require.Eventually(t, func() bool { return conns.Closed(server) }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return conns.PeerClosed(server) }, 10*time.Second, time.Millisecond)
 }
 
 // A server closes idle connections after some seconds without announcing the
@@ -199,11 +199,11 @@
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
 	require.NoError(t, err)
-	p.Keep(now, c, 0)
-	later := now.Add(conns.DefaultIdle + time.Second)
-	require.True(t, p.Idle("k"))
-	require.Nil(t, p.Take(later, "k", true))
-	require.Same(t, c, p.Take(later, "k", false))
+	p.Put(now, c, 0)
+	later := now.Add(conns.DefaultIdleTimeout + time.Second)
+	require.True(t, p.HasIdle("k"))
+	require.Nil(t, p.Get(later, "k", true))
+	require.Same(t, c, p.Get(later, "k", false))
 }
 
 // A connection is taken from the pool and put back unused. Its expiry must not
@@ -214,10 +214,10 @@
 	var p conns.Pool
 	c, err := p.Dial(context.Background(), "k", address)
 	require.NoError(t, err)
-	p.Return(now, c)
-	later := now.Add(conns.DefaultIdle - time.Second)
-	c = p.Take(later, "k", true)
+	p.PutUnused(now, c)
+	later := now.Add(conns.DefaultIdleTimeout - time.Second)
+	c = p.Get(later, "k", true)
 	require.NotNil(t, c)
-	p.Return(later, c)
-	require.Nil(t, p.Take(later.Add(time.Second), "k", true))
+	p.PutUnused(later, c)
+	require.Nil(t, p.Get(later.Add(time.Second), "k", true))
 }
--- a/ctrl/budget.go
+++ b/ctrl/budget.go
@@ -11,50 +11,50 @@
 // domain acquires a share of the free loads and returns what it does not need,
 // by conditional update of the object with all shares. The sum of the shares
 // therefore never exceeds the limits, even when domains are partitioned.
+// ModelLimit and AdapterLimit are the limits for models and adapters.
 //
-// Domain, Loads and Adapters must be set. Loads is the limit for models,
-// Adapters that for adapters.
+// FailureDomain, ModelLimit and AdapterLimit must be set.
 type Budget struct {
-	Domain   string
-	Loads    int
-	Adapters int
+	FailureDomain string
+	ModelLimit    int
+	AdapterLimit  int
 
 	version  int
 	stored   wire.Budget
 	proposed wire.Budget
 }
 
-// Load replaces the cached object with the one read from the platform.
-func (b *Budget) Load(version int, doc wire.Budget) { b.version, b.stored = version, doc }
+// Reset replaces the cached object with the one read from the platform.
+func (b *Budget) Reset(version int, doc wire.Budget) { b.version, b.stored = version, doc }
 
 // Version returns the version that the next update is conditional on.
 func (b *Budget) Version() int { return b.version }
 
 // Share returns the domain's share.
-func (b *Budget) Share() Allowance {
+func (b *Budget) Share() LoadQuota {
 	s := b.ownShare()
-	return Allowance{Loads: s.Loads, Adapters: s.Adapters}
+	return LoadQuota{Models: s.Loads, Adapters: s.Adapters}
 }
 
 func (b *Budget) ownShare() wire.BudgetShare {
 	for _, s := range b.stored.Shares {
-		if s.FailureDomain == b.Domain {
+		if s.FailureDomain == b.FailureDomain {
 			return s
 		}
 	}
-	return wire.BudgetShare{FailureDomain: b.Domain}
+	return wire.BudgetShare{FailureDomain: b.FailureDomain}
 }
 
-// Revise returns the next object, for the loads that the domain wants and those
+// Propose returns the next object, for the loads that the domain wants and those
 // in progress. The domain can not return the share of loads in progress. It
 // reports whether the object must be written.
-func (b *Budget) Revise(wanted, inProgress Allowance) (wire.Budget, bool) {
+func (b *Budget) Propose(wanted, inProgress LoadQuota) (wire.Budget, bool) {
 	current := b.ownShare()
 	next := wire.Budget{Shares: []wire.BudgetShare{}}
-	freeLoads, freeAdapters := b.Loads, b.Adapters
+	freeLoads, freeAdapters := b.ModelLimit, b.AdapterLimit
 	loadRequesters, adapterRequesters := 1, 1
 	for _, s := range b.stored.Shares {
-		if s.FailureDomain == b.Domain {
+		if s.FailureDomain == b.FailureDomain {
 			continue
 		}
 		next.Shares = append(next.Shares, s)
@@ -64,9 +64,9 @@
 		adapterRequesters += min(s.WantsAdapters, 1)
 	}
 	share := wire.BudgetShare{
-		FailureDomain: b.Domain, WantsLoads: wanted.Loads, WantsAdapters: wanted.Adapters,
-		Loads:    fairShare(wanted.Loads, freeLoads, b.Loads, loadRequesters, inProgress.Loads),
-		Adapters: fairShare(wanted.Adapters, freeAdapters, b.Adapters, adapterRequesters, inProgress.Adapters),
+		FailureDomain: b.FailureDomain, WantsLoads: wanted.Models, WantsAdapters: wanted.Adapters,
+		Loads:    fairShare(wanted.Models, freeLoads, b.ModelLimit, loadRequesters, inProgress.Models),
+		Adapters: fairShare(wanted.Adapters, freeAdapters, b.AdapterLimit, adapterRequesters, inProgress.Adapters),
 	}
 	next.Shares = append(next.Shares, share)
 	slices.SortFunc(next.Shares, func(x, y wire.BudgetShare) int {
@@ -87,6 +87,6 @@
 	return max(min(wanted, free, evenShare), min(inProgress, max(free, 0)), 0)
 }
 
-// Written records that the platform stored the object of the last Revise under a
-// version.
-func (b *Budget) Written(version int) { b.version, b.stored = version, b.proposed }
+// Committed records that the platform stored the object of the last Propose
+// under a version.
+func (b *Budget) Committed(version int) { b.version, b.stored = version, b.proposed }
--- a/ctrl/book.go
+++ b/ctrl/reconciler.go
@@ -26,19 +26,20 @@
 	return a.Model == h.Model && a.Adapter == h.Adapter && a.Version == h.Version
 }
 
-// Book reconciles the ledger of one server with the server's load reports and
-// with the artifacts that the server should hold. Server must be set.
-type Book struct {
+// Reconciler reconciles the ledger of one server with the server's load reports
+// and with the artifacts that the server should hold. Server must be set.
+type Reconciler struct {
 	// Server is the server's stored description. The holdings may use its
 	// MemoryBytes.
 	Server wire.Server
-	// Lateness is the maximum delay of an order. A server that does not check
-	// fencing tokens may still get an order from a controller that has lost its
-	// lease, so memory that an unload freed stays reserved for this time.
-	Lateness time.Duration
-	// ReportLag is the maximum age of a load report. A report does not prove the
-	// absence of a holding that changed more recently.
-	ReportLag time.Duration
+	// MaxOrderDelay is the maximum delay of an order. A server that does not
+	// check fencing tokens may still get an order from a controller that has
+	// lost its lease, so memory that an unload freed stays reserved for this
+	// time.
+	MaxOrderDelay time.Duration
+	// MaxReportAge is the maximum age of a load report. A report does not prove
+	// the absence of a holding that changed more recently.
+	MaxReportAge time.Duration
 
 	ledger        wire.Ledger
 	ledgerVersion int
@@ -46,9 +47,9 @@
 	// update, 0 before the first; firstFencingToken is that of its first.
 	fencingToken      int
 	firstFencingToken int
-	// unloadFencingTokens maps each unload order of this controller to the ledger
-	// version that recorded it. Every load order of the holding was sent with a
-	// lower fencing token.
+	// unloadFencingTokens maps each unload order of this controller to the
+	// ledger version that recorded it. Every load order of the holding was sent
+	// with a lower fencing token.
 	unloadFencingTokens map[string]int
 	lastSentAt          map[string]time.Time
 	sendCounts          map[string]int
@@ -64,20 +65,20 @@
 	maxSendsPerOrderID = 5
 )
 
-// Allowance is a number of loads of models and of adapters. As a limit on new
+// LoadQuota is a number of loads of models and of adapters. As a limit on new
 // loads, nil means no limit.
-type Allowance struct {
-	Loads    int
+type LoadQuota struct {
+	Models   int
 	Adapters int
 }
 
 // consume takes the load of one artifact from the quota and reports whether the
 // quota sufficed.
-func (l *Allowance) consume(a Artifact) bool {
+func (l *LoadQuota) consume(a Artifact) bool {
 	if l == nil {
 		return true
 	}
-	remaining := &l.Loads
+	remaining := &l.Models
 	if a.Adapter != "" {
 		remaining = &l.Adapters
 	}
@@ -88,8 +89,8 @@
 	return true
 }
 
-// Loading returns how many models and adapters are being loaded.
-func (b *Book) Loading() (models, adapters int) {
+// LoadingCounts returns how many models and adapters are being loaded.
+func (b *Reconciler) LoadingCounts() (models, adapters int) {
 	for _, h := range b.ledger.Holdings {
 		switch {
 		case h.State != wire.HoldingStateLoading:
@@ -102,8 +103,8 @@
 	return models, adapters
 }
 
-// Complete reports whether every artifact is recorded as loaded in its version.
-func (b *Book) Complete(artifacts []Artifact) bool {
+// AllLoaded reports whether every artifact is recorded as loaded in its version.
+func (b *Reconciler) AllLoaded(artifacts []Artifact) bool {
 	for _, a := range artifacts {
 		if !slices.ContainsFunc(b.ledger.Holdings, func(h wire.Holding) bool {
 			return a.matches(h) && h.State == wire.HoldingStateLoaded
@@ -114,20 +115,20 @@
 	return true
 }
 
-// Absent returns the artifacts that have no holding in the ledger.
-func (b *Book) Absent(artifacts []Artifact) []Artifact {
-	var absent []Artifact
+// Missing returns the artifacts that have no holding in the ledger.
+func (b *Reconciler) Missing(artifacts []Artifact) []Artifact {
+	var missing []Artifact
 	for _, a := range artifacts {
 		if !slices.ContainsFunc(b.ledger.Holdings, a.matches) {
-			absent = append(absent, a)
+			missing = append(missing, a)
 		}
 	}
-	return absent
+	return missing
 }
 
 // LoadedSince returns the models that were recorded as loaded after since, or
 // are being loaded.
-func (b *Book) LoadedSince(since time.Time) []string {
+func (b *Reconciler) LoadedSince(since time.Time) []string {
 	var names []string
 	for _, h := range b.ledger.Holdings {
 		recent := h.State == wire.HoldingStateLoading || h.State == wire.HoldingStateLoaded && h.ChangedMs > int(since.UnixMilli())
@@ -138,11 +139,11 @@
 	return names
 }
 
-// HasBase reports whether any version of a model is recorded as loaded.
-func (b *Book) HasBase(model string) bool { return hasBase(b.ledger.Holdings, model) }
+// BaseLoaded reports whether any version of a model is recorded as loaded.
+func (b *Reconciler) BaseLoaded(model string) bool { return baseLoaded(b.ledger.Holdings, model) }
 
 // Models returns the models that are loaded or being loaded.
-func (b *Book) Models() []string {
+func (b *Reconciler) Models() []string {
 	var names []string
 	for _, h := range b.ledger.Holdings {
 		loadedOrLoading := h.State == wire.HoldingStateLoaded || h.State == wire.HoldingStateLoading
@@ -153,26 +154,26 @@
 	return names
 }
 
-// Load replaces the cached ledger with the one read from the platform. The
+// Reset replaces the cached ledger with the one read from the platform. The
 // controller has no fencing token until its next update.
-func (b *Book) Load(version int, ledger wire.Ledger) {
+func (b *Reconciler) Reset(version int, ledger wire.Ledger) {
 	b.ledger, b.ledgerVersion, b.fencingToken, b.firstFencingToken = ledger, version, 0, 0
 	b.unloadFencingTokens = nil
 }
 
 // Version returns the version of the cached ledger.
-func (b *Book) Version() int { return b.ledgerVersion }
+func (b *Reconciler) Version() int { return b.ledgerVersion }
 
-// Fence returns the fencing token for orders: the ledger version of this
+// FencingToken returns the fencing token for orders: the ledger version of this
 // controller's last successful update, 0 while there is none. A succeeding
 // controller starts with an update, and so has a higher token.
-func (b *Book) Fence() int { return b.fencingToken }
+func (b *Reconciler) FencingToken() int { return b.fencingToken }
 
 // Holdings returns a copy of the holdings.
-func (b *Book) Holdings() []wire.Holding { return slices.Clone(b.ledger.Holdings) }
+func (b *Reconciler) Holdings() []wire.Holding { return slices.Clone(b.ledger.Holdings) }
 
-// Reserved returns the bytes of all holdings in any state.
-func (b *Book) Reserved() int { return reservedBytes(b.ledger.Holdings) }
+// ReservedBytes returns the bytes of all holdings in any state.
+func (b *Reconciler) ReservedBytes() int { return reservedBytes(b.ledger.Holdings) }
 
 func reservedBytes(holdings []wire.Holding) int {
 	total := 0
@@ -182,12 +183,12 @@
 	return total
 }
 
-// Revise returns the next ledger. It records the outcomes that the report shows,
-// adds an intent for each wanted artifact whose bytes fit, and marks unwanted
-// holdings for unloading where mayRemove allows it. It reports whether the
-// ledger must be written. A new controller always writes it, which raises the
-// fencing token.
-func (b *Book) Revise(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, quota *Allowance, newOrderID func() string) (wire.Ledger, bool) {
+// Reconcile returns the next ledger. It records the outcomes that the report
+// shows, adds an intent for each wanted artifact whose bytes fit, and marks
+// unwanted holdings for unloading where mayRemove allows it. It reports whether
+// the ledger must be written. A new controller always writes it, which raises
+// the fencing token.
+func (b *Reconciler) Reconcile(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, quota *LoadQuota, newOrderID func() string) (wire.Ledger, bool) {
 	next := wire.Ledger{Server: b.Server.Name, Holdings: []wire.Holding{}}
 	changed := b.fencingToken == 0
 	for _, h := range b.ledger.Holdings {
@@ -220,9 +221,9 @@
 // reconcileHolding returns the holding with the outcome of its order, if the
 // report shows one, and reports whether the holding changed and whether it stays
 // in the ledger.
-func (b *Book) reconcileHolding(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrderID func() string) (next wire.Holding, modified, keep bool) {
+func (b *Reconciler) reconcileHolding(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrderID func() string) (next wire.Holding, modified, keep bool) {
 	state, present := residentState(report, h)
-	absent := !present && b.sinceChange(now, h) >= b.ReportLag
+	absent := !present && b.sinceChange(now, h) >= b.MaxReportAge
 	switch h.State {
 	case wire.HoldingStateLoading:
 		if present && state == wire.ResidentStateLoaded {
@@ -236,9 +237,9 @@
 			return withState(now, h, wire.HoldingStateLoading), true, true
 		}
 	case wire.HoldingStateLoaded:
-		// A restarted server has lost its holdings. Load a wanted artifact again.
-		// Otherwise keep its bytes reserved until no order for it can be in
-		// flight.
+		// A restarted server has lost its holdings. Load a wanted artifact
+		// again. Otherwise keep its bytes reserved until no order for it can be
+		// in flight.
 		if absent && !slices.ContainsFunc(wanted, func(a Artifact) bool { return a.matches(h) }) {
 			return withState(now, h, wire.HoldingStateGone), true, true
 		}
@@ -268,7 +269,7 @@
 			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateUnloading), true, true
 		}
-		if b.sinceChange(now, h) >= b.Lateness {
+		if b.sinceChange(now, h) >= b.MaxOrderDelay {
 			return h, true, false
 		}
 	}
@@ -279,7 +280,7 @@
 // still be in flight for a holding being unloaded, because it has received a
 // higher fencing token. The report was taken after that, so it shows what
 // remains on the server.
-func (b *Book) loadOrdersFenced(h wire.Holding, report wire.LoadReport) bool {
+func (b *Reconciler) loadOrdersFenced(h wire.Holding, report wire.LoadReport) bool {
 	if !b.Server.ChecksFencing || b.fencingToken == 0 {
 		return false
 	}
@@ -291,7 +292,7 @@
 }
 
 // sinceChange returns the time since a holding changed its state.
-func (b *Book) sinceChange(now time.Time, h wire.Holding) time.Duration {
+func (b *Reconciler) sinceChange(now time.Time, h wire.Holding) time.Duration {
 	return now.Sub(time.UnixMilli(int64(h.ChangedMs)))
 }
 
@@ -350,14 +351,14 @@
 // newLoadIntent returns the intent to load an artifact that has no holding, if
 // its bytes fit in addition to all recorded ones, the base model of an adapter
 // is loaded, and the quota suffices.
-func (b *Book) newLoadIntent(now time.Time, holdings []wire.Holding, a Artifact, quota *Allowance, newOrderID func() string) (wire.Holding, bool) {
+func (b *Reconciler) newLoadIntent(now time.Time, holdings []wire.Holding, a Artifact, quota *LoadQuota, newOrderID func() string) (wire.Holding, bool) {
 	if slices.ContainsFunc(holdings, a.matches) {
 		return wire.Holding{}, false
 	}
 	if reservedBytes(holdings)+a.Bytes > b.Server.MemoryBytes {
 		return wire.Holding{}, false
 	}
-	if a.Adapter != "" && !hasBase(holdings, a.Model) {
+	if a.Adapter != "" && !baseLoaded(holdings, a.Model) {
 		return wire.Holding{}, false
 	}
 	if !quota.consume(a) {
@@ -369,15 +370,15 @@
 	}, true
 }
 
-func hasBase(holdings []wire.Holding, model string) bool {
+func baseLoaded(holdings []wire.Holding, model string) bool {
 	return slices.ContainsFunc(holdings, func(h wire.Holding) bool {
 		return h.Model == model && h.Adapter == "" && h.State == wire.HoldingStateLoaded
 	})
 }
 
-// Written records that the platform stored the ledger of the last Revise under a
-// version.
-func (b *Book) Written(version int) {
+// Committed records that the platform stored the ledger of the last Reconcile
+// under a version.
+func (b *Reconciler) Committed(version int) {
 	b.ledger, b.ledgerVersion, b.fencingToken = b.proposedLedger, version, version
 	if b.firstFencingToken == 0 {
 		b.firstFencingToken = version
@@ -393,10 +394,10 @@
 	}
 }
 
-// Orders returns the orders to send now: those of recorded intents without a
+// DueOrders returns the orders to send now: those of recorded intents without a
 // reported outcome, resent with back-off. It returns none before this
 // controller's first successful update.
-func (b *Book) Orders(now time.Time) []wire.Order {
+func (b *Reconciler) DueOrders(now time.Time) []wire.Order {
 	if b.fencingToken == 0 {
 		return nil
 	}
@@ -416,7 +417,7 @@
 	return orders
 }
 
-func (b *Book) isDue(now time.Time, orderID string) bool {
+func (b *Reconciler) isDue(now time.Time, orderID string) bool {
 	lastSent, ok := b.lastSentAt[orderID]
 	if !ok {
 		return true
@@ -438,9 +439,9 @@
 	return order, true
 }
 
-// NewOrderID returns a generator of order identifiers. They are unique if prefix
-// is unique to one run of a controller.
-func NewOrderID(prefix string) func() string {
+// NewOrderIDGenerator returns a generator of order identifiers. They are unique
+// if prefix is unique to one run of a controller.
+func NewOrderIDGenerator(prefix string) func() string {
 	sequence := 0
 	return func() string {
 		sequence++
--- a/ctrl/book_test.go
+++ b/ctrl/reconciler_test.go
@@ -93,7 +93,7 @@
 	engine      *simulatedEngine
 	version     int
 	ledger      wire.Ledger
-	reconcilers [2]*ctrl.Book
+	reconcilers [2]*ctrl.Reconciler
 	newOrderID  func() string
 	inFlight    []delivery
 	wanted      []ctrl.Artifact
@@ -107,7 +107,7 @@
 	sim := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 1)), enabled: enabled, now: time.Unix(1_000_000, 0),
 		engine:     &simulatedEngine{checksFencing: fencing && enabled.fencing, executedOrders: map[string]bool{}, residents: map[ctrl.Artifact]bool{}},
-		newOrderID: ctrl.NewOrderID("o"),
+		newOrderID: ctrl.NewOrderIDGenerator("o"),
 	}
 	for i := range sim.reconcilers {
 		sim.reconcilers[i] = sim.newReconciler(fencing)
@@ -115,12 +115,12 @@
 	return sim
 }
 
-func (sim *simulation) newReconciler(fencing bool) *ctrl.Book {
+func (sim *simulation) newReconciler(fencing bool) *ctrl.Reconciler {
 	orderDelay := maxOrderDelay
 	if !sim.enabled.delayWait {
 		orderDelay = 0
 	}
-	return &ctrl.Book{Server: wire.Server{Name: "s", MemoryBytes: memoryBytes, ChecksFencing: fencing}, Lateness: orderDelay}
+	return &ctrl.Reconciler{Server: wire.Server{Name: "s", MemoryBytes: memoryBytes, ChecksFencing: fencing}, MaxOrderDelay: orderDelay}
 }
 
 func (sim *simulation) chance(p float64) bool { return sim.rng.Float64() < p }
@@ -177,17 +177,17 @@
 	// maxLeaseOverrun.
 	leaseExpired := sim.lastWriter != i && sim.now.Sub(sim.takeoverAt) > maxLeaseOverrun
 	if leaseExpired && !b.Server.ChecksFencing && sim.enabled.ledgerWrite {
-		b.Load(0, wire.Ledger{})
+		b.Reset(0, wire.Ledger{})
 	}
-	if b.Fence() == 0 {
-		b.Load(sim.version, sim.ledger)
+	if b.FencingToken() == 0 {
+		b.Reset(sim.version, sim.ledger)
 	}
-	next, changed := b.Revise(sim.now, sim.engine.report(), sim.wanted, func(ctrl.Artifact) bool { return true }, nil, sim.newOrderID)
+	next, changed := b.Reconcile(sim.now, sim.engine.report(), sim.wanted, func(ctrl.Artifact) bool { return true }, nil, sim.newOrderID)
 	if changed && !sim.writeLedger(i, next, faults) && sim.enabled.ledgerWrite {
 		return
 	}
-	for _, o := range b.Orders(sim.now) {
-		sim.sendOrder(o, b.Fence(), faults)
+	for _, o := range b.DueOrders(sim.now) {
+		sim.sendOrder(o, b.FencingToken(), faults)
 	}
 }
 
@@ -196,10 +196,10 @@
 	b := sim.reconcilers[i]
 	if b.Version() != sim.version {
 		if !sim.enabled.ledgerWrite {
-			b.Written(b.Version() + 1)
+			b.Committed(b.Version() + 1)
 			return false
 		}
-		b.Load(0, wire.Ledger{})
+		b.Reset(0, wire.Ledger{})
 		return false
 	}
 	sim.version++
@@ -208,10 +208,10 @@
 		sim.lastWriter, sim.takeoverAt = i, sim.now
 	}
 	if faults && sim.chance(0.1) {
-		b.Load(0, wire.Ledger{})
+		b.Reset(0, wire.Ledger{})
 		return false
 	}
-	b.Written(sim.version)
+	b.Committed(sim.version)
 	return true
 }
 
@@ -301,25 +301,25 @@
 }
 
 func TestUnrecordedResidentsAreCounted(t *testing.T) {
-	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memoryBytes}}
-	b.Load(0, wire.Ledger{})
+	b := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
+	b.Reset(0, wire.Ledger{})
 	report := wire.LoadReport{Residents: []wire.Resident{{Model: "by-hand", Version: 1, Bytes: 70, State: wire.ResidentStateLoaded}}}
-	next, changed := b.Revise(time.Unix(1, 0), report, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 40}},
-		func(ctrl.Artifact) bool { return false }, nil, ctrl.NewOrderID("o"))
+	next, changed := b.Reconcile(time.Unix(1, 0), report, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 40}},
+		func(ctrl.Artifact) bool { return false }, nil, ctrl.NewOrderIDGenerator("o"))
 	require.True(t, changed)
 	require.Len(t, next.Holdings, 1, "the wanted model does not fit in addition to the manually loaded one")
 	require.Equal(t, "by-hand", next.Holdings[0].Model)
 }
 
 func TestNoOrderBeforeLedgerWrite(t *testing.T) {
-	b := &ctrl.Book{Server: wire.Server{MemoryBytes: memoryBytes}}
-	b.Load(7, wire.Ledger{Holdings: []wire.Holding{{Model: "m", Version: 1, Bytes: 1, State: wire.HoldingStateLoading, Order: "x"}}})
-	require.Empty(t, b.Orders(time.Unix(1, 0)), "a new controller sent an order before it wrote the ledger")
-	b.Revise(time.Unix(1, 0), wire.LoadReport{}, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 1}}, nil, nil, ctrl.NewOrderID("o"))
-	b.Written(8)
-	orders := b.Orders(time.Unix(1, 0))
+	b := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
+	b.Reset(7, wire.Ledger{Holdings: []wire.Holding{{Model: "m", Version: 1, Bytes: 1, State: wire.HoldingStateLoading, Order: "x"}}})
+	require.Empty(t, b.DueOrders(time.Unix(1, 0)), "a new controller sent an order before it wrote the ledger")
+	b.Reconcile(time.Unix(1, 0), wire.LoadReport{}, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 1}}, nil, nil, ctrl.NewOrderIDGenerator("o"))
+	b.Committed(8)
+	orders := b.DueOrders(time.Unix(1, 0))
 	require.Len(t, orders, 1)
 	require.Equal(t, "x", orders[0].Order, "the order of a recorded intent must keep its identifier")
-	require.Empty(t, b.Orders(time.Unix(1, 0)), "an order was resent before its back-off")
-	require.Len(t, b.Orders(time.Unix(2, 0)), 1)
+	require.Empty(t, b.DueOrders(time.Unix(1, 0)), "an order was resent before its back-off")
+	require.Len(t, b.DueOrders(time.Unix(2, 0)), 1)
 }
--- a/ctrl/keepers.go
+++ b/ctrl/replica_pins.go
@@ -6,17 +6,17 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Keepers decides which replicas of models may be unloaded. One object in the
-// platform lists the pinned replicas; only a replica without a pin may be
+// ReplicaPins decides which replicas of models may be unloaded. One object in
+// the platform lists the pinned replicas; only a replica without a pin may be
 // unloaded. The controller of each failure domain adds and removes the pins of
 // its own domain's servers, and unpins a loaded replica only while another
 // pinned replica of the model remains. As all controllers write one object by
 // conditional update, two domains can not unpin the last two replicas
 // concurrently.
 //
-// Domain and Controller must be set.
-type Keepers struct {
-	Domain string
+// FailureDomain and Controller must be set.
+type ReplicaPins struct {
+	FailureDomain string
 	// Controller is unique to one run of a controller. A succeeding controller
 	// registers its own in the object, which makes the state that a paused
 	// predecessor has read stale.
@@ -29,30 +29,30 @@
 	registered bool
 }
 
-// Copy is a replica of a model on a server.
-type Copy struct {
+// Replica identifies the replica of a model on a server.
+type Replica struct {
 	Model  string
 	Server string
 }
 
-// Load replaces the cached object with the one read from the platform.
-func (k *Keepers) Load(version int, doc wire.Keepers) {
+// Reset replaces the cached object with the one read from the platform.
+func (k *ReplicaPins) Reset(version int, doc wire.Keepers) {
 	k.version, k.stored = version, doc
 }
 
 // Version returns the version that the next update is conditional on.
-func (k *Keepers) Version() int { return k.version }
+func (k *ReplicaPins) Version() int { return k.version }
 
-func (k *Keepers) registeredController() string {
+func (k *ReplicaPins) registeredController() string {
 	for _, e := range k.stored.Epochs {
-		if e.FailureDomain == k.Domain {
+		if e.FailureDomain == k.FailureDomain {
 			return e.Controller
 		}
 	}
 	return ""
 }
 
-// Revise returns the next object. It pins the loaded replicas on the domain's
+// Propose returns the next object. It pins the loaded replicas on the domain's
 // servers, removes the pins of replicas that are not loaded any more, and
 // removes those of toUnload where another pinned replica of the model is alive.
 // It reports whether the object must be written.
@@ -63,14 +63,14 @@
 //
 // After another controller has registered for the domain, this one changes
 // nothing.
-func (k *Keepers) Revise(servers []string, loaded, toUnload []Copy, alive func(Copy) bool) (wire.Keepers, bool) {
-	if k.Succeeded() {
+func (k *ReplicaPins) Propose(servers []string, loaded, toUnload []Replica, alive func(Replica) bool) (wire.Keepers, bool) {
+	if k.Superseded() {
 		return k.stored, false
 	}
 	next := wire.Keepers{Keepers: []wire.Keeper{}, Epochs: []wire.Epoch{}}
 	for _, c := range k.stored.Keepers {
 		ownServer := slices.Contains(servers, c.Server)
-		if !ownServer || slices.Contains(loaded, Copy(c)) {
+		if !ownServer || slices.Contains(loaded, Replica(c)) {
 			next.Keepers = append(next.Keepers, c)
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 	for _, c := range toUnload {
 		if otherReplicaAlive(next.Keepers, c, alive) {
-			next.Keepers = slices.DeleteFunc(next.Keepers, func(x wire.Keeper) bool { return Copy(x) == c })
+			next.Keepers = slices.DeleteFunc(next.Keepers, func(x wire.Keeper) bool { return Replica(x) == c })
 		}
 	}
 	next.Epochs = k.epochsWithOwn()
@@ -92,37 +92,41 @@
 
 // otherReplicaAlive reports whether the model has another pinned replica that is
 // alive.
-func otherReplicaAlive(pins []wire.Keeper, c Copy, alive func(Copy) bool) bool {
+func otherReplicaAlive(pins []wire.Keeper, c Replica, alive func(Replica) bool) bool {
 	return slices.ContainsFunc(pins, func(x wire.Keeper) bool {
-		return x.Model == c.Model && x.Server != c.Server && alive(Copy(x))
+		return x.Model == c.Model && x.Server != c.Server && alive(Replica(x))
 	})
 }
 
-func (k *Keepers) epochsWithOwn() []wire.Epoch {
+func (k *ReplicaPins) epochsWithOwn() []wire.Epoch {
 	epochs := []wire.Epoch{}
 	for _, e := range k.stored.Epochs {
-		if e.FailureDomain != k.Domain {
+		if e.FailureDomain != k.FailureDomain {
 			epochs = append(epochs, e)
 		}
 	}
-	return append(epochs, wire.Epoch{FailureDomain: k.Domain, Controller: k.Controller})
+	return append(epochs, wire.Epoch{FailureDomain: k.FailureDomain, Controller: k.Controller})
 }
 
-// Written records that the platform stored the object of the last Revise under a
-// version.
-func (k *Keepers) Written(version int) {
+// Committed records that the platform stored the object of the last Propose
+// under a version.
+func (k *ReplicaPins) Committed(version int) {
 	k.version, k.stored, k.registered = version, k.proposed, true
 }
 
-// Succeeded reports whether another controller has registered for the domain
+// Superseded reports whether another controller has registered for the domain
 // after this one.
-func (k *Keepers) Succeeded() bool { return k.registered && k.registeredController() != k.Controller }
+func (k *ReplicaPins) Superseded() bool {
+	return k.registered && k.registeredController() != k.Controller
+}
 
-// Keeps reports whether a replica is pinned.
-func (k *Keepers) Keeps(c Copy) bool { return slices.Contains(k.stored.Keepers, wire.Keeper(c)) }
+// Pinned reports whether a replica is pinned.
+func (k *ReplicaPins) Pinned(c Replica) bool {
+	return slices.Contains(k.stored.Keepers, wire.Keeper(c))
+}
 
 // MayUnload reports whether a replica on a server of the domain may be unloaded:
 // it is not pinned, and only this controller can pin it.
-func (k *Keepers) MayUnload(c Copy) bool {
+func (k *ReplicaPins) MayUnload(c Replica) bool {
 	return k.registered && k.registeredController() == k.Controller && !slices.Contains(k.stored.Keepers, wire.Keeper(c))
 }
--- a/ctrl/keepers_test.go
+++ b/ctrl/replica_pins_test.go
@@ -20,20 +20,20 @@
 	pinsEnforced bool
 	version      int
 	stored       wire.Keepers
-	// ledgerVersions counts the writes of each server's ledger. A controller must
-	// update the ledger before it unloads.
+	// ledgerVersions counts the writes of each server's ledger. A controller
+	// must update the ledger before it unloads.
 	ledgerVersions map[string]int
-	loaded         map[ctrl.Copy]bool
+	loaded         map[ctrl.Replica]bool
 	controllers    []*simulatedController
 }
 
 // simulatedController is one controller with the state that it has read.
 type simulatedController struct {
-	pins           *ctrl.Keepers
+	pins           *ctrl.ReplicaPins
 	servers        []string
 	ledgerVersions map[string]int
-	loaded         map[ctrl.Copy]bool
-	toUnload       []ctrl.Copy
+	loaded         map[ctrl.Replica]bool
+	toUnload       []ctrl.Replica
 	hasRead        bool
 }
 
@@ -42,29 +42,29 @@
 func newPinSimulation(seed uint64, pinsEnforced bool) *pinSimulation {
 	sim := &pinSimulation{
 		rng: rand.New(rand.NewPCG(seed, 2)), pinsEnforced: pinsEnforced,
-		ledgerVersions: make(map[string]int), loaded: make(map[ctrl.Copy]bool),
+		ledgerVersions: make(map[string]int), loaded: make(map[ctrl.Replica]bool),
 	}
 	for d := range 3 {
 		servers := []string{fmt.Sprint("s", d, "a"), fmt.Sprint("s", d, "b")}
 		for i := range 2 {
 			sim.controllers = append(sim.controllers, &simulatedController{
-				pins: &ctrl.Keepers{Domain: fmt.Sprint("d", d), Controller: fmt.Sprint("c", d, i)}, servers: servers,
+				pins: &ctrl.ReplicaPins{FailureDomain: fmt.Sprint("d", d), Controller: fmt.Sprint("c", d, i)}, servers: servers,
 			})
 		}
 		for _, s := range servers {
 			for m := range modelCount {
-				sim.loaded[ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}] = true
+				sim.loaded[ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}] = true
 			}
 		}
 	}
 	return sim
 }
 
-func (sim *pinSimulation) replicasOn(loaded map[ctrl.Copy]bool, servers []string) []ctrl.Copy {
-	var all []ctrl.Copy
+func (sim *pinSimulation) replicasOn(loaded map[ctrl.Replica]bool, servers []string) []ctrl.Replica {
+	var all []ctrl.Replica
 	for m := range modelCount {
 		for _, s := range servers {
-			if c := (ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}); loaded[c] {
+			if c := (ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}); loaded[c] {
 				all = append(all, c)
 			}
 		}
@@ -92,8 +92,8 @@
 // writes the servers' ledgers, so that concurrent updates of them by other
 // controllers fail.
 func (p *simulatedController) readState(sim *pinSimulation) {
-	p.pins.Load(sim.version, sim.stored)
-	p.ledgerVersions, p.loaded, p.hasRead = make(map[string]int), make(map[ctrl.Copy]bool), true
+	p.pins.Reset(sim.version, sim.stored)
+	p.ledgerVersions, p.loaded, p.hasRead = make(map[string]int), make(map[ctrl.Replica]bool), true
 	for _, s := range p.servers {
 		sim.ledgerVersions[s]++
 		p.ledgerVersions[s] = sim.ledgerVersions[s]
@@ -115,14 +115,14 @@
 	if !p.hasRead {
 		return
 	}
-	next, changed := p.pins.Revise(p.servers, sim.replicasOn(p.loaded, p.servers), p.toUnload, func(ctrl.Copy) bool { return true })
+	next, changed := p.pins.Propose(p.servers, sim.replicasOn(p.loaded, p.servers), p.toUnload, func(ctrl.Replica) bool { return true })
 	if !changed || p.pins.Version() != sim.version {
 		return
 	}
 	sim.version++
 	sim.stored = next
 	if sim.rng.IntN(5) > 0 {
-		p.pins.Written(sim.version)
+		p.pins.Committed(sim.version)
 	}
 }
 
@@ -149,7 +149,7 @@
 		sim.ledgerVersions[s]++
 		p.ledgerVersions[s]++
 		for m := range modelCount {
-			c := ctrl.Copy{Model: fmt.Sprint("m", m), Server: s}
+			c := ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}
 			sim.loaded[c] = true
 			p.loaded[c] = true
 		}
@@ -206,24 +206,24 @@
 		version := 0
 		var budgets []*ctrl.Budget
 		for d := range 5 {
-			budgets = append(budgets, &ctrl.Budget{Domain: fmt.Sprint("d", d), Loads: limit, Adapters: 7})
+			budgets = append(budgets, &ctrl.Budget{FailureDomain: fmt.Sprint("d", d), ModelLimit: limit, AdapterLimit: 7})
 		}
 		for range 200 {
 			b := budgets[rng.IntN(len(budgets))]
 			if rng.IntN(2) == 0 {
-				b.Load(version, doc)
+				b.Reset(version, doc)
 				continue
 			}
 			share := b.Share()
-			inProgress := ctrl.Allowance{Loads: rng.IntN(share.Loads + 1), Adapters: rng.IntN(share.Adapters + 1)}
-			next, changed := b.Revise(ctrl.Allowance{Loads: rng.IntN(6), Adapters: rng.IntN(9)}, inProgress)
+			inProgress := ctrl.LoadQuota{Models: rng.IntN(share.Models + 1), Adapters: rng.IntN(share.Adapters + 1)}
+			next, changed := b.Propose(ctrl.LoadQuota{Models: rng.IntN(6), Adapters: rng.IntN(9)}, inProgress)
 			if !changed || b.Version() != version {
 				continue
 			}
 			version++
 			doc = next
-			b.Written(version)
-			require.GreaterOrEqual(t, b.Share().Loads, inProgress.Loads)
+			b.Committed(version)
+			require.GreaterOrEqual(t, b.Share().Models, inProgress.Models)
 			loads, adapters := 0, 0
 			for _, s := range doc.Shares {
 				loads += s.Loads
@@ -233,17 +233,17 @@
 			require.LessOrEqual(t, adapters, 7, "seed %d", seed)
 		}
 		for _, b := range append(slices.Clone(budgets[1:]), budgets[0]) {
-			b.Load(version, doc)
-			wanted := ctrl.Allowance{}
+			b.Reset(version, doc)
+			wanted := ctrl.LoadQuota{}
 			if b == budgets[0] {
-				wanted.Loads = limit
+				wanted.Models = limit
 			}
-			if next, changed := b.Revise(wanted, ctrl.Allowance{}); changed {
+			if next, changed := b.Propose(wanted, ctrl.LoadQuota{}); changed {
 				version++
 				doc = next
-				b.Written(version)
+				b.Committed(version)
 			}
 		}
-		require.Equal(t, limit, budgets[0].Share().Loads)
+		require.Equal(t, limit, budgets[0].Share().Models)
 	}
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -57,8 +57,8 @@
 // everything anew and by writing every ledger, which fences off the controller
 // before it.
 type term struct {
-	books   map[string]*ctrl.Book
-	keepers ctrl.Keepers
+	books   map[string]*ctrl.Reconciler
+	keepers ctrl.ReplicaPins
 	budget  ctrl.Budget
 	newID   func() string
 	// bound and shared tell that keepers and budget are as the platform has
@@ -70,10 +70,10 @@
 	id := uuid.NewString()
 	domain := c.d.config.FailureDomain
 	return &term{
-		books:   make(map[string]*ctrl.Book),
-		keepers: ctrl.Keepers{Domain: domain, Controller: id},
-		budget:  ctrl.Budget{Domain: domain, Loads: c.d.config.Loads, Adapters: c.d.config.Adapters},
-		newID:   ctrl.NewOrderID(id),
+		books:   make(map[string]*ctrl.Reconciler),
+		keepers: ctrl.ReplicaPins{FailureDomain: domain, Controller: id},
+		budget:  ctrl.Budget{FailureDomain: domain, ModelLimit: c.d.config.Loads, AdapterLimit: c.d.config.Adapters},
+		newID:   ctrl.NewOrderIDGenerator(id),
 	}
 }
 
@@ -136,8 +136,8 @@
 
 // openBooks returns the books of the domain's servers that are alive, with
 // their ledgers read.
-func (c *controller) openBooks(ctx context.Context) ([]*ctrl.Book, error) {
-	var books []*ctrl.Book
+func (c *controller) openBooks(ctx context.Context) ([]*ctrl.Reconciler, error) {
+	var books []*ctrl.Reconciler
 	now := c.d.now()
 	for _, server := range c.d.fleet.Servers() {
 		if server.Backend != wire.ServerBackendEngine || server.FailureDomain != c.d.config.FailureDomain {
@@ -148,11 +148,11 @@
 		}
 		book := c.term.books[server.Name]
 		if book == nil {
-			book = &ctrl.Book{ReportLag: reportLag}
+			book = &ctrl.Reconciler{MaxReportAge: reportLag}
 			c.term.books[server.Name] = book
 		}
-		book.Server, book.Lateness = server, lateness(server)
-		if book.Fence() == 0 {
+		book.Server, book.MaxOrderDelay = server, lateness(server)
+		if book.FencingToken() == 0 {
 			if err := c.loadLedger(ctx, book); err != nil {
 				return nil, err
 			}
@@ -226,13 +226,13 @@
 }
 
 // loadLedger reads a server's ledger.
-func (c *controller) loadLedger(ctx context.Context, b *ctrl.Book) error {
+func (c *controller) loadLedger(ctx context.Context, b *ctrl.Reconciler) error {
 	var l wire.Ledger
 	version, err := c.read(ctx, kindLedger, b.Server.Name, &l)
 	if err != nil {
 		return fmt.Errorf("read ledger: %w", err)
 	}
-	b.Load(version, l)
+	b.Reset(version, l)
 	return nil
 }
 
@@ -254,13 +254,13 @@
 // carryOut records the intents that follow from the plan and sends the orders.
 // The intents are drawn up one server after the other, as they share the
 // allowance; the calls are made at once.
-func (c *controller) carryOut(ctx context.Context, books []*ctrl.Book, planned planned, allow *ctrl.Allowance) error {
+func (c *controller) carryOut(ctx context.Context, books []*ctrl.Reconciler, planned planned, allow *ctrl.LoadQuota) error {
 	var calls sync.WaitGroup
 	errs := make(chan error, len(books))
 	for _, b := range books {
 		report, _ := c.d.fleet.Report(b.Server.Name)
 		wanted := planned.Artifacts(planned.models, b.Server.Name)
-		next, changed := b.Revise(c.d.now(), report, wanted, c.mayRemove(b, planned), allow, c.term.newID)
+		next, changed := b.Reconcile(c.d.now(), report, wanted, c.mayRemove(b, planned), allow, c.term.newID)
 		calls.Go(func() { errs <- c.writeAndSend(ctx, b, next, changed) })
 	}
 	calls.Wait()
@@ -272,23 +272,23 @@
 	return errors.Join(all...)
 }
 
-func (c *controller) writeAndSend(ctx context.Context, b *ctrl.Book, next wire.Ledger, changed bool) error {
+func (c *controller) writeAndSend(ctx context.Context, b *ctrl.Reconciler, next wire.Ledger, changed bool) error {
 	if changed {
 		version, err := c.d.store.Put(ctx, kindLedger, b.Server.Name, b.Version(), next)
 		if err != nil {
 			// Whether the update lost or its answer did, the ledger is read
 			// anew before anything else is ordered.
-			b.Load(0, wire.Ledger{})
+			b.Reset(0, wire.Ledger{})
 			return fmt.Errorf("write ledger of %s: %w", b.Server.Name, err)
 		}
-		b.Written(version)
+		b.Committed(version)
 	}
 	return c.send(ctx, b)
 }
 
 // send sends the orders that are due.
-func (c *controller) send(ctx context.Context, b *ctrl.Book) error {
-	for _, order := range b.Orders(c.d.now()) {
+func (c *controller) send(ctx context.Context, b *ctrl.Reconciler) error {
+	for _, order := range b.DueOrders(c.d.now()) {
 		// On servers that ignore fencing numbers an order from an ex-controller
 		// is stopped by nothing but this check; what it misses, a pause right
 		// after it, must be shorter than the lateness that is waited for.
@@ -298,7 +298,7 @@
 		err := c.order(ctx, b, order)
 		var old *engine.OldFenceError
 		if errors.As(err, &old) {
-			b.Load(0, wire.Ledger{})
+			b.Reset(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
 		}
 		if err != nil {
@@ -310,8 +310,8 @@
 	return nil
 }
 
-func (c *controller) order(ctx context.Context, b *ctrl.Book, order wire.Order) error {
+func (c *controller) order(ctx context.Context, b *ctrl.Reconciler, order wire.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return c.d.engines.Order(ctx, b.Server.Address, order, b.Fence())
+	return c.d.engines.Order(ctx, b.Server.Address, order, b.FencingToken())
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -91,7 +91,7 @@
 	d := &Daemon{
 		config: c, boot: uuid.NewString(), now: c.Now, meter: meter.New(),
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
-		store:   &store.Client{Base: c.Platform, Key: c.PlatformKey, Node: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
+		store:   &store.Client{BaseURL: c.Platform, Key: c.PlatformKey, VMName: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
 		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.AnswerBytes},
 		profiles: &profs.View{}, fleet: &fleet.View{}, usage: &modelUsage{},
 	}
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -52,7 +52,7 @@
 }
 
 // plan returns what the servers should hold.
-func (c *controller) plan(books []*ctrl.Book) planned {
+func (c *controller) plan(books []*ctrl.Reconciler) planned {
 	in := plan.Input{Servers: c.planServers(books), Models: c.planModels()}
 	p := planned{models: in.Models}
 	switch c.d.config.Placement {
@@ -136,8 +136,8 @@
 
 // planServers returns the servers that are alive: those of the domain with what
 // their ledgers say, the others with what they report.
-func (c *controller) planServers(books []*ctrl.Book) []plan.Server {
-	own := make(map[string]*ctrl.Book)
+func (c *controller) planServers(books []*ctrl.Reconciler) []plan.Server {
+	own := make(map[string]*ctrl.Reconciler)
 	for _, b := range books {
 		own[b.Server.Name] = b
 	}
@@ -148,7 +148,7 @@
 		}
 		report, _ := c.d.fleet.Report(doc.Name)
 		s := plan.Server{Name: doc.Name, Domain: doc.FailureDomain, Pool: doc.Pool, Memory: doc.MemoryBytes, Slots: report.Slots}
-		if b := own[doc.Name]; b != nil && b.Fence() != 0 {
+		if b := own[doc.Name]; b != nil && b.FencingToken() != 0 {
 			s.Holds = b.Models()
 			s.Fresh = b.LoadedSince(c.d.now().Add(-leastStay))
 		} else {
@@ -171,7 +171,7 @@
 
 // bind brings the keepers up to date: copies that are loaded are bound to stay,
 // and those that the plan drops are let go where another stays.
-func (c *controller) bind(ctx context.Context, books []*ctrl.Book, p planned) error {
+func (c *controller) bind(ctx context.Context, books []*ctrl.Reconciler, p planned) error {
 	k := &c.term.keepers
 	if !c.term.bound {
 		var doc wire.Keepers
@@ -179,14 +179,14 @@
 		if err != nil {
 			return fmt.Errorf("read keepers: %w", err)
 		}
-		k.Load(version, doc)
+		k.Reset(version, doc)
 		c.term.bound = true
 	}
-	if k.Succeeded() {
-		return fmt.Errorf("another VM is the controller of %s", k.Domain)
+	if k.Superseded() {
+		return fmt.Errorf("another VM is the controller of %s", k.FailureDomain)
 	}
 	servers, loaded, drop := c.copies(books, p)
-	next, changed := k.Revise(servers, loaded, drop, c.copyAlive(p))
+	next, changed := k.Propose(servers, loaded, drop, c.copyAlive(p))
 	if !changed {
 		return nil
 	}
@@ -198,24 +198,24 @@
 		}
 		return fmt.Errorf("write keepers: %w", err)
 	}
-	k.Written(version)
+	k.Committed(version)
 	return nil
 }
 
 // copies returns the domain's servers whose ledgers this controller has
 // written, the copies loaded on them and those that the plan drops.
-func (c *controller) copies(books []*ctrl.Book, p planned) (servers []string, loaded, drop []ctrl.Copy) {
+func (c *controller) copies(books []*ctrl.Reconciler, p planned) (servers []string, loaded, drop []ctrl.Replica) {
 	for _, b := range books {
-		if b.Fence() == 0 {
+		if b.FencingToken() == 0 {
 			continue
 		}
 		servers = append(servers, b.Server.Name)
 		for _, m := range p.models {
-			copied := ctrl.Copy{Model: m.Name, Server: b.Server.Name}
-			if b.Complete(m.Artifacts) || b.HasBase(m.Name) && c.term.keepers.Keeps(copied) {
+			copied := ctrl.Replica{Model: m.Name, Server: b.Server.Name}
+			if b.AllLoaded(m.Artifacts) || b.BaseLoaded(m.Name) && c.term.keepers.Pinned(copied) {
 				loaded = append(loaded, copied)
 			}
-			if b.HasBase(m.Name) && !slices.Contains(p.Holds[b.Server.Name], m.Name) {
+			if b.BaseLoaded(m.Name) && !slices.Contains(p.Holds[b.Server.Name], m.Name) {
 				drop = append(drop, copied)
 			}
 		}
@@ -225,8 +225,8 @@
 
 // copyAlive reports whether a copy is there, with all its adapters, on a server
 // that is alive.
-func (c *controller) copyAlive(p planned) func(ctrl.Copy) bool {
-	return func(x ctrl.Copy) bool {
+func (c *controller) copyAlive(p planned) func(ctrl.Replica) bool {
+	return func(x ctrl.Replica) bool {
 		for _, m := range p.models {
 			if m.Name != x.Model {
 				continue
@@ -245,7 +245,7 @@
 // mayRemove allows the removal of what no profile deploys any more, of a
 // version whose successor is loaded on the same server, and of copies that are
 // not bound to stay.
-func (c *controller) mayRemove(b *ctrl.Book, p planned) func(ctrl.Artifact) bool {
+func (c *controller) mayRemove(b *ctrl.Reconciler, p planned) func(ctrl.Artifact) bool {
 	return func(a ctrl.Artifact) bool {
 		deployed := false
 		for _, m := range p.models {
@@ -254,35 +254,35 @@
 					continue
 				}
 				deployed = true
-				if kept.Version > a.Version && b.Complete([]ctrl.Artifact{kept}) {
+				if kept.Version > a.Version && b.AllLoaded([]ctrl.Artifact{kept}) {
 					return true
 				}
 			}
 		}
-		return !deployed || c.term.keepers.MayUnload(ctrl.Copy{Model: a.Model, Server: b.Server.Name})
+		return !deployed || c.term.keepers.MayUnload(ctrl.Replica{Model: a.Model, Server: b.Server.Name})
 	}
 }
 
 // shareBudget takes the domain's part of the loads from the weight store.
-func (c *controller) shareBudget(ctx context.Context, books []*ctrl.Book, p planned) (*ctrl.Allowance, error) {
+func (c *controller) shareBudget(ctx context.Context, books []*ctrl.Reconciler, p planned) (*ctrl.LoadQuota, error) {
 	budget := &c.term.budget
-	if budget.Loads == 0 {
+	if budget.ModelLimit == 0 {
 		return nil, nil
 	}
-	var wants, inTransit ctrl.Allowance
+	var wants, inTransit ctrl.LoadQuota
 	for _, b := range books {
-		models, adapters := b.Loading()
-		inTransit.Loads += models
+		models, adapters := b.LoadingCounts()
+		inTransit.Models += models
 		inTransit.Adapters += adapters
-		for _, a := range b.Absent(p.Artifacts(p.models, b.Server.Name)) {
+		for _, a := range b.Missing(p.Artifacts(p.models, b.Server.Name)) {
 			if a.Adapter == "" {
-				wants.Loads++
+				wants.Models++
 			} else {
 				wants.Adapters++
 			}
 		}
 	}
-	wants.Loads += inTransit.Loads
+	wants.Models += inTransit.Models
 	wants.Adapters += inTransit.Adapters
 	if !c.term.shared {
 		var doc wire.Budget
@@ -290,10 +290,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("read budget: %w", err)
 		}
-		budget.Load(version, doc)
+		budget.Reset(version, doc)
 		c.term.shared = true
 	}
-	if next, changed := budget.Revise(wants, inTransit); changed {
+	if next, changed := budget.Propose(wants, inTransit); changed {
 		version, err := c.d.store.Put(ctx, kindBudget, nameBudget, budget.Version(), next)
 		switch {
 		case store.IsConflict(err):
@@ -302,12 +302,12 @@
 			c.term.shared = false
 			return nil, fmt.Errorf("write budget: %w", err)
 		default:
-			budget.Written(version)
+			budget.Committed(version)
 		}
 	}
 	share := budget.Share()
 	if !c.term.shared {
-		share = ctrl.Allowance{}
+		share = ctrl.LoadQuota{}
 	}
-	return &ctrl.Allowance{Loads: max(share.Loads-inTransit.Loads, 0), Adapters: max(share.Adapters-inTransit.Adapters, 0)}, nil
+	return &ctrl.LoadQuota{Models: max(share.Models-inTransit.Models, 0), Adapters: max(share.Adapters-inTransit.Adapters, 0)}, nil
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -18,7 +18,7 @@
 // followProfiles keeps the profiles in force up to date, from the platform.
 func (d *Daemon) followProfiles(ctx context.Context) {
 	d.whileWatching(ctx, "profiles", d.caughtProfiles.Load, func(ctx context.Context) {
-		d.store.Follow(ctx, profs.Kind, d.takeProfileListing, d.takeProfileEvent)
+		d.store.ListAndWatch(ctx, profs.Kind, d.takeProfileListing, d.takeProfileEvent)
 	})
 }
 
@@ -63,7 +63,7 @@
 // platform.
 func (d *Daemon) followServers(ctx context.Context) {
 	d.whileWatching(ctx, "servers", d.caughtServers.Load, func(ctx context.Context) {
-		d.store.Follow(ctx, KindServer, func(list store.Listing) {
+		d.store.ListAndWatch(ctx, KindServer, func(list store.Listing) {
 			listed := make(map[string]bool)
 			for _, obj := range list.Items {
 				listed[obj.Name] = true
--- a/naive/claims.go
+++ b/naive/claims.go
@@ -40,7 +40,7 @@
 	switch {
 	case err == nil:
 		return dedup.Decision{Verdict: dedup.Granted, Grant: r.Grant, Version: version}, nil
-	case store.IsConflict(err), store.IsLost(err):
+	case store.IsConflict(err), store.IsResponseLost(err):
 		return c.readBack(ctx, now, r)
 	}
 	return unavailable(), fmt.Errorf("claim: %w", err)
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -46,7 +46,7 @@
 			defer mu.Unlock()
 			asked[kind]++
 			if away {
-				return &store.AwayError{Err: errors.New("no answer")}
+				return &store.UnavailableError{Err: errors.New("no answer")}
 			}
 			return nil
 		}
@@ -98,7 +98,7 @@
 		var away, told atomic.Bool
 		answer := func(kind string) error {
 			if away.Load() || kind == "config" {
-				return &store.AwayError{Err: errors.New("no answer")}
+				return &store.UnavailableError{Err: errors.New("no answer")}
 			}
 			told.Store(true)
 			return nil
@@ -151,7 +151,7 @@
 					}
 					if silent.Load() {
 						pause.For(ctx, wait+400*time.Millisecond)
-						return nil, from, &store.AwayError{Err: errors.New("no answer")}
+						return nil, from, &store.UnavailableError{Err: errors.New("no answer")}
 					}
 					pause.For(ctx, wait)
 					return nil, from, nil
@@ -196,7 +196,7 @@
 					pause.For(ctx, wait)
 					switch {
 					case kind == "servers" && slow.Load():
-						return nil, from, &store.AwayError{Err: errors.New("no answer")}
+						return nil, from, &store.UnavailableError{Err: errors.New("no answer")}
 					case kind == "servers" && left.Swap(false):
 						return []store.Change{{Object: store.Object{Name: "b"}, Deleted: true}}, from + 1, nil
 					}
--- a/node/node.go
+++ b/node/node.go
@@ -131,10 +131,10 @@
 		failed: make(map[string]int),
 	}
 	n.active.Store(s)
-	n.config.Objects = c.Objects.Noting(func() { n.servers.Answered(n.now()) })
+	n.config.Objects = c.Objects.WithResponseObserver(func() { n.servers.Answered(n.now()) })
 	n.servers.Noted = n.noteMissing
 	n.poison = &poison.Tracker{CrashLimit: s.Int("poison", "crashes"), BlockDuration: s.Duration("poison", "block"), OnCrash: n.noteCrash, OnBlock: n.noteBlock}
-	n.book.Idle = n.pool.Idle
+	n.book.Idle = n.pool.HasIdle
 	n.lease = &peers.Lease{
 		Name: s.Text("vm", "name"), Address: s.Text("vm", "peer_listen"), Objects: n.config.Objects,
 		Weakness: weakness(s.Float("limits", "cpu")), Poison: n.poison,
@@ -321,7 +321,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, tidyEvery)
 		now := n.now()
-		n.pool.Sweep(now)
+		n.pool.CloseExpired(now)
 		n.book.Retain(n.servers.All(now))
 		n.limits.Retain(func(id string) bool { return n.servers.Usable(now, id) })
 		if n.config.Dropped != nil {
--- a/node/probe.go
+++ b/node/probe.go
@@ -54,5 +54,5 @@
 		return
 	}
 	n.book.Reached(n.now(), e)
-	n.pool.Keep(n.now(), conn, 0)
+	n.pool.Put(n.now(), conn, 0)
 }
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -49,24 +49,24 @@
 	now = g.Now()
 	if left(c.request) {
 		c.left = true
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		return false
 	}
 	if !g.Servers.Usable(now, server) || c.remaining(now) <= 0 {
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		g.note(c, choice, "server left before the send")
 		c.avoid = append(c.avoid, server)
 		return false
 	}
 	if g.blocked(now, c) {
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		return false
 	}
 	// Only what reaches a server feeds an overload, so only sends draw on the
 	// budget and failed connections do not.
 	if c.sends > 0 && !c.takeRetry(now) {
 		c.broke = true
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		g.note(c, choice, c.reason+", retry budget spent")
 		return false
 	}
@@ -85,7 +85,7 @@
 }
 
 func (g *Gateway) connect(ctx context.Context, now time.Time, server, address string, care bool) (*conns.Conn, error) {
-	if conn := g.Pool.Take(now, server, care); conn != nil {
+	if conn := g.Pool.Get(now, server, care); conn != nil {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -180,11 +180,11 @@
 	if err != nil {
 		return t.connectionLost(ctx, "send: "+err.Error(), err)
 	}
-	t.conn.Watch(t.patience(), t.elsewhere)
+	t.conn.SetStallTimeout(t.patience(), t.elsewhere)
 	if err := t.answer(); err != nil {
 		return t.connectionLost(ctx, err.Error(), err)
 	}
-	t.conn.Watch(0, nil)
+	t.conn.SetStallTimeout(0, nil)
 	if t.notRun() {
 		return t.refuse()
 	}
@@ -249,7 +249,7 @@
 // which a server may send late or twice, are passed over.
 func (t *try) answer() error {
 	for range straysAllowed + 1 {
-		resp, err := t.exchange.Answer()
+		resp, err := t.exchange.ReadResponse()
 		if err != nil {
 			return err
 		}
--- a/pass/crash.go
+++ b/pass/crash.go
@@ -49,7 +49,7 @@
 		g.noteConnectionRefused(server, err)
 		return
 	}
-	g.Pool.Keep(g.Now(), conn, 0)
+	g.Pool.Put(g.Now(), conn, 0)
 }
 
 // noteConnectionRefused records that a server process has ended if err is a refused connection.
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -42,7 +42,7 @@
 		return true
 	}
 	c, ok := r.Context().Value(callerConn{}).(net.Conn)
-	return ok && conns.Closed(c)
+	return ok && conns.PeerClosed(c)
 }
 
 // Gateway is the path of requests. All fields must be set but for Wanted and
@@ -135,7 +135,7 @@
 }
 
 func (g *Gateway) badBody(w http.ResponseWriter, r *http.Request, err error) {
-	if errors.Is(err, conns.ErrTooLong) {
+	if errors.Is(err, conns.ErrBodyTooLarge) {
 		g.reject(w, r, http.StatusRequestEntityTooLarge, "body too long")
 		return
 	}
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -54,7 +54,7 @@
 	budget := &retry.Window{}
 	return &Gateway{
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{}, Names: testNames, Table: func() *routes.Table { return table }, Servers: view, Book: &pick.Book{Domain: "d"},
-		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
+		Pool: &conns.Pool{DialFunc: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
 				return nil, errRefused
 			}
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -23,7 +23,7 @@
 	var first, last time.Time
 	for {
 		if events.last != t.c.request.Header.Get(headerLastEvent) {
-			t.conn.Watch(stall, t.elsewhere)
+			t.conn.SetStallTimeout(stall, t.elsewhere)
 		}
 		n, err := t.resp.Body.Read(buffer)
 		if whole := events.take(buffer[:n]); len(whole) > 0 {
@@ -88,7 +88,7 @@
 	if len(events.rest) > 0 {
 		t.deliver(w, out, events.rest)
 	}
-	t.conn.Watch(0, nil)
+	t.conn.SetStallTimeout(0, nil)
 	t.whole = true
 	t.verdict = pick.Good
 	return true
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -229,11 +229,11 @@
 func (l *Lease) reader() (get func(ctx context.Context, kind, name string) (store.Object, error), recalled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.Weakness < recallFrom || l.recalls >= recallMost || l.keeper.Known() {
+	if l.Objects.GetCached == nil || l.Weakness < recallFrom || l.recalls >= recallMost || l.keeper.Known() {
 		return l.Objects.Get, false
 	}
 	l.recalls++
-	return l.Objects.Recall, true
+	return l.Objects.GetCached, true
 }
 
 func (l *Lease) observe(version int, record wire.ControllerLease) {
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -158,7 +158,7 @@
 				reads++
 				return get(ctx, kind, name)
 			}
-			l.Objects.Recall = func(context.Context, string, string) (store.Object, error) {
+			l.Objects.GetCached = func(context.Context, string, string) (store.Object, error) {
 				recalls++
 				return store.Object{}, trace.NotFound("not yet")
 			}
--- a/peers/uplink_test.go
+++ b/peers/uplink_test.go
@@ -36,7 +36,7 @@
 					Lease: &Lease{Name: "b", Address: "b:1", Duration: time.Second, Now: time.Now, Log: zerolog.Nop(), Objects: store.Objects{
 						Get: func(context.Context, string, string) (store.Object, error) {
 							reads.Add(1)
-							return store.Object{}, &store.AwayError{Err: errors.New("no answer")}
+							return store.Object{}, &store.UnavailableError{Err: errors.New("no answer")}
 						},
 					}},
 					StoreAway: func() bool { return tc.away }, Now: time.Now, Log: zerolog.Nop(),
--- a/profs/operate.go
+++ b/profs/operate.go
@@ -94,7 +94,7 @@
 	if err == nil {
 		return version, nil
 	}
-	if !store.IsLost(err) {
+	if !store.IsResponseLost(err) {
 		return 0, fmt.Errorf("write profile: %w", err)
 	}
 	return o.settle(ctx, doc, ifVersion, err)
--- a/stand/objects.go
+++ b/stand/objects.go
@@ -92,7 +92,7 @@
 			}
 			got, err := o.Put(kind, name, ifVersion, data)
 			if err == nil && o.LoseAnswer() {
-				return 0, &store.LostError{}
+				return 0, &store.ResponseLostError{}
 			}
 			return got.Version, err
 		},
--- a/stand/platform_http.go
+++ b/stand/platform_http.go
@@ -37,7 +37,7 @@
 func (p *Platform) guard(limit *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults := p.Faults()
-		if slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
+		if slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderCallingVM)) {
 			drop(w)
 			return
 		}
@@ -139,7 +139,7 @@
 	flush := http.NewResponseController(w)
 	for started := false; ; started = true {
 		faults := p.Faults()
-		if faults.Outage || slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
+		if faults.Outage || slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderCallingVM)) {
 			drop(w)
 			return
 		}
--- a/store/client.go
+++ b/store/client.go
@@ -27,8 +27,8 @@
 	// HeaderIfVersion is the version that an update expects; 0 means that the
 	// object must not exist.
 	HeaderIfVersion = "If-Version"
-	// HeaderNode is the name of the calling VM.
-	HeaderNode = "Calling-Node"
+	// HeaderCallingVM is the name of the calling VM.
+	HeaderCallingVM = "Calling-Node"
 )
 
 // Timeout, retry intervals and limits of a Client.
@@ -53,24 +53,25 @@
 	Items   []Object `json:"items"`
 }
 
-// Client calls the platform's object API. Base is the platform's URL, Key the
-// bearer token and Node the name of this VM. Fields other than Base may be zero.
+// Client calls the platform's object API. BaseURL is the platform's URL, Key the
+// bearer token and VMName the name of this VM. Fields other than BaseURL may be
+// zero.
 type Client struct {
-	Base string
-	Key  string
-	Node string
+	BaseURL string
+	Key     string
+	VMName  string
 	// Timeout limits each attempt; 0 means DefaultTimeout.
 	Timeout time.Duration
 	// HTTP sends the requests; nil uses a new httpx.Client.
 	HTTP *httpx.Client
-	// Single disables retries, for a user that batches writes and retries them
-	// itself.
-	Single bool
+	// DisableRetries makes a single attempt for each call, for a user that
+	// batches writes and retries them itself.
+	DisableRetries bool
 }
 
-// New returns a client of the platform at the URL base.
-func New(base, key, node string) *Client {
-	return &Client{Base: base, Key: key, Node: node, HTTP: &httpx.Client{}}
+// New returns a client of the platform at baseURL.
+func New(baseURL, key, vmName string) *Client {
+	return &Client{BaseURL: baseURL, Key: key, VMName: vmName, HTTP: &httpx.Client{}}
 }
 
 func (c *Client) timeout() time.Duration {
@@ -81,7 +82,7 @@
 }
 
 func (c *Client) request() *sling.Sling {
-	s := sling.New().Base(c.Base).Set(HeaderNode, c.Node)
+	s := sling.New().Base(c.BaseURL).Set(HeaderCallingVM, c.VMName)
 	if c.Key != "" {
 		s = s.Set("Authorization", "Bearer "+c.Key)
 	}
@@ -128,7 +129,7 @@
 
 // Put writes value when the object has version ifVersion (0: does not exist)
 // and returns the new version. It retries calls that had no effect until ctx
-// ends. A lost response is returned as a LostError and never retried.
+// ends. A lost response is returned as a ResponseLostError and never retried.
 func (c *Client) Put(ctx context.Context, kind, name string, ifVersion int, value any) (int, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -169,7 +170,7 @@
 // returns the last error of call and not that of ctx, which would hide whether
 // the call may have had an effect.
 func (c *Client) retry(ctx context.Context, call func() error) error {
-	if c.Single {
+	if c.DisableRetries {
 		return call()
 	}
 	var lastErr error
@@ -191,7 +192,7 @@
 // markPermanent marks errors as permanent except those of calls without effect,
 // so that only these are retried.
 func markPermanent(err error) error {
-	if err == nil || IsAway(err) || IsLimited(err) {
+	if err == nil || IsUnavailable(err) || IsRateLimited(err) {
 		return err
 	}
 	return backoff.Permanent(err)
@@ -226,13 +227,14 @@
 	return c.HTTP
 }
 
-// classifyCallError returns an AwayError for a failed call without effect, which
-// is a read or a write of which no byte was sent, and a LostError otherwise.
+// classifyCallError returns an UnavailableError for a failed call without
+// effect, which is a read or a write of which no byte was sent, and a
+// ResponseLostError otherwise.
 func classifyCallError(method string, written bool, err error) error {
 	if method == http.MethodGet || !written {
-		return &AwayError{Err: err}
+		return &UnavailableError{Err: err}
 	}
-	return &LostError{Err: err}
+	return &ResponseLostError{Err: err}
 }
 
 func statusError(method string, resp *http.Response) error {
@@ -248,11 +250,11 @@
 		_ = json.Unmarshal(respBody, &body)
 		return &ConflictError{Current: body.Version}
 	case http.StatusTooManyRequests:
-		return &LimitedError{RetryAfter: parseRetryAfter(resp.Header)}
+		return &RateLimitedError{RetryAfter: parseRetryAfter(resp.Header)}
 	case http.StatusGone:
 		return &GoneError{}
 	case http.StatusServiceUnavailable:
-		return &AwayError{Err: message}
+		return &UnavailableError{Err: message}
 	case http.StatusUnauthorized, http.StatusForbidden:
 		return trace.AccessDenied("%s", message)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -64,7 +64,7 @@
 	p, c := newPlatform(t)
 	p.SetFaults(stand.PlatformFaults{LoseAnswers: 1})
 	_, err := c.Put(timeoutContext(t, 5*time.Second), "things", "a", 0, 1)
-	require.True(t, store.IsLost(err), "%v", err)
+	require.True(t, store.IsResponseLost(err), "%v", err)
 	require.Equal(t, int64(1), p.Counts().Writes)
 	_, exists := p.Get("things", "a")
 	require.True(t, exists)
@@ -83,16 +83,16 @@
 		dial     func(context.Context, string, string) (net.Conn, error)
 		matches  func(error) bool
 	}{
-		"outage": {platform: outage, matches: store.IsAway},
+		"outage": {platform: outage, matches: store.IsUnavailable},
 		"unreachable": {
 			dial: func(context.Context, string, string) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 			},
-			matches: store.IsAway,
+			matches: store.IsUnavailable,
 		},
 		"no response at the deadline": {
 			platform: hangFromCall(3, outage),
-			matches:  store.IsLost,
+			matches:  store.IsResponseLost,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -199,7 +199,7 @@
 		_, err := c.Put(timeoutContext(t, time.Second), "things", "a", 0, 1)
 		require.NoError(t, err)
 		_, err = c.Put(timeoutContext(t, 200*time.Millisecond), "things", "b", 0, 1)
-		require.True(t, store.IsLimited(err), "%v", err)
+		require.True(t, store.IsRateLimited(err), "%v", err)
 	})
 }
 
@@ -235,7 +235,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.Follow(ctx, "things", func(l store.Listing) {
+		c.ListAndWatch(ctx, "things", func(l store.Listing) {
 			mu.Lock()
 			defer mu.Unlock()
 			clear(observed)
@@ -294,9 +294,9 @@
 		"not found":     {trace.NotFound("no object"), 4},
 		"conflict":      {&store.ConflictError{}, 4},
 		"gone":          {&store.GoneError{}, 4},
-		"unavailable":   {&store.AwayError{Err: errors.New("no response")}, 0},
-		"response lost": {&store.LostError{Err: errors.New("no response")}, 0},
-		"rate limited":  {&store.LimitedError{}, 0},
+		"unavailable":   {&store.UnavailableError{Err: errors.New("no response")}, 0},
+		"response lost": {&store.ResponseLostError{Err: errors.New("no response")}, 0},
+		"rate limited":  {&store.RateLimitedError{}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			responses := 0
@@ -307,7 +307,7 @@
 				Watch: func(context.Context, string, int, time.Duration) ([]store.Change, int, error) {
 					return nil, 7, tc.err
 				},
-			}.Noting(func() { responses++ })
+			}.WithResponseObserver(func() { responses++ })
 			_, err := o.List(t.Context(), "k")
 			require.Equal(t, tc.err, err)
 			_, err = o.Get(t.Context(), "k", "n")
@@ -318,7 +318,7 @@
 			_, next, err := o.Watch(t.Context(), "k", 1, time.Second)
 			require.Equal(t, tc.err, err)
 			require.Equal(t, 7, next)
-			require.Nil(t, o.Recall)
+			require.Nil(t, o.GetCached)
 			require.Equal(t, tc.responses, responses)
 		})
 	}
--- a/store/errors.go
+++ b/store/errors.go
@@ -18,34 +18,34 @@
 	return fmt.Sprintf("conflict: the current version is %d", e.Current)
 }
 
-// LostError reports that the response was lost. The change may have taken
-// effect; read the object to find out.
-type LostError struct{ Err error }
+// ResponseLostError reports that the response was lost. The change may have
+// taken effect; read the object to find out.
+type ResponseLostError struct{ Err error }
 
 // Error implements error.
-func (e *LostError) Error() string {
+func (e *ResponseLostError) Error() string {
 	return fmt.Sprintf("response lost, the change may have taken effect: %v", e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *ResponseLostError) Unwrap() error { return e.Err }
 
-// AwayError reports that the platform was unreachable or unavailable. The call
-// had no effect.
-type AwayError struct{ Err error }
+// UnavailableError reports that the platform was unreachable or unavailable.
+// The call had no effect.
+type UnavailableError struct{ Err error }
 
 // Error implements error.
-func (e *AwayError) Error() string { return fmt.Sprintf("platform unavailable: %v", e.Err) }
+func (e *UnavailableError) Error() string { return fmt.Sprintf("platform unavailable: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *AwayError) Unwrap() error { return e.Err }
+func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// LimitedError reports that the platform's rate limit rejected the call. The
+// RateLimitedError reports that the platform's rate limit rejected the call. The
 // call had no effect.
-type LimitedError struct{ RetryAfter time.Duration }
+type RateLimitedError struct{ RetryAfter time.Duration }
 
 // Error implements error.
-func (e *LimitedError) Error() string {
+func (e *RateLimitedError) Error() string {
 	return fmt.Sprintf("rate limited, retry after %v", e.RetryAfter)
 }
 
@@ -62,21 +62,21 @@
 	return errors.As(err, &e)
 }
 
-// IsLost reports whether err is or wraps a LostError.
-func IsLost(err error) bool {
-	var e *LostError
+// IsResponseLost reports whether err is or wraps a ResponseLostError.
+func IsResponseLost(err error) bool {
+	var e *ResponseLostError
 	return errors.As(err, &e)
 }
 
-// IsAway reports whether err is or wraps an AwayError.
-func IsAway(err error) bool {
-	var e *AwayError
+// IsUnavailable reports whether err is or wraps an UnavailableError.
+func IsUnavailable(err error) bool {
+	var e *UnavailableError
 	return errors.As(err, &e)
 }
 
-// IsLimited reports whether err is or wraps a LimitedError.
-func IsLimited(err error) bool {
-	var e *LimitedError
+// IsRateLimited reports whether err is or wraps a RateLimitedError.
+func IsRateLimited(err error) bool {
+	var e *RateLimitedError
 	return errors.As(err, &e)
 }
 
--- a/store/objects.go
+++ b/store/objects.go
@@ -21,9 +21,9 @@
 	List func(ctx context.Context, kind string) (Listing, error)
 	// Get returns one object.
 	Get func(ctx context.Context, kind, name string) (Object, error)
-	// Recall returns one object from a cache that is at most some seconds old.
-	// The call is cheap for the platform; nil when the platform lacks it.
-	Recall func(ctx context.Context, kind, name string) (Object, error)
+	// GetCached returns one object from a cache that is at most some seconds
+	// old. The call is cheap for the platform; nil when the platform lacks it.
+	GetCached func(ctx context.Context, kind, name string) (Object, error)
 	// Put writes value when the object has version ifVersion (0: does not exist)
 	// and returns the new version.
 	Put func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
@@ -32,10 +32,10 @@
 	Watch func(ctx context.Context, kind string, from int, wait time.Duration) ([]Change, int, error)
 }
 
-// Noting returns an Objects that calls onResponse after each response of the
-// platform. Errors about the state of an object (not found, conflict, gone) are
-// responses; other errors are not.
-func (o Objects) Noting(onResponse func()) Objects {
+// WithResponseObserver returns an Objects that calls onResponse after each
+// response of the platform. Errors about the state of an object (not found,
+// conflict, gone) are responses; other errors are not.
+func (o Objects) WithResponseObserver(onResponse func()) Objects {
 	observe := func(err error) {
 		if err == nil || trace.IsNotFound(err) || IsConflict(err) || IsGone(err) {
 			onResponse()
--- a/store/watch.go
+++ b/store/watch.go
@@ -43,7 +43,7 @@
 	}
 	resp, _, err := c.http().Do(req.WithContext(ctx))
 	if err != nil {
-		return fromVersion, fmt.Errorf("watch %s: %w", kind, &AwayError{Err: err})
+		return fromVersion, fmt.Errorf("watch %s: %w", kind, &UnavailableError{Err: err})
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -65,13 +65,13 @@
 			onEvent(e)
 		}
 	}
-	return version, fmt.Errorf("watch stream ended: %w", &AwayError{Err: lines.Err()})
+	return version, fmt.Errorf("watch stream ended: %w", &UnavailableError{Err: lines.Err()})
 }
 
-// Follow lists a kind and then watches it until ctx ends. It lists again after a
-// gap in the watch and backs off while the platform is unavailable. onList gets
-// the complete list, so that deletions during a gap are seen.
-func (c *Client) Follow(ctx context.Context, kind string, onList func(Listing), onEvent func(Event)) {
+// ListAndWatch lists a kind and then watches it until ctx ends. It lists again
+// after a gap in the watch and backs off while the platform is unavailable.
+// onList gets the complete list, so that deletions during a gap are seen.
+func (c *Client) ListAndWatch(ctx context.Context, kind string, onList func(Listing), onEvent func(Event)) {
 	backOff := newBackOff()
 	for ctx.Err() == nil {
 		list, err := c.List(ctx, kind)
