--- a/claim/runner.go
+++ b/claim/runner.go
@@ -77,7 +77,7 @@
 // retries.
 func NewRunner(name string, c *store.Client, now func() time.Time) *Runner {
 	single := *c
-	single.Single = true
+	single.DisableRetries = true
 	return &Runner{Name: name, Get: single.Get, Put: single.Put, Delete: single.Delete, Now: now}
 }
 
@@ -219,14 +219,14 @@
 	if err == nil {
 		err = r.writeBatch(ctx)
 	}
-	if store.IsLimited(err) && r.rateLimitedAttempts < maxRateLimitedAttempts {
+	if store.IsRateLimited(err) && r.rateLimitedAttempts < maxRateLimitedAttempts {
 		// Rate limiting is usually brief. Waiting requests are refused only if it
 		// persists.
 		r.rateLimitedAttempts++
 		return err
 	}
 	r.rateLimitedAttempts = 0
-	if err == nil || store.IsConflict(err) || store.IsLost(err) {
+	if err == nil || store.IsConflict(err) || store.IsResponseLost(err) {
 		return nil
 	}
 	if r.OnError != nil {
@@ -380,7 +380,7 @@
 func (r *Runner) handleHeadError(err error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if store.IsAway(err) || store.IsLimited(err) {
+	if store.IsUnavailable(err) || store.IsRateLimited(err) {
 		r.shard.BatchFailed()
 	} else {
 		r.shard.Invalidate()
--- /dev/null
+++ b/ctrl/replica_pins.go
@@ -0,0 +1,132 @@
+package ctrl
+
+import (
+	"slices"
+
+	"github.com/hibiscuscart/hibiscuscart/wire"
+)
+
+// ReplicaPins decides which replicas of models may be unloaded. One object in
+// the platform lists the pinned replicas; only a replica without a pin may be
+// unloaded. The controller of each failure domain adds and removes the pins of
+// its own domain's servers, and unpins a loaded replica only while another
+// pinned replica of the model remains. As all controllers write one object by
+// conditional update, two domains can not unpin the last two replicas
+// concurrently.
+//
+// FailureDomain and Controller must be set.
+type ReplicaPins struct {
+	FailureDomain string
+	// Controller is unique to one run of a controller. A succeeding controller
+	// registers its own in the object, which makes the state that a paused
+	// predecessor has read stale.
+	Controller string
+
+	version  int
+	stored   wire.Keepers
+	proposed wire.Keepers
+	// registered is set once this controller's registration is stored.
+	registered bool
+}
+
+// Replica identifies the replica of a model on a server.
+type Replica struct {
+	Model  string
+	Server string
+}
+
+// Reset replaces the cached object with the one read from the platform.
+func (k *ReplicaPins) Reset(version int, doc wire.Keepers) {
+	k.version, k.stored = version, doc
+}
+
+// Version returns the version that the next update is conditional on.
+func (k *ReplicaPins) Version() int { return k.version }
+
+func (k *ReplicaPins) registeredController() string {
+	for _, e := range k.stored.Epochs {
+		if e.FailureDomain == k.FailureDomain {
+			return e.Controller
+		}
+	}
+	return ""
+}
+
+// Propose returns the next object. It pins the loaded replicas on the domain's
+// servers, removes the pins of replicas that are not loaded any more, and
+// removes those of toUnload where another pinned replica of the model is alive.
+// It reports whether the object must be written.
+//
+// loaded must come from ledgers that this controller has written in its current
+// term. A paused predecessor could still update any other ledger, and unload a
+// replica that was just pinned.
+//
+// After another controller has registered for the domain, this one changes
+// nothing.
+func (k *ReplicaPins) Propose(servers []string, loaded, toUnload []Replica, alive func(Replica) bool) (wire.Keepers, bool) {
+	if k.Superseded() {
+		return k.stored, false
+	}
+	next := wire.Keepers{Keepers: []wire.Keeper{}, Epochs: []wire.Epoch{}}
+	for _, c := range k.stored.Keepers {
+		ownServer := slices.Contains(servers, c.Server)
+		if !ownServer || slices.Contains(loaded, Replica(c)) {
+			next.Keepers = append(next.Keepers, c)
+		}
+	}
+	for _, c := range loaded {
+		if !slices.Contains(next.Keepers, wire.Keeper(c)) && !slices.Contains(toUnload, c) {
+			next.Keepers = append(next.Keepers, wire.Keeper(c))
+		}
+	}
+	for _, c := range toUnload {
+		if otherReplicaAlive(next.Keepers, c, alive) {
+			next.Keepers = slices.DeleteFunc(next.Keepers, func(x wire.Keeper) bool { return Replica(x) == c })
+		}
+	}
+	next.Epochs = k.epochsWithOwn()
+	changed := !slices.Equal(next.Keepers, k.stored.Keepers) || !slices.Equal(next.Epochs, k.stored.Epochs)
+	k.proposed = next
+	return next, changed
+}
+
+// otherReplicaAlive reports whether the model has another pinned replica that is
+// alive.
+func otherReplicaAlive(pins []wire.Keeper, c Replica, alive func(Replica) bool) bool {
+	return slices.ContainsFunc(pins, func(x wire.Keeper) bool {
+		return x.Model == c.Model && x.Server != c.Server && alive(Replica(x))
+	})
+}
+
+func (k *ReplicaPins) epochsWithOwn() []wire.Epoch {
+	epochs := []wire.Epoch{}
+	for _, e := range k.stored.Epochs {
+		if e.FailureDomain != k.FailureDomain {
+			epochs = append(epochs, e)
+		}
+	}
+	return append(epochs, wire.Epoch{FailureDomain: k.FailureDomain, Controller: k.Controller})
+}
+
+// Committed records that the platform stored the object of the last Propose
+// under a version.
+func (k *ReplicaPins) Committed(version int) {
+	k.version, k.stored, k.registered = version, k.proposed, true
+}
+
+// Superseded reports whether another controller has registered for the domain
+// after this one.
+func (k *ReplicaPins) Superseded() bool {
+	return k.registered && k.registeredController() != k.Controller
+}
+
+// Pinned reports whether a replica is pinned.
+func (k *ReplicaPins) Pinned(c Replica) bool {
+	return slices.Contains(k.stored.Keepers, wire.Keeper(c))
+}
+
+// MayUnload reports whether a replica on a server of the domain may be unloaded:
+// it is not pinned, and only this controller can pin it.
+func (k *ReplicaPins) MayUnload(c Replica) bool {
+	return k.registered && k.registeredController() == k.Controller && !slices.Contains(k.stored.Keepers, wire.Keeper(c))
+}
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -49,24 +49,24 @@
 	now = g.Now()
 	if callerDisconnected(c.request) {
 		c.disconnected = true
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		return false
 	}
 	if !g.Servers.Usable(now, server) || c.remaining(now) <= 0 {
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		g.logFailedTry(c, choice, "server unavailable or deadline passed before the send")
 		c.excluded = append(c.excluded, server)
 		return false
 	}
 	if g.blocked(now, c) {
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		return false
 	}
 	// Only requests that reach a server contribute to an overload, so only sends count against the
 	// retry budget, and failed connections do not.
 	if c.sends > 0 && !c.takeRetry(now) {
 		c.budgetExhausted = true
-		g.Pool.Return(now, conn)
+		g.Pool.PutUnused(now, conn)
 		g.logFailedTry(c, choice, c.reason+"; retry budget exhausted")
 		return false
 	}
@@ -85,7 +85,7 @@
 }
 
 func (g *Gateway) connect(ctx context.Context, now time.Time, server, address string, avoidStale bool) (*conns.Conn, error) {
-	if conn := g.Pool.Take(now, server, avoidStale); conn != nil {
+	if conn := g.Pool.Get(now, server, avoidStale); conn != nil {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -180,11 +180,11 @@
 	if err != nil {
 		return t.connectionLost(ctx, "send request: "+err.Error(), err)
 	}
-	t.conn.Watch(t.headTimeout(), t.reserveFailover)
+	t.conn.SetStallTimeout(t.headTimeout(), t.reserveFailover)
 	if err := t.readResponseHead(); err != nil {
 		return t.connectionLost(ctx, err.Error(), err)
 	}
-	t.conn.Watch(0, nil)
+	t.conn.SetStallTimeout(0, nil)
 	if t.notRun() {
 		return t.handleRefusal()
 	}
@@ -247,7 +247,7 @@
 // requests, which a server may send late or twice.
 func (t *try) readResponseHead() error {
 	for range maxForeignResponses + 1 {
-		resp, err := t.exchange.Answer()
+		resp, err := t.exchange.ReadResponse()
 		if err != nil {
 			return err
 		}
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -42,7 +42,7 @@
 		return true
 	}
 	c, ok := r.Context().Value(callerConnKey{}).(net.Conn)
-	return ok && conns.Closed(c)
+	return ok && conns.PeerClosed(c)
 }
 
 // Gateway forwards requests to backend servers. All fields must be set, except those described as
@@ -134,7 +134,7 @@
 }
 
 func (g *Gateway) rejectBody(w http.ResponseWriter, r *http.Request, err error) {
-	if errors.Is(err, conns.ErrTooLong) {
+	if errors.Is(err, conns.ErrBodyTooLarge) {
 		g.reject(w, r, http.StatusRequestEntityTooLarge, "body too long")
 		return
 	}
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -54,7 +54,7 @@
 	budget := &retry.SlidingWindow{}
 	return &Gateway{
 		Poison: &poison.Tracker{}, RateLimits: &limit.Limits{}, HeaderNames: testNames, Table: func() *routes.Table { return table }, Servers: view, Balancer: &pick.Balancer{Domain: "d"},
-		Pool: &conns.Pool{Open: func(ctx context.Context, address string) (net.Conn, error) {
+		Pool: &conns.Pool{DialFunc: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
 				return nil, errConnectionRefused
 			}
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -23,7 +23,7 @@
 	var first, last time.Time
 	for {
 		if events.lastID != t.c.request.Header.Get(headerLastEvent) {
-			t.conn.Watch(eventTimeout, t.reserveFailover)
+			t.conn.SetStallTimeout(eventTimeout, t.reserveFailover)
 		}
 		n, err := t.resp.Body.Read(buffer)
 		if complete := events.add(buffer[:n]); len(complete) > 0 {
@@ -88,7 +88,7 @@
 	if len(events.partial) > 0 {
 		t.writeEvents(w, controller, events.partial)
 	}
-	t.conn.Watch(0, nil)
+	t.conn.SetStallTimeout(0, nil)
 	t.complete = true
 	t.verdict = pick.Succeeded
 	return true
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -228,11 +228,11 @@
 func (l *Lease) recordReader() (get func(ctx context.Context, kind, name string) (store.Object, error), stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Objects.Recall == nil || l.AcquireDelay < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Observed() {
+	if l.Objects.GetCached == nil || l.AcquireDelay < minStaleReadDelay || l.staleReads >= maxStaleReads || l.keeper.Observed() {
 		return l.Objects.Get, false
 	}
 	l.staleReads++
-	return l.Objects.Recall, true
+	return l.Objects.GetCached, true
 }
 
 // observe applies a record that was read or received. l.mu must be held.
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -155,7 +155,7 @@
 				reads++
 				return get(ctx, kind, name)
 			}
-			l.Objects.Recall = func(context.Context, string, string) (store.Object, error) {
+			l.Objects.GetCached = func(context.Context, string, string) (store.Object, error) {
 				staleReads++
 				return store.Object{}, trace.NotFound("no record yet")
 			}
