--- a/cause.go
+++ b/cause.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// Cause is why a request ended. Each cause maps to one Outcome and one HTTP
-// status in the table below; no other code decides an outcome.
+// Cause is the reason why a request ended. The table below maps each cause to
+// one Outcome and one HTTP status; no other code determines an outcome.
 type Cause int
 
-// The causes, in the order in which a request can meet them on its path.
+// The causes, in the order of the processing stages at which they can occur.
 const (
 	CauseInternal Cause = iota
 	CauseBadInput
@@ -38,15 +38,15 @@
 	causeCount
 )
 
-// causeInfo is one row of the table of causes.
+// causeInfo holds the properties of one cause.
 type causeInfo struct {
 	code    string
 	outcome Outcome
 	status  int
-	// retryable tells that the same request may be sent to another server
-	// without a second run.
+	// retryable reports whether the request may be sent to another server
+	// without the risk of executing it twice.
 	retryable bool
-	// transient tells that a caller may try again after the retry hint.
+	// transient reports whether a caller may retry after the Retry-After delay.
 	transient bool
 }
 
@@ -80,8 +80,8 @@
 	CauseDone:                {"done", OutcomeDone, http.StatusOK, false, false},
 }
 
-// StatusClientClosed is the status logged for a caller that went away; no
-// caller sees it.
+// StatusClientClosed is the status logged when a caller closes its connection
+// before the answer. No caller receives it.
 const StatusClientClosed = 499
 
 func (c Cause) info() causeInfo {
@@ -100,17 +100,18 @@
 	return all
 }
 
-// String returns the snake_case code used in problem documents and logs.
+// String returns the snake_case code that problem documents and logs use.
 func (c Cause) String() string { return c.info().code }
 
-// Outcome returns what a caller may conclude when a request ended by c.
+// Outcome returns what a caller may conclude from a request that ended with c.
 func (c Cause) Outcome() Outcome { return c.info().outcome }
 
-// Status returns the HTTP status that tells a caller of c.
+// Status returns the HTTP status of the response to a request that ended with c.
 func (c Cause) Status() int { return c.info().status }
 
-// Retryable reports whether another server may be tried without a second run.
+// Retryable reports whether the request may be sent to another server without
+// the risk of executing it twice.
 func (c Cause) Retryable() bool { return c.info().retryable }
 
-// Transient reports whether the same request may succeed later.
+// Transient reports whether the same request may succeed on a later retry.
 func (c Cause) Transient() bool { return c.info().transient }
--- a/cause_test.go
+++ b/cause_test.go
@@ -11,9 +11,10 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// TestCauses holds the table of causes to what each path of a request can
-// prove: "not_run" only where nothing can have reached a back end.
-func TestCauses(t *testing.T) {
+// TestCauseTable checks the outcome, status and retryability of each cause. A
+// cause may map to "not_run" only if no part of the request can have reached a
+// backend server.
+func TestCauseTable(t *testing.T) {
 	const notRun, unknown, done = hibiscuscart.OutcomeNotRun, hibiscuscart.OutcomeUnknown, hibiscuscart.OutcomeDone
 	want := map[string]struct {
 		outcome   hibiscuscart.Outcome
@@ -51,11 +52,11 @@
 	require.Len(t, hibiscuscart.Causes(), len(want))
 	for _, c := range hibiscuscart.Causes() {
 		row, ok := want[c.String()]
-		require.True(t, ok, "cause %s has no row here", c)
+		require.True(t, ok, "no expectation for cause %s", c)
 		require.Equal(t, row.outcome, c.Outcome(), "outcome of %s", c)
 		require.Equal(t, row.status, c.Status(), "status of %s", c)
 		require.Equal(t, row.retryable, c.Retryable(), "retryable of %s", c)
-		require.False(t, c.Retryable() && c.Outcome() != notRun, "%s must not be retried freely", c)
+		require.False(t, c.Retryable() && c.Outcome() != notRun, "%s is retryable although the request may have run", c)
 	}
 	require.Equal(t, unknown, hibiscuscart.Cause(-1).Outcome())
 }
@@ -76,21 +77,21 @@
 	require.Equal(t, hibiscuscart.CauseQueueFull, got.Cause())
 	require.Equal(t, time.Second, got.RetryAfter())
 	require.Equal(t, "model", got.Field())
-	other := hibiscuscart.AsFailure(errors.New("disk on fire"))
+	other := hibiscuscart.AsFailure(errors.New("disk failure"))
 	require.Equal(t, hibiscuscart.OutcomeUnknown, other.Outcome())
 }
 
 func TestBodyHash(t *testing.T) {
 	base := hibiscuscart.Request{Profile: "p", Model: "m", Prompt: "x", MaxTokens: 3}
 	changes := map[string]func(*hibiscuscart.Request){
-		"profile":    func(r *hibiscuscart.Request) { r.Profile = "q" },
-		"model":      func(r *hibiscuscart.Request) { r.Model = "n" },
-		"adapter":    func(r *hibiscuscart.Request) { r.Adapter = "a" },
-		"prompt":     func(r *hibiscuscart.Request) { r.Prompt = "y" },
-		"shifted":    func(r *hibiscuscart.Request) { r.Model, r.Adapter = "", "m" },
-		"max tokens": func(r *hibiscuscart.Request) { r.MaxTokens = 4 },
-		"body":       func(r *hibiscuscart.Request) { r.Body = []byte("b") },
-		"message":    func(r *hibiscuscart.Request) { r.Messages = []hibiscuscart.Message{{Role: "user"}} },
+		"profile":                      func(r *hibiscuscart.Request) { r.Profile = "q" },
+		"model":                        func(r *hibiscuscart.Request) { r.Model = "n" },
+		"adapter":                      func(r *hibiscuscart.Request) { r.Adapter = "a" },
+		"prompt":                       func(r *hibiscuscart.Request) { r.Prompt = "y" },
+		"text moved to the next field": func(r *hibiscuscart.Request) { r.Model, r.Adapter = "", "m" },
+		"max tokens":                   func(r *hibiscuscart.Request) { r.MaxTokens = 4 },
+		"body":                         func(r *hibiscuscart.Request) { r.Body = []byte("b") },
+		"message":                      func(r *hibiscuscart.Request) { r.Messages = []hibiscuscart.Message{{Role: "user"}} },
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
--- a/rooms_test.go
+++ b/design_page_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The design page tells a newcomer which room decides what. It names each package, and no
-// package or file that is not there.
-func TestRooms(t *testing.T) {
+// TestDesignPageListsPackages checks that the design page lists every package
+// and names no package or file that does not exist.
+func TestDesignPageListsPackages(t *testing.T) {
 	page, err := os.ReadFile("docs/DESIGN.md")
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(page), "## Which room decides what\n")
@@ -23,10 +23,10 @@
 		if !e.IsDir() || strings.HasPrefix(e.Name(), ".") {
 			continue
 		}
-		require.True(t, strings.Contains(section, "`"+e.Name()+"`") || strings.Contains(section, "`"+e.Name()+"/"), "%s is not told of", e.Name())
+		require.True(t, strings.Contains(section, "`"+e.Name()+"`") || strings.Contains(section, "`"+e.Name()+"/"), "the design page does not mention %s", e.Name())
 	}
 	for row := range strings.SplitSeq(section, "\n") {
-		room := ""
+		dir := ""
 		for i, word := range strings.Split(row, "`") {
 			if i%2 == 0 {
 				continue
@@ -35,9 +35,9 @@
 			case strings.Contains(word, "/"):
 				require.FileExists(t, word)
 			case strings.HasSuffix(word, ".go"):
-				require.FileExists(t, filepath.Join(room, word))
+				require.FileExists(t, filepath.Join(dir, word))
 			case isDir(word):
-				room = word
+				dir = word
 			}
 		}
 	}
--- a/failure.go
+++ b/failure.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Failure is the error with which a request ends without its whole answer.
-// The zero value is an internal error of unknown outcome.
+// Failure is the error of a request that ended without a complete answer. The
+// zero value is an internal error with an unknown outcome.
 type Failure struct {
 	cause      Cause
 	field      string
@@ -16,18 +16,18 @@
 	err        error
 }
 
-// Fail returns a Failure for cause with a formatted detail.
+// Fail returns a Failure with the given cause and a formatted detail.
 func Fail(cause Cause, format string, args ...any) *Failure {
 	return &Failure{cause: cause, detail: fmt.Sprintf(format, args...)}
 }
 
-// WithField returns a copy that names the input field at fault.
+// WithField returns a copy that names the invalid input field.
 func (f Failure) WithField(name string) *Failure {
 	f.field = name
 	return &f
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that asks the caller to retry after d.
 func (f Failure) WithRetryAfter(d time.Duration) *Failure {
 	f.retryAfter = d
 	return &f
@@ -39,19 +39,19 @@
 	return &f
 }
 
-// Cause returns why the request ended.
+// Cause returns the reason why the request ended.
 func (f *Failure) Cause() Cause { return f.cause }
 
-// Outcome returns what the caller may conclude.
+// Outcome returns what the caller may conclude about the request.
 func (f *Failure) Outcome() Outcome { return f.cause.Outcome() }
 
-// Field returns the input field at fault, or "".
+// Field returns the name of the invalid input field, or "".
 func (f *Failure) Field() string { return f.field }
 
-// Detail returns the text for the caller.
+// Detail returns the message for the caller.
 func (f *Failure) Detail() string { return f.detail }
 
-// RetryAfter returns the retry hint, or 0.
+// RetryAfter returns the delay before a retry, or 0 if none is set.
 func (f *Failure) RetryAfter() time.Duration { return f.retryAfter }
 
 // Error implements error.
@@ -72,8 +72,8 @@
 // Unwrap returns the wrapped error.
 func (f *Failure) Unwrap() error { return f.err }
 
-// AsFailure returns the Failure in err's chain; any other error is an
-// internal one, whose outcome is unknown.
+// AsFailure returns the Failure in err's chain. It wraps any other error in an
+// internal Failure, whose outcome is unknown.
 func AsFailure(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
--- a/frame.go
+++ b/frame.go
@@ -1,15 +1,16 @@
 package hibiscuscart
 
-// Frame is one piece of an answer on its way from a back end to the caller.
+// Frame is one part of an answer that is streamed from a backend server to the
+// caller.
 type Frame struct {
-	// Attempt identifies the run the frame belongs to.
+	// Attempt identifies the attempt that produced the frame.
 	Attempt string
-	// Sequence counts the frames of an attempt from 1.
+	// Sequence numbers the frames of an attempt, starting at 1.
 	Sequence int
 	// Text is the generated text.
 	Text string
-	// Finish is the reason generation stopped; set on the last text frame.
+	// Finish is the reason why generation stopped; set on the last text frame.
 	Finish string
-	// End marks the frame after which the answer is whole.
+	// End marks the last frame of a complete answer.
 	End bool
 }
--- a/outcome.go
+++ b/outcome.go
@@ -3,19 +3,20 @@
 import "fmt"
 
 // OutcomeHeader is the response header that carries the Outcome of a request
-// that did not end with its whole answer.
+// that ended without a complete answer.
 const OutcomeHeader = "Hibiscuscart-Outcome"
 
-// Outcome says what a caller may conclude about a request that has ended.
+// Outcome is what a caller may conclude about a request that has ended.
 type Outcome int
 
 const (
-	// OutcomeUnknown means that the request was sent to a back end and its end was not
-	// seen. It is the zero value, so that a forgotten case claims nothing.
+	// OutcomeUnknown means that the request was sent to a backend server and its
+	// end was not observed. It is the zero value, so that an unhandled case
+	// guarantees nothing.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotRun means that the request provably reached no back end.
+	// OutcomeNotRun means that the request provably reached no backend server.
 	OutcomeNotRun
-	// OutcomeDone means that the request ran and its answer is whole.
+	// OutcomeDone means that the request ran and its answer is complete.
 	OutcomeDone
 )
 
@@ -29,7 +30,7 @@
 	return outcomeNames[o]
 }
 
-// ParseOutcome returns the Outcome of a name written by String.
+// ParseOutcome returns the Outcome for a name returned by String.
 func ParseOutcome(s string) (Outcome, error) {
 	for i, name := range outcomeNames {
 		if s == name {
--- a/request.go
+++ b/request.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind tells the interface a request came through.
+// Kind is the API through which a request arrived.
 type Kind int
 
 const (
-	// KindCompletion is a plain completion.
+	// KindCompletion is a text completion.
 	KindCompletion Kind = iota
 	// KindChat is a chat completion.
 	KindChat
-	// KindPass is a call passed through to a plain service.
+	// KindPass is a call that is passed through to a plain HTTP service.
 	KindPass
 )
 
@@ -26,8 +26,8 @@
 	Content string `json:"content"`
 }
 
-// Request is a parsed request of a caller. It does not change once it has
-// been parsed; the stages of the path keep what they add elsewhere.
+// Request is a parsed request of a caller. It is immutable; the processing
+// stages keep their state elsewhere.
 type Request struct {
 	ID       string
 	Kind     Kind
@@ -37,12 +37,13 @@
 	Adapter  string
 	Prompt   string
 	Messages []Message
-	// MaxTokens bounds the tokens to generate; 0 takes the profile's bound.
+	// MaxTokens is the maximum number of tokens to generate; 0 selects the
+	// profile's maximum.
 	MaxTokens int
 	Stream    bool
 	// Key is the caller's idempotency key, or "".
 	Key string
-	// Method, Path and Body are those of a call to a plain service.
+	// Method, Path, ContentType and Body are those of a call to a plain service.
 	Method      string
 	Path        string
 	ContentType string
@@ -50,8 +51,8 @@
 	Arrived     time.Time
 }
 
-// BodyHash returns a digest of what the request asks for. Two requests with
-// one idempotency key must agree in it.
+// BodyHash returns a digest of the content of the request. Requests with the
+// same idempotency key must have the same digest.
 func (r *Request) BodyHash() string {
 	d := xxhash.New()
 	for _, part := range []string{r.Profile, r.Model, r.Adapter, r.Method, r.Path, r.Prompt, strconv.Itoa(r.MaxTokens)} {
@@ -65,15 +66,15 @@
 	return hex.EncodeToString(d.Sum(nil))
 }
 
-// writePart separates the parts, so that moving text from one part to the
+// writePart writes s and a separator, so that moving text from one part to the
 // next changes the digest.
 func writePart(d *xxhash.Digest, s string) {
 	_, _ = d.WriteString(s)
 	_, _ = d.Write([]byte{0})
 }
 
-// PrefixHash returns a digest of the head of the prompt, by which servers that
-// hold the prefix in their cache are found.
+// PrefixHash returns a digest of the start of the prompt. It identifies servers
+// that have the prefix in their cache.
 func (r *Request) PrefixHash() uint64 {
 	const prefixBytes = 256
 	text := r.Prompt
