--- a/conf/check.go
+++ b/conf/check.go
@@ -1,5 +1,5 @@
-// Package conf reads settings files: INI checked against a schema that names
-// every section and key, so that one check finds every fault at once.
+// Package conf reads settings files. It validates the INI text against a schema
+// that lists every section and key, and reports all violations at once.
 package conf
 
 import (
@@ -14,17 +14,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one thing wrong with a settings file.
+// Fault is one invalid, unknown or missing entry of a settings file.
 type Fault struct {
 	Section string
 	Key     string
-	// Value is what stands there; secrets are not shown.
+	// Value is the invalid value; secrets are masked.
 	Value string
-	// Allowed says what may stand there.
+	// Allowed describes the allowed values, sections or keys.
 	Allowed string
 }
 
-// String returns the fault as one line.
+// String formats the violation as one line.
 func (f Fault) String() string {
 	if f.Key == "" {
 		return fmt.Sprintf("[%s]: %s", f.Section, f.Allowed)
@@ -32,7 +32,8 @@
 	return fmt.Sprintf("[%s] %s = %s: allowed: %s", f.Section, f.Key, f.Value, f.Allowed)
 }
 
-// FaultsError holds every fault of a settings file.
+// FaultsError is the error for an invalid settings file. It lists all
+// violations.
 type FaultsError struct{ Faults []Fault }
 
 // Error implements error.
@@ -41,33 +42,33 @@
 	for i, f := range e.Faults {
 		lines[i] = f.String()
 	}
-	return fmt.Sprintf("%d faults in the settings:\n%s", len(e.Faults), strings.Join(lines, "\n"))
+	return fmt.Sprintf("invalid settings: %d violations:\n%s", len(e.Faults), strings.Join(lines, "\n"))
 }
 
-// checker gathers the faults of one file.
+// checker collects the violations of one file.
 type checker struct {
-	schema schema
-	file   *ini.File
-	faults []Fault
+	schema     schema
+	file       *ini.File
+	violations []Fault
 }
 
-func (c *checker) add(section, key, value, allowed string) {
-	c.faults = append(c.faults, Fault{Section: section, Key: key, Value: value, Allowed: allowed})
+func (c *checker) addViolation(section, key, value, allowed string) {
+	c.violations = append(c.violations, Fault{Section: section, Key: key, Value: value, Allowed: allowed})
 }
 
-// check finds unknown sections and keys, missing keys and values that are not
-// allowed.
+// check validates all sections and keys against the schema and sorts the
+// violations by section and key.
 func (c *checker) check() {
 	for _, section := range c.file.Sections() {
 		c.checkSection(section)
 	}
 	for name, rules := range c.schema {
-		if strings.Contains(name, anyName) || c.file.HasSection(name) {
+		if strings.Contains(name, namePlaceholder) || c.file.HasSection(name) {
 			continue
 		}
 		c.checkMissing(name, nil, rules)
 	}
-	slices.SortStableFunc(c.faults, func(a, b Fault) int {
+	slices.SortStableFunc(c.violations, func(a, b Fault) int {
 		return strings.Compare(a.Section+"\x00"+a.Key, b.Section+"\x00"+b.Key)
 	})
 }
@@ -75,13 +76,13 @@
 func (c *checker) checkSection(section *ini.Section) {
 	if section.Name() == ini.DefaultSection {
 		for _, key := range section.Keys() {
-			c.add("", key.Name(), key.Value(), "keys stand in a section")
+			c.addViolation("", key.Name(), key.Value(), "keys only within a section")
 		}
 		return
 	}
 	rules, ok := c.schema.section(section.Name())
 	if !ok {
-		c.add(section.Name(), "", "", "unknown section; known: "+strings.Join(c.schema.names(), ", "))
+		c.addViolation(section.Name(), "", "", "unknown section; known: "+strings.Join(c.schema.sectionNames(), ", "))
 		return
 	}
 	for _, key := range section.Keys() {
@@ -90,7 +91,7 @@
 	c.checkMissing(section.Name(), section, rules)
 }
 
-func (s schema) names() []string {
+func (s schema) sectionNames() []string {
 	var names []string
 	for name := range s {
 		names = append(names, name)
@@ -100,13 +101,13 @@
 }
 
 func (c *checker) checkKey(section string, key *ini.Key, rules map[string]rule) {
-	r, ok := lookup(rules, key.Name())
+	r, ok := lookupRule(rules, key.Name())
 	if !ok {
-		c.add(section, key.Name(), key.Value(), "unknown key; known: "+strings.Join(keyNames(rules), ", "))
+		c.addViolation(section, key.Name(), key.Value(), "unknown key; known: "+strings.Join(keyNames(rules), ", "))
 		return
 	}
 	if err := r.check(key.Value()); err != nil {
-		c.add(section, key.Name(), r.shown(key.Value()), err.Error())
+		c.addViolation(section, key.Name(), r.displayValue(key.Value()), err.Error())
 	}
 }
 
@@ -121,54 +122,54 @@
 
 func (c *checker) checkMissing(name string, section *ini.Section, rules map[string]rule) {
 	for key, r := range rules {
-		if r.fallback != required {
+		if r.defaultValue != required {
 			continue
 		}
 		if section == nil || !section.HasKey(key) {
-			c.add(name, key, "(missing)", r.describe())
+			c.addViolation(name, key, "(missing)", r.describe())
 		}
 	}
 }
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9_-]{0,62}$`)
 
-// shown returns a value as a fault may show it.
-func (r rule) shown(value string) string {
-	if r.kind == "secret" {
+// displayValue returns a value in the form that a violation may contain.
+func (r rule) displayValue(value string) string {
+	if r.valueType == "secret" {
 		return "(secret)"
 	}
 	return strconv.Quote(value)
 }
 
-// describe says what the rule allows.
+// describe returns a description of the values that the rule allows.
 func (r rule) describe() string {
 	text := map[string]string{
 		"text": "text", "name": "a lower-case name", "names": "lower-case names separated by commas",
-		"int": "a whole number", "float": "a number", "duration": "a duration such as 500ms",
-		"bool": "true or false", "address": "an IP number and port such as 127.0.0.1:7000",
+		"int": "an integer", "float": "a number", "duration": "a duration such as 500ms",
+		"bool": "true or false", "address": "an IP address and port such as 127.0.0.1:7000",
 		"choice": "one of " + r.allowed, "secret": "a key",
-	}[r.kind]
-	if r.kind == "choice" || r.allowed == "" {
+	}[r.valueType]
+	if r.valueType == "choice" || r.allowed == "" {
 		return text
 	}
 	low, high, _ := strings.Cut(r.allowed, "..")
-	if r.kind == "secret" {
+	if r.valueType == "secret" {
 		return fmt.Sprintf("a key of at least %s characters", low)
 	}
 	return fmt.Sprintf("%s from %s to %s", text, low, high)
 }
 
-// check reports whether a value is allowed.
+// check returns an error if the rule doesn't allow the value.
 func (r rule) check(value string) error {
-	if !r.fits(value) {
+	if !r.accepts(value) {
 		return fmt.Errorf("%s", r.describe())
 	}
 	return nil
 }
 
-func (r rule) fits(value string) bool {
+func (r rule) accepts(value string) bool {
 	low, high, _ := strings.Cut(r.allowed, "..")
-	switch r.kind {
+	switch r.valueType {
 	case "text":
 		return true
 	case "name":
@@ -178,13 +179,13 @@
 		return len(names) > 0 && !slices.ContainsFunc(names, func(n string) bool { return !namePattern.MatchString(n) })
 	case "int":
 		n, err := strconv.ParseInt(value, 10, 64)
-		return err == nil && number(low) <= float64(n) && float64(n) <= number(high)
+		return err == nil && parseNumber(low) <= float64(n) && float64(n) <= parseNumber(high)
 	case "float":
 		n, err := strconv.ParseFloat(value, 64)
-		return err == nil && number(low) <= n && n <= number(high)
+		return err == nil && parseNumber(low) <= n && n <= parseNumber(high)
 	case "duration":
 		d, err := time.ParseDuration(value)
-		return err == nil && duration(low) <= d && d <= duration(high)
+		return err == nil && parseDuration(low) <= d && d <= parseDuration(high)
 	case "bool":
 		return value == "true" || value == "false"
 	case "address":
@@ -193,17 +194,17 @@
 	case "choice":
 		return slices.Contains(strings.Fields(r.allowed), value)
 	case "secret":
-		return low == "" || len(value) >= int(number(low))
+		return low == "" || len(value) >= int(parseNumber(low))
 	}
 	return false
 }
 
-func number(s string) float64 {
+func parseNumber(s string) float64 {
 	n, _ := strconv.ParseFloat(s, 64)
 	return n
 }
 
-func duration(s string) time.Duration {
+func parseDuration(s string) time.Duration {
 	d, _ := time.ParseDuration(s)
 	return d
 }
--- a/conf/node_test.go
+++ b/conf/node_test.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuscart/hibiscuscart/conf"
 )
 
-const nodeText = `
+const minimalNodeSettings = `
 [vm]
 name = a
 failure_domain = d
@@ -21,20 +21,20 @@
 address = 10.0.0.2:80
 `
 
-func TestNodeSettingsHaveDefaults(t *testing.T) {
-	s, err := conf.ParseNode([]byte(nodeText))
+func TestNodeDefaults(t *testing.T) {
+	s, err := conf.ParseNode([]byte(minimalNodeSettings))
 	require.NoError(t, err)
 	require.Equal(t, 1200*time.Millisecond, s.Duration("steering", "lease"))
 	require.Equal(t, 8*time.Second, s.Duration("drain", "grace"))
 }
 
-func TestNodeSettingsNameEveryFault(t *testing.T) {
-	bad := strings.Replace(nodeText, "10.0.0.2:80", "somewhere", 1) + "[retries]\nshare = 7\n[drain]\nnap = 1s\n"
-	_, err := conf.ParseNode([]byte(bad))
+func TestNodeAllViolationsReported(t *testing.T) {
+	invalid := strings.Replace(minimalNodeSettings, "10.0.0.2:80", "somewhere", 1) + "[retries]\nshare = 7\n[drain]\nnap = 1s\n"
+	_, err := conf.ParseNode([]byte(invalid))
 	var faults *conf.FaultsError
 	require.ErrorAs(t, err, &faults)
 	require.Len(t, faults.Faults, 3)
-	for _, want := range []string{`[store] address = "somewhere": allowed: an IP number`, `[retries] share = "7": allowed: a number from 0 to 1`, `[drain] nap`} {
+	for _, want := range []string{`[store] address = "somewhere": allowed: an IP address`, `[retries] share = "7": allowed: a number from 0 to 1`, `[drain] nap`} {
 		require.Contains(t, err.Error(), want)
 	}
 }
--- a/conf/schema.go
+++ b/conf/schema.go
@@ -9,7 +9,7 @@
 )
 
 // deploymentSchema describes the settings of a whole deployment, nodeSchema
-// those of one VM.
+// the settings of one VM.
 var (
 	//go:embed schema.ini
 	deploymentSchema []byte
@@ -17,22 +17,23 @@
 	nodeSchema []byte
 )
 
-// anyName stands in the schema for a name that the settings choose.
-const anyName = "NAME"
+// namePlaceholder is the schema's placeholder for a name that is chosen in the
+// settings.
+const namePlaceholder = "NAME"
 
-// required marks a key without a default.
+// required marks a key that has no default and must be set.
 const required = "!"
 
-// rule describes one key.
+// rule is the schema entry of one key.
 type rule struct {
-	kind     string
-	allowed  string
-	fallback string
-	help     string
+	valueType    string
+	allowed      string
+	defaultValue string
+	description  string
 }
 
-// schema maps the name of a section, with NAME in place of a chosen name, to
-// its keys.
+// schema maps the name of a section, with NAME as the placeholder, to the rules
+// for its keys.
 type schema map[string]map[string]rule
 
 func loadSchema(text []byte) (schema, error) {
@@ -60,28 +61,29 @@
 func parseRule(text string) (rule, error) {
 	parts := strings.SplitN(text, "|", 4)
 	if len(parts) != 4 {
-		return rule{}, fmt.Errorf("rule %q has not four parts", text)
+		return rule{}, fmt.Errorf("rule %q does not have four parts", text)
 	}
 	for i := range parts {
 		parts[i] = strings.TrimSpace(parts[i])
 	}
-	return rule{kind: parts[0], allowed: parts[1], fallback: parts[2], help: parts[3]}, nil
+	return rule{valueType: parts[0], allowed: parts[1], defaultValue: parts[2], description: parts[3]}, nil
 }
 
-// section returns the rules for a section of a settings file.
+// section returns the rules for the keys of a section and whether the schema
+// has the section.
 func (s schema) section(name string) (map[string]rule, bool) {
-	kind, _, repeated := strings.Cut(name, " ")
+	pattern, _, repeated := strings.Cut(name, " ")
 	if repeated {
-		kind += " " + anyName
+		pattern += " " + namePlaceholder
 	}
-	rules, ok := s[kind]
+	rules, ok := s[pattern]
 	return rules, ok
 }
 
-func lookup(rules map[string]rule, key string) (rule, bool) {
+func lookupRule(rules map[string]rule, key string) (rule, bool) {
 	if r, ok := rules[key]; ok {
 		return r, true
 	}
-	r, ok := rules[anyName]
+	r, ok := rules[namePlaceholder]
 	return r, ok
 }
--- a/conf/settings_test.go
+++ b/conf/settings_test.go
@@ -11,34 +11,34 @@
 	"github.com/hibiscuscart/hibiscuscart/conf"
 )
 
-func minimal(t *testing.T) string {
+func minimalSettings(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/minimal.ini")
 	require.NoError(t, err)
 	return string(data)
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := map[string]struct {
 		extra          string
 		section, key   string
 		value, allowed string
 	}{
-		"unknown section": {"[plattform]\n", "plattform", "", "", "unknown section"},
-		"unknown key":     {"[log]\nvolume = info\n", "log", "volume", "info", "known: format, level"},
-		"choice":          {"[log]\nlevel = loud\n", "log", "level", `"loud"`, "one of debug info warn error"},
-		"duration":        {"[limits]\nread_timeout = 10\n", "limits", "read_timeout", `"10"`, "a duration"},
-		"out of range":    {"[limits]\nretry_share = 2\n", "limits", "retry_share", `"2"`, "from 0 to 1"},
-		"whole number":    {"[limits]\nbody_bytes = many\n", "limits", "body_bytes", `"many"`, "whole number"},
-		"missing key":     {"[vm b]\nfailure_domain = one\nlisten = 127.0.0.1:9\n", "vm b", "peer_listen", "(missing)", "an IP number and port"},
-		"host name":       {"[vm b]\nfailure_domain = one\nlisten = localhost:9\npeer_listen = 127.0.0.1:8\n", "vm b", "listen", `"localhost:9"`, "an IP number and port"},
-		"other domain":    {"[vm b]\nfailure_domain = two\nlisten = 127.0.0.1:9\npeer_listen = 127.0.0.1:8\n", "vm b", "failure_domain", "two", "one of one"},
-		"address twice":   {"[vm b]\nfailure_domain = one\nlisten = 127.0.0.1:1001\npeer_listen = 127.0.0.1:8\n", "vm b", "listen", "127.0.0.1:1001", "does not use"},
-		"short secret":    {"[callers]\nkitchen = abc\n", "callers", "kitchen", "(secret)", "at least 8"},
+		"unknown section":   {"[plattform]\n", "plattform", "", "", "unknown section"},
+		"unknown key":       {"[log]\nvolume = info\n", "log", "volume", "info", "known: format, level"},
+		"choice":            {"[log]\nlevel = loud\n", "log", "level", `"loud"`, "one of debug info warn error"},
+		"duration":          {"[limits]\nread_timeout = 10\n", "limits", "read_timeout", `"10"`, "a duration"},
+		"out of range":      {"[limits]\nretry_share = 2\n", "limits", "retry_share", `"2"`, "from 0 to 1"},
+		"not an integer":    {"[limits]\nbody_bytes = many\n", "limits", "body_bytes", `"many"`, "an integer"},
+		"missing key":       {"[vm b]\nfailure_domain = one\nlisten = 127.0.0.1:9\n", "vm b", "peer_listen", "(missing)", "an IP address and port"},
+		"host name":         {"[vm b]\nfailure_domain = one\nlisten = localhost:9\npeer_listen = 127.0.0.1:8\n", "vm b", "listen", `"localhost:9"`, "an IP address and port"},
+		"undefined domain":  {"[vm b]\nfailure_domain = two\nlisten = 127.0.0.1:9\npeer_listen = 127.0.0.1:8\n", "vm b", "failure_domain", "two", "one of one"},
+		"duplicate address": {"[vm b]\nfailure_domain = one\nlisten = 127.0.0.1:1001\npeer_listen = 127.0.0.1:8\n", "vm b", "listen", "127.0.0.1:1001", "does not use"},
+		"short secret":      {"[callers]\nkitchen = abc\n", "callers", "kitchen", "(secret)", "at least 8"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := conf.Parse([]byte(minimal(t) + c.extra))
+			_, err := conf.Parse([]byte(minimalSettings(t) + c.extra))
 			var faults *conf.FaultsError
 			require.ErrorAs(t, err, &faults)
 			require.Len(t, faults.Faults, 1)
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
-	data, err := os.ReadFile("testdata/five_faults.ini")
+func TestAllViolationsReported(t *testing.T) {
+	data, err := os.ReadFile("testdata/five_violations.ini")
 	require.NoError(t, err)
 	_, err = conf.Parse(data)
 	var faults *conf.FaultsError
@@ -60,8 +60,8 @@
 	require.Len(t, faults.Faults, 5)
 }
 
-func TestValues(t *testing.T) {
-	s, err := conf.Parse([]byte(minimal(t)))
+func TestParsedValues(t *testing.T) {
+	s, err := conf.Parse([]byte(minimalSettings(t)))
 	require.NoError(t, err)
 	require.Equal(t, 2*time.Second, s.Duration("platform", "timeout"))
 	require.Equal(t, 0.1, s.Float("limits", "retry_share"))
