--- a/profs/fits.go
+++ b/profs/fits.go
@@ -13,9 +13,10 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// FitsIn returns a check that refuses a document whose models could not all be
-// loaded beside those of the other profiles, with room to load the largest of
-// them once more, so that a copy can be made before one is removed.
+// FitsIn returns a check that rejects a document if its models do not fit on the
+// pool's servers together with the models of the other profiles. It requires
+// free memory for a second copy of the largest model, so that a model can be
+// moved by loading the new copy before unloading the old one.
 func FitsIn(list func(ctx context.Context, kind string) (store.Listing, error)) func(context.Context, wire.Profile) error {
 	return func(ctx context.Context, doc wire.Profile) error {
 		servers, err := list(ctx, "servers")
@@ -26,11 +27,11 @@
 		if err != nil {
 			return fmt.Errorf("list profiles: %w", err)
 		}
-		return fits(decodeServers(servers, doc.Pool), modelsBeside(profiles, doc))
+		return checkPacking(poolServers(servers, doc.Pool), modelSizes(profiles, doc))
 	}
 }
 
-func decodeServers(list store.Listing, pool string) []wire.Server {
+func poolServers(list store.Listing, pool string) []wire.Server {
 	var servers []wire.Server
 	for _, obj := range list.Items {
 		var s wire.Server
@@ -41,15 +42,16 @@
 	return servers
 }
 
-// modelsBeside returns the models that the pool would have to hold.
-func modelsBeside(list store.Listing, doc wire.Profile) map[string]int {
+// modelSizes returns the size in bytes of each model that the pool would have to
+// hold with doc applied.
+func modelSizes(list store.Listing, doc wire.Profile) map[string]int {
 	sizes := make(map[string]int)
 	add := func(p wire.Profile) {
 		if p.Retired || p.Pool != doc.Pool {
 			return
 		}
 		for _, m := range p.Models {
-			sizes[m.Name] = max(sizes[m.Name], withAdapters(m))
+			sizes[m.Name] = max(sizes[m.Name], sizeWithAdapters(m))
 		}
 	}
 	for _, obj := range list.Items {
@@ -62,7 +64,7 @@
 	return sizes
 }
 
-func withAdapters(m wire.Model) int {
+func sizeWithAdapters(m wire.Model) int {
 	total := m.Bytes
 	for _, a := range m.Adapters {
 		total += a.Bytes
@@ -70,16 +72,18 @@
 	return total
 }
 
-// fits packs the models by first fit in order of size.
-func fits(servers []wire.Server, sizes map[string]int) error {
+// checkPacking places the models on the servers by first fit, in descending order
+// of size. It returns an error if a model or a second copy of the largest model
+// does not fit.
+func checkPacking(servers []wire.Server, sizes map[string]int) error {
 	if len(servers) == 0 {
-		return trace.BadParameter("the pool has no servers")
+		return trace.BadParameter("pool has no servers")
 	}
-	free := make([]int, len(servers))
-	capacity := 0
+	freeBytes := make([]int, len(servers))
+	totalBytes := 0
 	for i, s := range servers {
-		free[i] = s.MemoryBytes
-		capacity += s.MemoryBytes
+		freeBytes[i] = s.MemoryBytes
+		totalBytes += s.MemoryBytes
 	}
 	names := make([]string, 0, len(sizes))
 	for name := range sizes {
@@ -91,25 +95,25 @@
 	if len(names) == 0 {
 		return nil
 	}
-	needed, largest := 0, sizes[names[0]]
+	neededBytes, largestBytes := 0, sizes[names[0]]
 	for _, name := range names {
-		needed += sizes[name]
-		if !place(free, sizes[name]) {
+		neededBytes += sizes[name]
+		if !placeFirstFit(freeBytes, sizes[name]) {
 			return trace.LimitExceeded("model %s (%d bytes with its adapters) fits on no server: %d models need %d bytes, %d servers have %d",
-				name, sizes[name], len(names), needed, len(servers), capacity)
+				name, sizes[name], len(names), neededBytes, len(servers), totalBytes)
 		}
 	}
-	if !place(free, largest) {
-		return trace.LimitExceeded("no room to move a model: %d models need %d bytes and a second copy of the largest %d more, %d servers have %d",
-			len(names), needed, largest, len(servers), capacity)
+	if !placeFirstFit(freeBytes, largestBytes) {
+		return trace.LimitExceeded("no memory to move a model: %d models need %d bytes and a second copy of the largest needs %d more, %d servers have %d",
+			len(names), neededBytes, largestBytes, len(servers), totalBytes)
 	}
 	return nil
 }
 
-func place(free []int, size int) bool {
-	for i := range free {
-		if free[i] >= size {
-			free[i] -= size
+func placeFirstFit(freeBytes []int, bytes int) bool {
+	for i := range freeBytes {
+		if freeBytes[i] >= bytes {
+			freeBytes[i] -= bytes
 			return true
 		}
 	}
--- a/profs/operate.go
+++ b/profs/operate.go
@@ -11,26 +11,27 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Kind is the kind of the platform's objects that hold profiles.
+// Kind is the kind of the platform's objects that contain profiles.
 const Kind = "profiles"
 
-// Operator carries out the operators' changes. Its function fields are the
-// platform's calls.
+// Operator applies changes by operators to the stored profiles. Its Get, List
+// and Put fields are the calls to the platform.
 type Operator struct {
 	Get  func(ctx context.Context, kind, name string) (store.Object, error)
 	List func(ctx context.Context, kind string) (store.Listing, error)
 	Put  func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
-	// Fits refuses a document that could not be served, with the reason; nil
-	// refuses none.
+	// Fits returns an error if the servers cannot serve a document. If nil,
+	// Apply skips the check.
 	Fits func(ctx context.Context, doc wire.Profile) error
 }
 
-// NewOperator returns an Operator that uses a client.
+// NewOperator returns an Operator that calls the platform through c.
 func NewOperator(c *store.Client) *Operator {
 	return &Operator{Get: c.Get, List: c.List, Put: c.Put}
 }
 
-// Lookup returns a profile and its version; version 0 when there is none.
+// Lookup returns a profile and its version, or version 0 if the profile does not
+// exist.
 func (o *Operator) Lookup(ctx context.Context, name string) (wire.Profile, int, error) {
 	obj, err := o.Get(ctx, Kind, name)
 	if trace.IsNotFound(err) {
@@ -46,16 +47,16 @@
 	return doc, obj.Version, nil
 }
 
-// Apply creates or changes a profile. With ifVersion below 0 the version seen
-// now is taken; a change by another operator in between is still a conflict.
-// It returns the accepted version.
+// Apply creates or changes a profile and returns the accepted version. If
+// ifVersion is negative, Apply uses the current version; a concurrent change by
+// another operator is still a conflict.
 func (o *Operator) Apply(ctx context.Context, doc wire.Profile, ifVersion int) (int, error) {
 	current, version, err := o.Lookup(ctx, doc.Name)
 	if err != nil {
 		return 0, err
 	}
 	if current.Retired {
-		return 0, trace.BadParameter("profile %s was retired at version %d; a retired name is not used again", doc.Name, version)
+		return 0, trace.BadParameter("profile %s was retired at version %d; the name of a retired profile cannot be reused", doc.Name, version)
 	}
 	if ifVersion < 0 {
 		ifVersion = version
@@ -71,14 +72,14 @@
 	return o.write(ctx, doc, ifVersion)
 }
 
-// Retire takes a profile out of service for good.
+// Retire takes a profile out of service permanently.
 func (o *Operator) Retire(ctx context.Context, name string) (int, error) {
 	doc, version, err := o.Lookup(ctx, name)
 	if err != nil {
 		return 0, err
 	}
 	if version == 0 {
-		return 0, trace.NotFound("there is no profile %s", name)
+		return 0, trace.NotFound("profile %s does not exist", name)
 	}
 	if doc.Retired {
 		return version, nil
@@ -87,8 +88,8 @@
 	return o.write(ctx, doc, version)
 }
 
-// write makes the conditional update and settles a lost answer by reading
-// back.
+// write makes the conditional update. If its answer is lost, write reads the
+// object back to determine the result.
 func (o *Operator) write(ctx context.Context, doc wire.Profile, ifVersion int) (int, error) {
 	version, err := o.Put(ctx, Kind, doc.Name, ifVersion, doc)
 	if err == nil {
@@ -97,13 +98,13 @@
 	if !store.IsLost(err) {
 		return 0, fmt.Errorf("write profile: %w", err)
 	}
-	return o.settle(ctx, doc, ifVersion, err)
+	return o.confirmWrite(ctx, doc, ifVersion, err)
 }
 
-func (o *Operator) settle(ctx context.Context, doc wire.Profile, ifVersion int, lost error) (int, error) {
+func (o *Operator) confirmWrite(ctx context.Context, doc wire.Profile, ifVersion int, writeErr error) (int, error) {
 	obj, err := o.Get(ctx, Kind, doc.Name)
 	if err != nil {
-		return 0, fmt.Errorf("the change may have been accepted; look again: %w", lost)
+		return 0, fmt.Errorf("write profile: the change may have been accepted; check the current version: %w", writeErr)
 	}
 	want, err := json.Marshal(doc)
 	if err != nil {
@@ -115,5 +116,5 @@
 	if obj.Version > ifVersion {
 		return 0, fmt.Errorf("write profile: %w", &store.ConflictError{Current: obj.Version})
 	}
-	return 0, fmt.Errorf("the change may still be accepted; look again: %w", lost)
+	return 0, fmt.Errorf("write profile: the change may still be accepted; check the version later: %w", writeErr)
 }
--- a/profs/parse.go
+++ b/profs/parse.go
@@ -1,5 +1,5 @@
-// Package profs validates profile documents, keeps a VM's view of the
-// profiles in force and carries out the operators' changes.
+// Package profs validates profile documents, maintains a VM's view of the active
+// profiles and applies the operators' changes.
 package profs
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one invalid field of a profile document.
 type Fault struct {
 	// Field is the path of the field, such as models[2].bytes.
 	Field string
-	// Value is what the document has there.
+	// Value is the invalid value.
 	Value string
-	// Allowed says what may stand there.
+	// Allowed describes the allowed values.
 	Allowed string
 }
 
-// String returns the fault as one line.
+// String formats the violation as one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %s is not allowed; allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
-// Defaults returns a document with the default of every field.
+// Defaults returns a document with the default value of every field.
 func Defaults() wire.Profile {
 	return wire.Profile{
 		Backend: wire.ProfileBackendEngine, FirstTokenMs: 1000, BetweenTokensMs: 100, WholeAnswerMs: 30000,
@@ -38,17 +38,17 @@
 	}
 }
 
-// Parse decodes a document over the defaults and validates it. All faults are
-// named in one trace.BadParameter error.
+// Parse decodes a document, fills in the defaults and validates it. It reports
+// all violations in one trace.BadParameter error.
 func Parse(data []byte) (wire.Profile, error) {
 	doc := Defaults()
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&doc); err != nil {
-		return wire.Profile{}, trace.BadParameter("profile document: %v", err)
+		return wire.Profile{}, trace.BadParameter("parse profile document: %v", err)
 	}
 	if dec.More() {
-		return wire.Profile{}, trace.BadParameter("profile document: more than one JSON value")
+		return wire.Profile{}, trace.BadParameter("parse profile document: more than one JSON value")
 	}
 	faults := Validate(doc)
 	if len(faults) == 0 {
@@ -58,14 +58,14 @@
 	for i, f := range faults {
 		lines[i] = f.String()
 	}
-	return wire.Profile{}, trace.BadParameter("%d faults in the profile document:\n%s", len(faults), strings.Join(lines, "\n"))
+	return wire.Profile{}, trace.BadParameter("invalid profile document: %d violations:\n%s", len(faults), strings.Join(lines, "\n"))
 }
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-const nameRule = "a lower-case letter, then up to 62 letters, digits or hyphens"
+const allowedName = "a lower-case letter, then up to 62 letters, digits or hyphens"
 
-// intRule bounds one numeric field.
+// intRule defines the allowed range of one integer field.
 type intRule struct {
 	field    string
 	value    func(wire.Profile) int
@@ -84,101 +84,101 @@
 	{"key_retention_s", func(p wire.Profile) int { return p.KeyRetentionS }, 60, 604_800},
 }
 
-// Validate returns every fault of a document.
+// Validate returns all violations of a document.
 func Validate(doc wire.Profile) []Fault {
-	v := &validation{}
-	v.name("name", doc.Name)
-	v.backend(doc)
+	v := &validator{}
+	v.checkName("name", doc.Name)
+	v.checkBackend(doc)
 	for _, r := range intRules {
-		v.between(r.field, r.value(doc), r.min, r.max)
+		v.checkRange(r.field, r.value(doc), r.min, r.max)
 	}
 	if doc.AttainmentWeight < 0 || doc.AttainmentWeight > 1 {
-		v.add("attainment_weight", fmt.Sprint(doc.AttainmentWeight), "a number from 0 to 1")
+		v.addViolation("attainment_weight", fmt.Sprint(doc.AttainmentWeight), "a number from 0 to 1")
 	}
 	if doc.FirstTokenMs > doc.WholeAnswerMs {
-		v.add("first_token_ms", fmt.Sprint(doc.FirstTokenMs), "at most whole_answer_ms")
+		v.addViolation("first_token_ms", fmt.Sprint(doc.FirstTokenMs), "at most whole_answer_ms")
 	}
 	if doc.RunsAllowed == 1 && doc.KeyRetentionS*1000 < 2*doc.WholeAnswerMs {
-		v.add("key_retention_s", fmt.Sprint(doc.KeyRetentionS), "at least twice whole_answer_ms, so that no key is forgotten while its request runs")
+		v.addViolation("key_retention_s", fmt.Sprint(doc.KeyRetentionS), "at least twice whole_answer_ms, so that no key expires while its request runs")
 	}
-	v.models(doc.Models)
-	v.callerWeights(doc.CallerWeights)
-	return v.faults
+	v.checkModels(doc.Models)
+	v.checkCallerWeights(doc.CallerWeights)
+	return v.violations
 }
 
-type validation struct{ faults []Fault }
+type validator struct{ violations []Fault }
 
-func (v *validation) add(field, value, allowed string) {
-	v.faults = append(v.faults, Fault{Field: field, Value: value, Allowed: allowed})
+func (v *validator) addViolation(field, value, allowed string) {
+	v.violations = append(v.violations, Fault{Field: field, Value: value, Allowed: allowed})
 }
 
-func (v *validation) name(field, value string) {
+func (v *validator) checkName(field, value string) {
 	if !namePattern.MatchString(value) {
-		v.add(field, fmt.Sprintf("%q", value), nameRule)
+		v.addViolation(field, fmt.Sprintf("%q", value), allowedName)
 	}
 }
 
-func (v *validation) between(field string, value, low, high int) {
+func (v *validator) checkRange(field string, value, low, high int) {
 	if value < low || value > high {
-		v.add(field, fmt.Sprint(value), fmt.Sprintf("a whole number from %d to %d", low, high))
+		v.addViolation(field, fmt.Sprint(value), fmt.Sprintf("an integer from %d to %d", low, high))
 	}
 }
 
-func (v *validation) backend(doc wire.Profile) {
+func (v *validator) checkBackend(doc wire.Profile) {
 	if doc.Pool == "" {
-		v.add("pool", `""`, "the name of a pool of backend servers")
+		v.addViolation("pool", `""`, "the name of a pool of backend servers")
 	}
 	switch doc.Backend {
 	case wire.ProfileBackendEngine:
 		if len(doc.Models) == 0 {
-			v.add("models", "[]", "at least one model, as the back end is an engine")
+			v.addViolation("models", "[]", "at least one model, because the backend is an engine")
 		}
 	case wire.ProfileBackendService:
 		if len(doc.Models) > 0 {
-			v.add("models", fmt.Sprintf("%d models", len(doc.Models)), "none, as the back end is a plain service")
+			v.addViolation("models", fmt.Sprintf("%d models", len(doc.Models)), "none, because the backend is a plain service")
 		}
 	default:
-		v.add("backend", fmt.Sprintf("%q", doc.Backend), "engine or service")
+		v.addViolation("backend", fmt.Sprintf("%q", doc.Backend), "engine or service")
 	}
 }
 
-func (v *validation) models(models []wire.Model) {
+func (v *validator) checkModels(models []wire.Model) {
 	seen := make(map[string]bool)
 	for i, m := range models {
 		field := fmt.Sprintf("models[%d]", i)
-		v.artifact(field, m.Name, m.Version, m.Bytes)
+		v.checkArtifact(field, m.Name, m.Version, m.Bytes)
 		if seen[m.Name] {
-			v.add(field+".name", fmt.Sprintf("%q", m.Name), "each model once")
+			v.addViolation(field+".name", fmt.Sprintf("%q", m.Name), "each model once")
 		}
 		seen[m.Name] = true
 		adapters := make(map[string]bool)
 		for j, a := range m.Adapters {
 			inner := fmt.Sprintf("%s.adapters[%d]", field, j)
-			v.artifact(inner, a.Name, a.Version, a.Bytes)
+			v.checkArtifact(inner, a.Name, a.Version, a.Bytes)
 			if adapters[a.Name] {
-				v.add(inner+".name", fmt.Sprintf("%q", a.Name), "each adapter of a model once")
+				v.addViolation(inner+".name", fmt.Sprintf("%q", a.Name), "each adapter of a model once")
 			}
 			adapters[a.Name] = true
 		}
 	}
 }
 
-func (v *validation) artifact(field, name string, version, bytes int) {
-	v.name(field+".name", name)
+func (v *validator) checkArtifact(field, name string, version, bytes int) {
+	v.checkName(field+".name", name)
 	if version < 1 {
-		v.add(field+".version", fmt.Sprint(version), "a whole number from 1")
+		v.addViolation(field+".version", fmt.Sprint(version), "an integer of at least 1")
 	}
 	if bytes < 1 {
-		v.add(field+".bytes", fmt.Sprint(bytes), "a whole number from 1")
+		v.addViolation(field+".bytes", fmt.Sprint(bytes), "an integer of at least 1")
 	}
 }
 
-func (v *validation) callerWeights(weights []wire.CallerWeight) {
+func (v *validator) checkCallerWeights(weights []wire.CallerWeight) {
 	for i, w := range weights {
 		field := fmt.Sprintf("caller_weights[%d]", i)
 		if w.Caller == "" {
-			v.add(field+".caller", `""`, "the name of a caller")
+			v.addViolation(field+".caller", `""`, "the name of a caller")
 		}
-		v.between(field+".weight", w.Weight, 1, 1000)
+		v.checkRange(field+".weight", w.Weight, 1, 1000)
 	}
 }
--- a/profs/view.go
+++ b/profs/view.go
@@ -9,31 +9,31 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// View is the set of profiles in force at a VM. It only moves forward: a
-// document replaces one of a lower version, and a retired profile stays
-// retired. The zero value is empty. Its methods may be called at once from
-// several goroutines.
+// View is the set of active profiles of a VM. Versions never decrease: a document
+// only replaces one with a lower version, and a retired profile stays retired.
+// The zero value is empty. Its methods are safe for concurrent use.
 type View struct {
 	mu       sync.RWMutex
 	profiles map[string]hibiscuscart.Profile
 }
 
-// Adopt puts a document in force when its version is higher than the one in
-// force, and reports whether it did.
+// Adopt replaces the active version of a profile if the given version is higher,
+// and reports whether it did.
 func (v *View) Adopt(version int, doc wire.Profile) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.adoptLocked(version, doc)
+	return v.updateLocked(version, doc)
 }
 
-func (v *View) adoptLocked(version int, doc wire.Profile) bool {
-	current, known := v.profiles[doc.Name]
-	if known && version <= current.Version() {
+func (v *View) updateLocked(version int, doc wire.Profile) bool {
+	current, exists := v.profiles[doc.Name]
+	if exists && version <= current.Version() {
 		return false
 	}
-	// A watch event or a peer's copy from before the retirement can come after
-	// it; whatever its version, the name does not serve again.
-	if known && current.Retired() {
+	// A watch event or a peer's copy from before the retirement can arrive after
+	// it. A retired profile is never served again, whatever the version of such a
+	// document.
+	if exists && current.Retired() {
 		doc = current.Document()
 	}
 	if v.profiles == nil {
@@ -43,20 +43,22 @@
 	return true
 }
 
-// Remove retires a profile whose object was deleted at a version.
+// Remove retires a profile whose object was deleted at the given version, and
+// reports whether the view changed.
 func (v *View) Remove(version int, name string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	doc := wire.Profile{Name: name}
-	if current, known := v.profiles[name]; known {
+	if current, exists := v.profiles[name]; exists {
 		doc = current.Document()
 	}
 	doc.Retired = true
-	return v.adoptLocked(version, doc)
+	return v.updateLocked(version, doc)
 }
 
-// RemoveMissing retires the profiles that a listing taken at a version does
-// not have.
+// RemoveMissing retires the profiles that are missing from a listing taken at the
+// given version. It skips profiles whose version is not lower than that of
+// the listing, because the listing may predate them.
 func (v *View) RemoveMissing(version int, listed map[string]bool) {
 	for _, p := range v.All() {
 		if !listed[p.Name()] && !p.Retired() && p.Version() < version {
@@ -65,7 +67,7 @@
 	}
 }
 
-// Get returns a profile and whether it is known; it may be retired.
+// Get returns a profile, which may be retired, and whether the view contains it.
 func (v *View) Get(name string) (hibiscuscart.Profile, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -73,7 +75,7 @@
 	return p, ok
 }
 
-// All returns the profiles, retired ones too, sorted by name.
+// All returns all profiles, including retired ones, sorted by name.
 func (v *View) All() []hibiscuscart.Profile {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -85,7 +87,7 @@
 	return all
 }
 
-// Versions returns the versions in force, sorted by name.
+// Versions returns the active versions of all profiles, sorted by name.
 func (v *View) Versions() []wire.ProfileVersion {
 	all := v.All()
 	versions := make([]wire.ProfileVersion, len(all))
@@ -95,7 +97,8 @@
 	return versions
 }
 
-// Behind returns the names whose version here is lower than the given ones.
+// Behind returns the names of the profiles whose version in the view is lower
+// than the given version.
 func (v *View) Behind(versions []wire.ProfileVersion) []string {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
