--- a/httpx/failure.go
+++ b/httpx/failure.go
@@ -8,8 +8,9 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// SendFailure returns the Failure of a call that got no answer. What may have
-// been written decides: a request of which nothing was written has not run.
+// SendFailure returns the Failure for a call that received no answer. Its cause
+// depends on written, which reports whether a byte of the request may have been
+// written: a request of which nothing was written has not run.
 func SendFailure(ctx context.Context, written bool, err error) *hibiscuscart.Failure {
 	if cause, ended := ContextCause(ctx, written); ended {
 		return hibiscuscart.Fail(cause, "no answer").WithError(err)
@@ -24,8 +25,9 @@
 	return hibiscuscart.Fail(hibiscuscart.CauseNothingWritten, "the connection broke before the request").WithError(err)
 }
 
-// ContextCause returns the cause of a request whose context has ended, and
-// whether it has.
+// ContextCause returns the cause for a request whose context has ended, and
+// whether the context has ended. The cause depends on whether the request was
+// sent.
 func ContextCause(ctx context.Context, sent bool) (hibiscuscart.Cause, bool) {
 	err := ctx.Err()
 	switch {
--- a/httpx/httpx.go
+++ b/httpx/httpx.go
@@ -1,6 +1,6 @@
-// Package httpx makes HTTP calls and tells whether any byte of a request may
-// have reached the other side. A caller needs that to know whether a failed
-// call can have had an effect.
+// Package httpx makes HTTP calls and reports whether any byte of a request may
+// have reached the server, which determines whether a failed call can have had
+// an effect.
 package httpx
 
 import (
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// Defaults of the transports made here.
+// Defaults of the HTTP transport.
 const (
 	DialTimeout         = 2 * time.Second
 	idleConnTimeout     = 30 * time.Second
 	maxIdleConnsPerHost = 256
 )
 
-// Client sends requests and watches the connections they use. The zero value
-// dials with the defaults.
+// Client sends requests and tracks the bytes written to their connections. The
+// zero value dials with the defaults.
 type Client struct {
 	// Dial opens a connection; nil uses TCP with DialTimeout. Tests and
-	// experiments cut links here.
+	// experiments replace it to inject network failures.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	once sync.Once
-	http *http.Client
+	initOnce   sync.Once
+	httpClient *http.Client
 }
 
-// HTTP returns the client's *http.Client, whose transport opens connections
-// that count what is written to them.
+// HTTP returns the underlying *http.Client, whose connections count the bytes
+// written to them.
 func (c *Client) HTTP() *http.Client {
-	c.once.Do(c.init)
-	return c.http
+	c.initOnce.Do(c.init)
+	return c.httpClient
 }
 
 func (c *Client) init() {
@@ -50,80 +50,83 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	c.http = &http.Client{
+	c.httpClient = &http.Client{
 		Transport: transport,
-		// A followed redirect would send the request a second time.
+		// Following a redirect would send the request a second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// CloseIdle closes the connections that no request uses.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.HTTP().CloseIdleConnections() }
 
-// Do sends req. On an error, written tells whether a byte of the request may
-// have been written; when it is false the other side cannot have seen it.
+// Do sends req. On an error, written reports whether a byte of the request may
+// have been written; if it is false, the server cannot have received the request.
 //
-// The transport repeats a request on its own when a kept-alive connection
-// breaks and the request looks idempotent to it: a GET, or one with an
-// Idempotency-Key header. Callers that must not repeat a request send another
-// method and another header name; then it repeats only what was never written.
+// The transport retries a request by itself if a keep-alive connection breaks and
+// it considers the request idempotent: a GET, or a request with an
+// Idempotency-Key header. Callers that must not repeat a request use another
+// method and another header name; the transport then retries only requests of
+// which nothing was written.
 func (c *Client) Do(req *http.Request) (resp *http.Response, written bool, err error) {
-	var w watcher
-	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: w.gotConn})
+	var tracker writeTracker
+	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: tracker.gotConn})
 	resp, err = c.HTTP().Do(req.WithContext(ctx))
-	return resp, w.written(), err
+	return resp, tracker.written(), err
 }
 
-// watcher notes the connections a request was given and how many bytes each
-// had carried before.
-type watcher struct {
-	mu    sync.Mutex
-	conn  *countedConn
-	start int64
-	wrote bool
+// writeTracker determines whether a request may have been written to any of the
+// connections that it used. It compares the byte count of a connection with the
+// count from before the request.
+type writeTracker struct {
+	mu         sync.Mutex
+	conn       *countingConn
+	sentBefore int64
+	anyWritten bool
 }
 
-func (w *watcher) gotConn(info httptrace.GotConnInfo) {
+func (w *writeTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
-	conn, ok := info.Conn.(*countedConn)
+	w.checkConn()
+	conn, ok := info.Conn.(*countingConn)
 	if !ok {
-		// A connection that is not counted (TLS) may have carried anything.
-		w.wrote = true
+		// Bytes on an uncounted connection (TLS) are unknown, so the request may have
+		// been written.
+		w.anyWritten = true
 		return
 	}
 	w.conn = conn
-	w.start = conn.sent.Load()
+	w.sentBefore = conn.sentBytes.Load()
 }
 
-func (w *watcher) settle() {
-	if w.conn != nil && w.conn.sent.Load() != w.start {
-		w.wrote = true
+func (w *writeTracker) checkConn() {
+	if w.conn != nil && w.conn.sentBytes.Load() != w.sentBefore {
+		w.anyWritten = true
 	}
 }
 
-func (w *watcher) written() bool {
+func (w *writeTracker) written() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
-	return w.wrote
+	w.checkConn()
+	return w.anyWritten
 }
 
-// countedConn counts the bytes handed to the kernel. A write is counted before
-// it starts: one that fails part-way may have sent some.
-type countedConn struct {
+// countingConn counts the bytes passed to Write. A write is counted before it
+// starts, because a write that fails may have sent part of its bytes.
+type countingConn struct {
 	net.Conn
-	sent atomic.Int64
+	sentBytes atomic.Int64
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
-	c.sent.Add(int64(len(p)))
+func (c *countingConn) Write(p []byte) (int, error) {
+	c.sentBytes.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
--- a/httpx/httpx_test.go
+++ b/httpx/httpx_test.go
@@ -23,10 +23,9 @@
 	return req
 }
 
-// What a failed call may have done depends on whether its bytes were written:
-// a refused dial wrote none, a connection that broke while the answer was
-// awaited did.
-func TestWritten(t *testing.T) {
+// TestWrittenAfterFailure checks whether a failed call reports written bytes: a
+// refused connection has none; a connection that breaks before the response does.
+func TestWrittenAfterFailure(t *testing.T) {
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		closed  bool
@@ -34,7 +33,7 @@
 		cause   hibiscuscart.Cause
 	}{
 		"dial refused": {closed: true, written: false, cause: hibiscuscart.CauseDialFailed},
-		"broken after the request": {
+		"connection broken after the request": {
 			handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			written: true, cause: hibiscuscart.CauseLostBeforeAnswer,
 		},
@@ -57,20 +56,20 @@
 	}
 }
 
-// brokenConn is open for reading, and every write to it fails.
-type brokenConn struct{ net.Conn }
+// failingWriteConn is a connection on which every write fails.
+type failingWriteConn struct{ net.Conn }
 
 // Write implements net.Conn.
-func (brokenConn) Write([]byte) (int, error) { return 0, errors.New("broken") }
+func (failingWriteConn) Write([]byte) (int, error) { return 0, errors.New("broken") }
 
-// A connection breaks at the first write. The bytes are counted all the same, as
-// a failed write may have sent some: the caller is told "unknown", never a false
-// "not run".
+// TestFailedWriteCountsAsWritten guards against a wrong "not run" outcome when a
+// connection breaks at the first write. A failed write may have sent part of its
+// bytes, so they count as written and the outcome is "unknown".
 func TestFailedWriteCountsAsWritten(t *testing.T) {
 	client := httpx.Client{Dial: func(context.Context, string, string) (net.Conn, error) {
 		a, b := net.Pipe()
 		t.Cleanup(func() { _ = b.Close() })
-		return brokenConn{a}, nil
+		return failingWriteConn{a}, nil
 	}}
 	_, written, err := client.Do(post(t, "http://127.0.0.1:1/"))
 	require.Error(t, err)
@@ -80,19 +79,19 @@
 func TestContextCause(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	late, cancelLate := context.WithTimeout(context.Background(), 0)
-	defer cancelLate()
+	expired, cancelExpired := context.WithTimeout(context.Background(), 0)
+	defer cancelExpired()
 	cases := map[string]struct {
 		ctx   context.Context
 		sent  bool
 		ended bool
 		cause hibiscuscart.Cause
 	}{
-		"alive":             {context.Background(), true, false, hibiscuscart.CauseInternal},
+		"not ended":         {context.Background(), true, false, hibiscuscart.CauseInternal},
 		"canceled, unsent":  {canceled, false, true, hibiscuscart.CauseCanceledBeforeSend},
 		"canceled, sent":    {canceled, true, true, hibiscuscart.CauseCanceledAfterSend},
-		"timed out, unsent": {late, false, true, hibiscuscart.CauseWaitTimeout},
-		"timed out, sent":   {late, true, true, hibiscuscart.CauseTimeoutAfterSend},
+		"timed out, unsent": {expired, false, true, hibiscuscart.CauseWaitTimeout},
+		"timed out, sent":   {expired, true, true, hibiscuscart.CauseTimeoutAfterSend},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -103,10 +102,10 @@
 	}
 }
 
-func TestRedirectIsNotFollowed(t *testing.T) {
-	hits := 0
+func TestRedirectNotFollowed(t *testing.T) {
+	requests := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		hits++
+		requests++
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
 	defer s.Close()
@@ -116,5 +115,5 @@
 	_, _ = io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	require.Equal(t, http.StatusTemporaryRedirect, resp.StatusCode)
-	require.Equal(t, 1, hits)
+	require.Equal(t, 1, requests)
 }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter has the names of the system's metrics and serves them.
+// Package meter records the metrics of a VM and serves them over HTTP.
 package meter
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Set is the metrics of one VM. Each VM of a process has its own registry, so
-// that a demo of several VMs does not add them up.
+// Set holds the metrics of one VM. Each VM of a process has its own registry, so
+// that a demo with several VMs does not sum their metrics.
 type Set struct {
 	registry metrics.Registry
 }
@@ -17,7 +17,7 @@
 // New returns an empty Set.
 func New() *Set { return &Set{registry: metrics.NewRegistry()} }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (s *Set) Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, s.registry).Inc(n)
 }
@@ -27,7 +27,7 @@
 	return metrics.GetOrRegisterCounter(name, s.registry).Count()
 }
 
-// Gauge sets a gauge.
+// Gauge sets a gauge to v.
 func (s *Set) Gauge(name string, v int64) {
 	metrics.GetOrRegisterGauge(name, s.registry).Update(v)
 }
@@ -43,7 +43,7 @@
 	metrics.WriteJSONOnce(s.registry, w)
 }
 
-// ServeText serves the metrics as text, one value a line.
+// ServeText serves the metrics as text, with one value per line.
 func (s *Set) ServeText(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	metrics.WriteOnce(s.registry, w)
--- a/spans/spans.go
+++ b/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans sets up tracing: a span for each hop of a request, with the
-// W3C trace context carried to peers and back ends.
+// Package spans sets up tracing. Each hop of a request has a span; the W3C trace
+// context is propagated to peers and backend servers.
 package spans
 
 import (
@@ -20,21 +20,22 @@
 
 const tracerName = "github.com/hibiscuscart/hibiscuscart"
 
-// Config says where spans go.
+// Config configures the sampling and export of spans.
 type Config struct {
 	// Exporter is "none", "stderr" or "otlp".
 	Exporter string
-	// Endpoint is the host and port of the OTLP collector.
+	// Endpoint is the address (host and port) of the OTLP collector.
 	Endpoint string
-	// Sample is the share of requests that are traced.
+	// Sample is the fraction of requests that are traced.
 	Sample float64
-	// Node names the VM in each span.
+	// Node is the name of the VM, which is set on each span.
 	Node string
-	// Output takes the spans of the stderr exporter.
+	// Output is the destination of the stderr exporter.
 	Output io.Writer
 }
 
-// Setup installs the tracer for the process. The returned function flushes it.
+// Setup installs the global tracer provider. The returned function flushes the
+// remaining spans and shuts the provider down.
 func Setup(ctx context.Context, c Config) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	exporter, err := newExporter(ctx, c)
@@ -60,42 +61,43 @@
 	case "stderr":
 		exporter, err := stdouttrace.New(stdouttrace.WithWriter(c.Output))
 		if err != nil {
-			return nil, fmt.Errorf("span exporter: %w", err)
+			return nil, fmt.Errorf("create span exporter: %w", err)
 		}
 		return exporter, nil
 	case "otlp":
 		exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpoint(c.Endpoint), otlptracehttp.WithInsecure())
 		if err != nil {
-			return nil, fmt.Errorf("span exporter: %w", err)
+			return nil, fmt.Errorf("create span exporter: %w", err)
 		}
 		return exporter, nil
 	}
 	return nil, fmt.Errorf("span exporter %q is not none, stderr or otlp", c.Exporter)
 }
 
-// Start begins the span of a hop.
+// Start starts the span of a hop.
 func Start(ctx context.Context, name string, attrs ...attribute.KeyValue) (context.Context, oteltrace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, name, oteltrace.WithAttributes(attrs...))
 }
 
-const traceparent = "traceparent"
+const traceparentKey = "traceparent"
 
-// Inject returns the W3C trace context of a span, for a frame between VMs.
+// Inject returns the W3C trace context of the span in ctx, to send it in a frame
+// between VMs.
 func Inject(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, carrier)
-	return carrier[traceparent]
+	return carrier[traceparentKey]
 }
 
-// Extract returns ctx with the trace context of a frame.
+// Extract returns ctx with the W3C trace context that a frame carries.
 func Extract(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
 	}
-	return otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier{traceparent: parent})
+	return otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier{traceparentKey: parent})
 }
 
-// End ends a span, with err as its status.
+// End ends a span. If err is not nil, it sets the status of the span to err.
 func End(span oteltrace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
