--- a/wire/types.go
+++ b/wire/types.go
@@ -13,7 +13,7 @@
 	Version int `json:"version"`
 }
 
-// Object in the platform that divides the loads from the weight store among the
+// Platform object that divides the allowed loads from the weight store among the
 // failure domains.
 type Budget struct {
 	// Shares corresponds to the JSON schema field "shares".
@@ -37,13 +37,13 @@
 	WantsLoads int `json:"wants_loads"`
 }
 
-// A prompt prefix entered or left a server's cache; a hint, published late and
-// with gaps.
+// Reports that a prompt prefix was added to or evicted from a server's cache.
+// Events are hints: they are published late and some are missing.
 type CacheEvent struct {
 	// Evicted corresponds to the JSON schema field "evicted".
 	Evicted bool `json:"evicted"`
 
-	// Hash of the prefix, as 16 hexadecimal digits.
+	// Hash of the prefix as 16 hexadecimal digits.
 	Prefix string `json:"prefix"`
 
 	// Sequence corresponds to the JSON schema field "sequence".
@@ -60,13 +60,13 @@
 
 // One claim of an idempotency key. Times are Unix milliseconds.
 type Claim struct {
-	// The kept answer, when it is small enough.
+	// The stored answer, if it is small enough.
 	Answer string `json:"answer,omitempty,omitzero"`
 
 	// BodyHash corresponds to the JSON schema field "body_hash".
 	BodyHash string `json:"body_hash"`
 
-	// Identifier of the attempt the claim was granted to.
+	// Identifier of the attempt that was granted the claim.
 	Grant string `json:"grant"`
 
 	// GrantedMs corresponds to the JSON schema field "granted_ms".
@@ -78,11 +78,12 @@
 	// RetainUntilMs corresponds to the JSON schema field "retain_until_ms".
 	RetainUntilMs int `json:"retain_until_ms"`
 
-	// A released claim has not run; its key is free.
+	// The request of a released claim has not run; its key can be claimed again.
 	State ClaimState `json:"state"`
 }
 
-// Asks the owner of a shard to claim a key, or tells it how a claim ended.
+// Requests a claim of a key from the owner of a shard, or reports the outcome of a
+// claim to it.
 type ClaimCall struct {
 	// Answer corresponds to the JSON schema field "answer".
 	Answer string `json:"answer,omitempty,omitzero"`
@@ -93,7 +94,7 @@
 	// BusyMs corresponds to the JSON schema field "busy_ms".
 	BusyMs int `json:"busy_ms"`
 
-	// Number that the reply repeats.
+	// Number of the call, which the reply repeats.
 	Call int `json:"call"`
 
 	// Grant corresponds to the JSON schema field "grant".
@@ -147,44 +148,44 @@
 const ClaimStateReleased ClaimState = "released"
 const ClaimStateUnknown ClaimState = "unknown"
 
-// The configuration in force, for the VMs linked to the controller.
+// The active configuration, sent to the VMs linked to the controller.
 type ConfigState struct {
-	// The store's revision of it.
+	// Revision of the configuration object in the store.
 	Revision int `json:"revision"`
 
-	// The object's value, compressed with DEFLATE.
+	// Value of the object, compressed with DEFLATE.
 	Value string `json:"value"`
 }
 
-// Object in the platform: the lease of the VM that gives orders to the servers.
+// Platform object with the lease of the VM that sends orders to the servers.
 type ControllerLease struct {
-	// Where the holder takes links.
+	// Address on which the holder accepts links.
 	Address string `json:"address"`
 
-	// Blocked requests, which are not sent to servers because servers crashed during
-	// them.
+	// Requests that are blocked, so that they are not sent to servers, because
+	// servers crashed during them.
 	Blocked []SuspectRequest `json:"blocked,omitempty,omitzero"`
 
-	// Run of the holder's process.
+	// Identifier of the holder's process instance.
 	Boot string `json:"boot"`
 
-	// How long it lasts after each renewal.
+	// Duration of the lease in milliseconds after each renewal.
 	DurationMs int `json:"duration_ms"`
 
-	// Name of the VM; empty when it was given up.
+	// Name of the VM that holds the lease; empty if the lease was released.
 	Holder string `json:"holder"`
 
-	// What other VMs present to it; new with each holder.
+	// Key with which other VMs authenticate to the holder; new for each holder.
 	Key string `json:"key"`
 
-	// Number of renewals, so that each changes the object.
+	// Number of renewals; ensures that each renewal changes the object.
 	Renewals int `json:"renewals"`
 
-	// VMs that there are, the holder too; 0 when not known.
+	// Number of VMs, including the holder; 0 if unknown.
 	Vms int `json:"vms"`
 }
 
-// The controller that speaks for a failure domain.
+// The current controller of a failure domain.
 type Epoch struct {
 	// Controller corresponds to the JSON schema field "controller".
 	Controller string `json:"controller"`
@@ -193,12 +194,13 @@
 	FailureDomain string `json:"failure_domain"`
 }
 
-// Asks the controller for a server that holds a model and adapter, now or soon.
+// Requests from the controller a server that has a model and adapter loaded or
+// will have them soon.
 type FindCall struct {
 	// Adapter corresponds to the JSON schema field "adapter".
 	Adapter string `json:"adapter"`
 
-	// Number that the reply repeats.
+	// Number of the call, which the reply repeats.
 	Call int `json:"call"`
 
 	// Model corresponds to the JSON schema field "model".
@@ -208,21 +210,22 @@
 	Service string `json:"service"`
 }
 
-// Answers a find_call once a server holds what was asked for.
+// Answers a find_call once a server has the model and adapter loaded.
 type FindReply struct {
 	// Call corresponds to the JSON schema field "call".
 	Call int `json:"call"`
 
-	// Why there is none.
+	// Reason why there is no server.
 	Reason string `json:"reason,omitempty,omitzero"`
 
-	// ID of the server's start; empty when there is none.
+	// ID of the server process, which changes at each start; empty if there is no
+	// server.
 	Server string `json:"server"`
 }
 
-// An operator asks what the VM sees.
+// Requests the VM's view of the fleet for an operator.
 type FleetQuery struct {
-	// Whether the reply lists the backend servers.
+	// Set if the reply is to list the backend servers.
 	Servers bool `json:"servers,omitempty,omitzero"`
 }
 
@@ -237,40 +240,41 @@
 	Servers []ServerStatus `json:"servers"`
 }
 
-// The controller's view, for the VMs linked to it.
+// The controller's view of the fleet, sent to the VMs linked to it.
 type FleetState struct {
-	// Time since the platform's store last told the controller that it is current.
+	// Time in milliseconds since the platform's store last confirmed that the
+	// controller's view is current.
 	AgeMs int `json:"age_ms"`
 
-	// All servers are listed, not only those that changed.
+	// Set if all servers are listed, not only those that changed.
 	Full bool `json:"full"`
 
-	// The loads are told; without it those told before stand.
+	// Set if the frame contains the loads; otherwise those sent before remain valid.
 	HasLoads bool `json:"has_loads"`
 
-	// For how long the sender has known all servers.
+	// Time in milliseconds since the sender's list of servers became complete.
 	KnownMs int `json:"known_ms"`
 
 	// Lease corresponds to the JSON schema field "lease".
 	Lease ControllerLease `json:"lease"`
 
-	// Version of the lease's record in the platform when the controller renewed it
-	// last.
+	// Version of the lease object in the platform at the controller's last renewal.
 	LeaseVersion int `json:"lease_version"`
 
 	// All rate limits of servers; included with the loads.
 	Limits []ServerLimit `json:"limits,omitempty,omitzero"`
 
-	// What all VMs have at the servers.
+	// Load of all VMs on the servers.
 	Loads []ServerLoad `json:"loads"`
 
-	// Pause between frames that tell load, either way; told with the loads.
+	// Interval in milliseconds between frames with loads in either direction; sent
+	// with the loads.
 	PauseMs int `json:"pause_ms"`
 
-	// The sender passes the controller's word on.
+	// Set if the sender is a relay that forwards the controller's frames.
 	Relayed bool `json:"relayed"`
 
-	// VMs that pass the controller's word on in their failure domain; told with the
+	// VMs that forward the controller's frames in their failure domain; sent with the
 	// loads.
 	Relays []Relay `json:"relays"`
 
@@ -280,20 +284,21 @@
 	// Requests during which several servers crashed; sent with the loads.
 	Suspects []SuspectRequest `json:"suspects,omitempty,omitzero"`
 
-	// VMs linked to the controller, its own too.
+	// Number of VMs linked to the controller, including its own.
 	Vms int `json:"vms"`
 }
 
-// Heartbeats that the sender passes on, its own first.
+// Heartbeats that the sender forwards, its own first.
 type Gossip struct {
 	// Heartbeats corresponds to the JSON schema field "heartbeats".
 	Heartbeats []Heartbeat `json:"heartbeats"`
 }
 
-// What a VM says of itself, passed on by others: the higher incarnation, then the
-// higher sequence, replaces the lower.
+// State that a VM publishes about itself and other VMs forward. The higher
+// incarnation, then the higher sequence, replaces the lower.
 type Heartbeat struct {
-	// Digest of the versions of all configuration that the VM has in force.
+	// Digest of the versions of all configuration documents that are active on the
+	// VM.
 	ConfigHash int `json:"config_hash"`
 
 	// Demand corresponds to the JSON schema field "demand".
@@ -302,7 +307,8 @@
 	// FailureDomain corresponds to the JSON schema field "failure_domain".
 	FailureDomain string `json:"failure_domain"`
 
-	// Unix milliseconds of the start of the process, raised to refute a false death.
+	// Start time of the process in Unix milliseconds; the VM increases it to refute a
+	// false report that it is dead.
 	Incarnation int `json:"incarnation"`
 
 	// Models corresponds to the JSON schema field "models".
@@ -314,10 +320,10 @@
 	// PeerAddress corresponds to the JSON schema field "peer_address".
 	PeerAddress string `json:"peer_address"`
 
-	// Rises by one with each round of an incarnation.
+	// Increases by one with each round of an incarnation.
 	Sequence int `json:"sequence"`
 
-	// Dead is what others say of a silent VM.
+	// Other VMs set "dead" for a VM that sends no heartbeats.
 	State HeartbeatState `json:"state"`
 }
 
@@ -327,7 +333,7 @@
 const HeartbeatStateDead HeartbeatState = "dead"
 const HeartbeatStateLeaving HeartbeatState = "leaving"
 
-// A model that a server holds.
+// A model that a server has loaded.
 type HeldModel struct {
 	// Adapters corresponds to the JSON schema field "adapters".
 	Adapters []string `json:"adapters"`
@@ -336,32 +342,33 @@
 	Name string `json:"name"`
 }
 
-// The greeting: the first frame each side sends on a link.
+// The handshake: the first frame that each side sends on a link.
 type Hello struct {
-	// Where the VM takes links; empty when it takes none.
+	// Address on which the VM accepts links; empty if it accepts none.
 	Address string `json:"address"`
 
-	// Identifier that changes at each start of the process.
+	// Identifier of the process instance; changes at each start.
 	Boot string `json:"boot"`
 
 	// FailureDomain corresponds to the JSON schema field "failure_domain".
 	FailureDomain string `json:"failure_domain"`
 
-	// Processor share of the VM in thousandths of a core.
+	// CPU allocation of the VM in thousandths of a core.
 	Millicores int `json:"millicores"`
 
-	// Name of the sending VM, or of the operator's tool.
+	// Name of the sending VM or of the operator's tool.
 	Node string `json:"node"`
 
-	// Version of the protocol the sender speaks.
+	// Protocol version of the sender.
 	Protocol int `json:"protocol"`
 
-	// Other VMs of its failure domain are linked to it.
+	// Set if the VM is a relay for other VMs of its failure domain.
 	Relaying bool `json:"relaying"`
 }
 
-// Memory of a backend server that a controller has set aside: recorded before the
-// order is sent, kept until the engine reports the outcome.
+// Memory of a backend server that a controller has reserved. The reservation is
+// recorded before the order is sent and retained until the engine reports the
+// outcome.
 type Holding struct {
 	// Adapter corresponds to the JSON schema field "adapter".
 	Adapter string `json:"adapter,omitempty,omitzero"`
@@ -369,13 +376,13 @@
 	// Bytes corresponds to the JSON schema field "bytes".
 	Bytes int `json:"bytes"`
 
-	// Unix time in milliseconds of the last change of state.
+	// Time of the last state change in Unix milliseconds.
 	ChangedMs int `json:"changed_ms,omitempty,omitzero"`
 
 	// Model corresponds to the JSON schema field "model".
 	Model string `json:"model"`
 
-	// Identifier of the order; re-sending it is idempotent.
+	// Identifier of the order; resending the order is idempotent.
 	Order string `json:"order"`
 
 	// State corresponds to the JSON schema field "state".
@@ -392,7 +399,7 @@
 const HoldingStateLoading HoldingState = "loading"
 const HoldingStateUnloading HoldingState = "unloading"
 
-// A server that is bound to keep a model loaded.
+// A server that must keep a model loaded.
 type Keeper struct {
 	// Model corresponds to the JSON schema field "model".
 	Model string `json:"model"`
@@ -401,7 +408,7 @@
 	Server string `json:"server"`
 }
 
-// Object in the platform that says which copies of models must not be unloaded.
+// Platform object that lists the copies of models that must not be unloaded.
 type Keepers struct {
 	// Epochs corresponds to the JSON schema field "epochs".
 	Epochs []Epoch `json:"epochs"`
@@ -410,7 +417,8 @@
 	Keepers []Keeper `json:"keepers"`
 }
 
-// Object in the platform with what one backend server holds or is ordered to hold.
+// Platform object that records which models one backend server has loaded or was
+// ordered to load.
 type Ledger struct {
 	// Holdings corresponds to the JSON schema field "holdings".
 	Holdings []Holding `json:"holdings"`
@@ -419,7 +427,7 @@
 	Server string `json:"server"`
 }
 
-// What a backend server reports of itself, late by its lag.
+// Load that a backend server reports about itself; published with a lag.
 type LoadReport struct {
 	// Draining corresponds to the JSON schema field "draining".
 	Draining bool `json:"draining,omitempty,omitzero"`
@@ -449,7 +457,7 @@
 	UsedBytes int `json:"used_bytes"`
 }
 
-// One frame of a link between two of the system's processes; exactly one member is
+// One frame on a link between two of the system's processes. Exactly one member is
 // set.
 type Message struct {
 	// ClaimCall corresponds to the JSON schema field "claim_call".
@@ -521,18 +529,19 @@
 	Version int `json:"version"`
 }
 
-// Load that is offered for a model at a VM.
+// Offered load for a model on a VM.
 type ModelDemand struct {
-	// Requests in progress that the arrivals amount to, in thousandths.
+	// Mean number of requests in progress that results from the arrival rate, in
+	// thousandths.
 	Load int `json:"load"`
 
 	// Model corresponds to the JSON schema field "model".
 	Model string `json:"model"`
 }
 
-// Requests for a model since the last such frame.
+// Requests for a model since the previous report.
 type ModelWant struct {
-	// Empty for the model alone.
+	// Name of the adapter; empty for the base model.
 	Adapter string `json:"adapter"`
 
 	// Model corresponds to the JSON schema field "model".
@@ -544,7 +553,8 @@
 	// Service corresponds to the JSON schema field "service".
 	Service string `json:"service"`
 
-	// Time of a whole server that they take together.
+	// Total processing time of the requests in microseconds, as time of a whole
+	// server.
 	TimeUs int `json:"time_us"`
 }
 
@@ -571,14 +581,15 @@
 const NodeStatusStateLive NodeStatusState = "live"
 const NodeStatusStateUnknown NodeStatusState = "unknown"
 
-// The versions that the sender has, sent when digests differ; the receiver pushes
-// what it has newer and pulls what it has older.
+// Versions of the sender's configuration documents, sent when the digests differ.
+// The receiver pushes the documents of which it has a newer version and pulls
+// those of which it has an older one.
 type Offer struct {
 	// Versions corresponds to the JSON schema field "versions".
 	Versions []ProfileVersion `json:"versions"`
 }
 
-// An order to an engine; idempotent by its identifier.
+// An order to an engine. Its identifier makes it idempotent.
 type Order struct {
 	// Action corresponds to the JSON schema field "action".
 	Action OrderAction `json:"action"`
@@ -615,13 +626,13 @@
 const OrderRoleMixed OrderRole = "mixed"
 const OrderRolePrefill OrderRole = "prefill"
 
-// Requests a permit for one request to a server with a rate limit from the
-// controller.
+// Requests from the controller a permit for one request to a server with a rate
+// limit.
 type PermitCall struct {
-	// Number that the reply repeats.
+	// Number of the call, which the reply repeats.
 	Call int `json:"call"`
 
-	// ID of the server's start.
+	// ID of the server process; changes at each start.
 	Server string `json:"server"`
 }
 
@@ -630,15 +641,16 @@
 	// Number of the call.
 	Call int `json:"call"`
 
-	// 0 if the permit is granted, -1 if the controller does not know the limit,
+	// 0 if the permit is granted, -1 if the limit is unknown to the controller,
 	// otherwise the wait before the next call in microseconds.
 	WaitUs int `json:"wait_us"`
 }
 
-// A profile document: how a class of work is to be served. Accepted documents are
-// complete: defaults are filled in before they are stored.
+// A profile document, which defines how a class of requests is served. Accepted
+// documents are complete: defaults are filled in before they are stored.
 type Profile struct {
-	// 1 looks at attainment only, 0 at moves only.
+	// Weight of target attainment against model moves: 1 considers attainment only, 0
+	// moves only.
 	AttainmentWeight float64 `json:"attainment_weight"`
 
 	// Backend corresponds to the JSON schema field "backend".
@@ -650,7 +662,7 @@
 	// CallerWeights corresponds to the JSON schema field "caller_weights".
 	CallerWeights []CallerWeight `json:"caller_weights,omitempty,omitzero"`
 
-	// Requests in progress over all VMs.
+	// Maximum number of requests in progress on all VMs together.
 	ConcurrencyLimit int `json:"concurrency_limit"`
 
 	// FirstTokenMs corresponds to the JSON schema field "first_token_ms".
@@ -668,16 +680,16 @@
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name"`
 
-	// Pool of backend servers that serve it.
+	// Pool of backend servers that serve the profile.
 	Pool string `json:"pool"`
 
 	// 9 is the most urgent.
 	Priority int `json:"priority"`
 
-	// Requests that may wait at one VM.
+	// Maximum number of requests queued on one VM.
 	QueueLimit int `json:"queue_limit"`
 
-	// A retired profile serves nothing and never returns to force at a lower version.
+	// A retired profile serves no requests. A lower version never reactivates it.
 	Retired bool `json:"retired"`
 
 	// RunsAllowed corresponds to the JSON schema field "runs_allowed".
@@ -692,7 +704,7 @@
 const ProfileBackendEngine ProfileBackend = "engine"
 const ProfileBackendService ProfileBackend = "service"
 
-// Requests of a profile that are in progress or wait at a VM.
+// Number of requests of a profile that are in progress or queued on a VM.
 type ProfileDemand struct {
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name"`
@@ -701,7 +713,7 @@
 	Requests int `json:"requests"`
 }
 
-// Version of a document of the configuration.
+// Version of a configuration document.
 type ProfileVersion struct {
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name"`
@@ -710,15 +722,15 @@
 	Version int `json:"version"`
 }
 
-// Asks for the documents of the named profiles.
+// Requests the documents of the named profiles.
 type Pull struct {
 	// Names corresponds to the JSON schema field "names".
 	Names []string `json:"names"`
 }
 
-// Hands over one document of the configuration: profiles/NAME or servers/NAME.
+// Sends one configuration document: profiles/NAME or servers/NAME.
 type Push struct {
-	// The document as JSON; empty for a deleted object.
+	// The document as JSON; empty if the object was deleted.
 	Document string `json:"document"`
 
 	// Name corresponds to the JSON schema field "name".
@@ -728,13 +740,13 @@
 	Version int `json:"version"`
 }
 
-// Says why a frame was refused; the link closes after it.
+// Reports why a frame was rejected. The link closes after this frame.
 type Refusal struct {
 	// Reason corresponds to the JSON schema field "reason".
 	Reason string `json:"reason"`
 }
 
-// A VM that other VMs of its failure domain link to in place of the controller.
+// A VM that other VMs of its failure domain link to instead of the controller.
 type Relay struct {
 	// Address corresponds to the JSON schema field "address".
 	Address string `json:"address"`
@@ -742,16 +754,16 @@
 	// FailureDomain corresponds to the JSON schema field "failure_domain".
 	FailureDomain string `json:"failure_domain"`
 
-	// It takes links; until then it is told to begin.
+	// Set if the relay accepts links; until then this entry instructs it to start.
 	Ready bool `json:"ready"`
 }
 
-// The end of a server process while a request was in progress on it.
+// Exit of a server process while a request was in progress on it.
 type RequestCrash struct {
 	// Fingerprint of the request.
 	Request string `json:"request"`
 
-	// ID of the server's start.
+	// ID of the server process; changes at each start.
 	Server string `json:"server"`
 }
 
@@ -777,9 +789,9 @@
 const ResidentStateLoaded ResidentState = "loaded"
 const ResidentStateLoading ResidentState = "loading"
 
-// A backend server as the platform's configuration lists it.
+// A backend server as listed in the platform's configuration.
 type Server struct {
-	// IP number and port.
+	// IP address and port.
 	Address string `json:"address"`
 
 	// Backend corresponds to the JSON schema field "backend".
@@ -800,7 +812,7 @@
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name"`
 
-	// Longest time by which an order to the server can be late; 0 takes the default.
+	// Maximum delay of an order to the server; 0 selects the default.
 	OrderLatenessMs int `json:"order_lateness_ms,omitempty,omitzero"`
 
 	// Pool corresponds to the JSON schema field "pool".
@@ -820,58 +832,60 @@
 	// Maximum number of requests per second from all VMs together.
 	Rate float64 `json:"rate"`
 
-	// ID of the server's start.
+	// ID of the server process; changes at each start.
 	Server string `json:"server"`
 }
 
-// What some callers have at a backend server.
+// Load that a group of callers has on a backend server.
 type ServerLoad struct {
-	// Adapters in use, as MODEL/ADAPTER; only towards the controller.
+	// Adapters in use, as MODEL/ADAPTER; only set in frames to the controller.
 	Adapters []string `json:"adapters,omitempty,omitzero"`
 
-	// Time that the server needs to read the prompts of those without a first event.
+	// Time in microseconds that the server needs to process the prompts of the
+	// requests without a first event.
 	ReadingUs int `json:"reading_us"`
 
-	// Requests sent and not ended.
+	// Number of requests that were sent and have not ended.
 	Running int `json:"running"`
 
-	// ID of the server's start.
+	// ID of the server process; changes at each start.
 	Server string `json:"server"`
 
-	// Token memory that they need.
+	// Memory that the requests need, in tokens.
 	Tokens int `json:"tokens"`
 }
 
-// A backend server as the controller knows it.
+// The controller's state of a backend server.
 type ServerState struct {
 	// Address corresponds to the JSON schema field "address".
 	Address string `json:"address"`
 
-	// Unix time of its start, 0 when not known.
+	// Start time of the server in Unix milliseconds; 0 if unknown.
 	BornMs int `json:"born_ms"`
 
-	// How much longer it is slow after its start.
+	// Remaining time in milliseconds of the server's slow warm-up after its start.
 	ColdMs int `json:"cold_ms"`
 
-	// Failure domain.
+	// Failure domain of the server.
 	Domain string `json:"domain"`
 
 	// Draining corresponds to the JSON schema field "draining".
 	Draining bool `json:"draining"`
 
-	// Its entry was removed.
+	// Set if the server's entry was removed.
 	Gone bool `json:"gone"`
 
-	// Time until it may get work, when its entry rose again.
+	// Time in milliseconds until the server may receive requests, if its entry
+	// reappeared after its removal.
 	HoldMs int `json:"hold_ms"`
 
 	// Models corresponds to the JSON schema field "models".
 	Models []HeldModel `json:"models"`
 
-	// What the platform calls it.
+	// Name of the server in the platform.
 	Name string `json:"name"`
 
-	// ID of the server's start.
+	// ID of the server process; changes at each start.
 	Server string `json:"server"`
 
 	// Service corresponds to the JSON schema field "service".
@@ -880,7 +894,7 @@
 	// Slots corresponds to the JSON schema field "slots".
 	Slots int `json:"slots"`
 
-	// What stands in the store names no server now.
+	// Set if the server's entry in the store is currently invalid.
 	Unreadable bool `json:"unreadable"`
 }
 
@@ -911,47 +925,48 @@
 const ServerStatusStateLeaving ServerStatusState = "leaving"
 const ServerStatusStateSilent ServerStatusState = "silent"
 
-// The content of a segment.
+// The contents of a segment.
 type ShardClaims struct {
-	// Claims, packed as in the head.
+	// Claims, packed as in the shard head.
 	Packed string `json:"packed"`
 }
 
-// The head of a shard: its newest claims, and the segments that hold the older
-// ones, oldest first.
+// The head of a shard: its newest claims and references to the segments with the
+// older ones, oldest first.
 type ShardHead struct {
-	// Claims in the order in which they were recorded, packed: base64 of CBOR.
+	// Claims in the order in which they were recorded, packed as base64-encoded CBOR.
 	Recent string `json:"recent"`
 
 	// Segments corresponds to the JSON schema field "segments".
 	Segments []ShardSegment `json:"segments"`
 }
 
-// Refers to an object with claims of a shard that do not change any more.
+// Reference to an object that contains claims of a shard that no longer change.
 type ShardSegment struct {
-	// How many claims it holds.
+	// Number of claims in the segment.
 	Claims int `json:"claims"`
 
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name"`
 
-	// When its last claim may be forgotten.
+	// Time in Unix milliseconds after which the last claim of the segment may be
+	// discarded.
 	RetainUntilMs int `json:"retain_until_ms"`
 }
 
 // A request during which several servers crashed.
 type SuspectRequest struct {
-	// Number of server processes that ended during the request.
+	// Number of server processes that exited during the request.
 	Crashes int `json:"crashes"`
 
-	// Remaining block time; 0 if the request is not blocked.
+	// Remaining block time in milliseconds; 0 if the request is not blocked.
 	LeftMs int `json:"left_ms"`
 
 	// Fingerprint of the request.
 	Request string `json:"request"`
 }
 
-// An entry VM in the platform's lagging list.
+// An entry VM in the platform's list of VMs, which lags.
 type VM struct {
 	// FailureDomain corresponds to the JSON schema field "failure_domain".
 	FailureDomain string `json:"failure_domain"`
@@ -966,7 +981,8 @@
 	PeerAddress string `json:"peer_address"`
 }
 
-// Tells the controller what a VM has at the servers and what its callers ask for.
+// Reports a VM's load on the servers and the demand of its callers to the
+// controller.
 type VMReport struct {
 	// Fingerprints of requests with recorded crashes that a server has since answered
 	// completely.
@@ -975,8 +991,8 @@
 	// Server crashes during requests; only those not yet reported on this link.
 	Crashes []RequestCrash `json:"crashes,omitempty,omitzero"`
 
-	// IDs of servers that can not be reached or do not hold what they were thought
-	// to.
+	// IDs of servers that are unreachable or lack a model or adapter that the fleet
+	// state lists for them.
 	Doubts []string `json:"doubts"`
 
 	// Rate limits of servers that changed or ended since the last report on this
@@ -986,10 +1002,11 @@
 	// Loads corresponds to the JSON schema field "loads".
 	Loads []ServerLoad `json:"loads"`
 
-	// The sender takes links of its failure domain.
+	// Set if the sender is a relay, which accepts links from VMs of its failure
+	// domain.
 	Relaying bool `json:"relaying"`
 
-	// VMs that the report speaks for, the sender and those linked to it.
+	// Number of VMs that the report covers: the sender and the VMs linked to it.
 	Vms int `json:"vms"`
 
 	// Wants corresponds to the JSON schema field "wants".
