--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -51,7 +51,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Now()
-		req := &hibiscuscart.Request{ID: fmt.Sprint("r-", i), Profile: "draft", Model: "draft-1", Prompt: "menu", MaxTokens: overheadTokens, Arrived: now}
+		req := &hibiscuscart.Request{ID: fmt.Sprint("r-", i), Profile: "draft", Model: "draft-1", Prompt: "menu", MaxTokens: overheadTokens, ArrivedAt: now}
 		require.NoError(b, d.Exchange(context.Background(), req, sink))
 	}
 }
--- a/cause.go
+++ b/cause.go
@@ -22,7 +22,7 @@
 	CauseClaimUnavailable
 	CauseClaimMismatch
 	CauseClaimInProgress
-	CauseClaimDone
+	CauseAlreadyRan
 	CauseClaimUnknown
 	CauseGrantExpired
 	CauseNoServer
@@ -61,11 +61,11 @@
 	CauseQueueFull:           {"queue_full", OutcomeNotRun, http.StatusTooManyRequests, false, true},
 	CauseDeadlineUnreachable: {"deadline_unreachable", OutcomeNotRun, http.StatusServiceUnavailable, false, true},
 	CauseWaitTimeout:         {"wait_timeout", OutcomeNotRun, http.StatusServiceUnavailable, false, true},
-	CauseCanceledBeforeSend:  {"canceled_before_send", OutcomeNotRun, StatusClientClosed, false, false},
+	CauseCanceledBeforeSend:  {"canceled_before_send", OutcomeNotRun, StatusClientClosedRequest, false, false},
 	CauseClaimUnavailable:    {"claim_unavailable", OutcomeNotRun, http.StatusServiceUnavailable, false, true},
 	CauseClaimMismatch:       {"claim_mismatch", OutcomeNotRun, http.StatusUnprocessableEntity, false, false},
 	CauseClaimInProgress:     {"claim_in_progress", OutcomeUnknown, http.StatusConflict, false, true},
-	CauseClaimDone:           {"already_ran", OutcomeDone, http.StatusConflict, false, false},
+	CauseAlreadyRan:          {"already_ran", OutcomeDone, http.StatusConflict, false, false},
 	CauseClaimUnknown:        {"claim_unknown", OutcomeUnknown, http.StatusConflict, false, false},
 	CauseGrantExpired:        {"grant_expired", OutcomeNotRun, http.StatusServiceUnavailable, false, true},
 	CauseNoServer:            {"no_server", OutcomeNotRun, http.StatusServiceUnavailable, false, true},
@@ -75,14 +75,14 @@
 	CauseLostBeforeAnswer:    {"lost_before_answer", OutcomeUnknown, http.StatusBadGateway, false, false},
 	CauseLostInStream:        {"lost_in_stream", OutcomeUnknown, http.StatusBadGateway, false, false},
 	CauseTimeoutAfterSend:    {"timeout_after_send", OutcomeUnknown, http.StatusGatewayTimeout, false, false},
-	CauseCanceledAfterSend:   {"canceled_after_send", OutcomeUnknown, StatusClientClosed, false, false},
+	CauseCanceledAfterSend:   {"canceled_after_send", OutcomeUnknown, StatusClientClosedRequest, false, false},
 	CauseBackendError:        {"backend_error", OutcomeUnknown, http.StatusBadGateway, false, false},
 	CauseDone:                {"done", OutcomeDone, http.StatusOK, false, false},
 }
 
-// StatusClientClosed is the status logged when a caller closes its connection
-// before the answer. No caller receives it.
-const StatusClientClosed = 499
+// StatusClientClosedRequest is the status logged when a caller closes its
+// connection before the answer. No caller receives it.
+const StatusClientClosedRequest = 499
 
 func (c Cause) info() causeInfo {
 	if c < 0 || c >= causeCount {
--- a/engine/events.go
+++ b/engine/events.go
@@ -78,7 +78,7 @@
 	f := hibiscuscart.Frame{Attempt: body.ID, Sequence: sequence}
 	if len(body.Choices) > 0 {
 		f.Text = body.Choices[0].Text
-		f.Finish = body.Choices[0].Finish
+		f.FinishReason = body.Choices[0].Finish
 	}
 	return f, nil
 }
--- a/entry/account.go
+++ b/entry/account.go
@@ -30,7 +30,7 @@
 }
 
 func (s *accountStage) count(x *Exchange, err error) {
-	took := s.now().Sub(x.request.Arrived)
+	took := s.now().Sub(x.request.ArrivedAt)
 	s.meter.Count("request.total", 1)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
@@ -42,7 +42,7 @@
 	s.meter.Count("request.tokens", int64(x.tokens))
 	s.meter.Time("request.time", took)
 	if !x.firstAt.IsZero() {
-		s.meter.Time("request.first_token", x.firstAt.Sub(x.request.Arrived))
+		s.meter.Time("request.first_token", x.firstAt.Sub(x.request.ArrivedAt))
 	}
 	if x.attained(took) {
 		s.meter.Count("request.attained", 1)
@@ -51,16 +51,16 @@
 
 // attained reports whether the answer met the profile's targets.
 func (x *Exchange) attained(took time.Duration) bool {
-	if took > x.profile.WholeAnswer() {
+	if took > x.profile.AnswerTimeout() {
 		return false
 	}
 	if x.firstAt.IsZero() {
 		return true
 	}
-	if x.firstAt.Sub(x.request.Arrived) > x.profile.FirstToken() {
+	if x.firstAt.Sub(x.request.ArrivedAt) > x.profile.FirstTokenTarget() {
 		return false
 	}
-	return x.maxGap <= x.profile.BetweenTokens()
+	return x.maxGap <= x.profile.BetweenTokensTarget()
 }
 
 func (s *accountStage) write(x *Exchange, err error) {
@@ -76,5 +76,5 @@
 	event.Str("request", x.request.ID).Str("attempt", x.attempt).Str("profile", x.request.Profile).
 		Str("model", x.model).Str("server", x.server).Str("caller", x.request.Caller).
 		Int("runs", x.runs).Int("tokens", x.tokens).Bool("replayed", x.replayed).
-		Dur("took", s.now().Sub(x.request.Arrived)).Msg("request")
+		Dur("took", s.now().Sub(x.request.ArrivedAt)).Msg("request")
 }
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -167,7 +167,7 @@
 	}
 	if !x.profile.IsService() {
 		takes := time.Duration(firstTokenMargin * float64(g.first))
-		t.Target = x.request.Arrived.Add(max(x.profile.FirstToken()-takes, 0))
+		t.Target = x.request.ArrivedAt.Add(max(x.profile.FirstTokenTarget()-takes, 0))
 	}
 	return t
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -40,13 +40,13 @@
 }
 
 func (s *claimStage) run(ctx context.Context, x *Exchange, next Next) error {
-	if !x.profile.Once() || x.request.Key == "" {
+	if !x.profile.AtMostOnce() || x.request.IdempotencyKey == "" {
 		return next(ctx, x)
 	}
 	r := dedup.Request{
-		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.Key},
+		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.IdempotencyKey},
 		BodyHash: x.request.BodyHash(), Grant: x.request.ID,
-		Busy: x.profile.WholeAnswer() + time.Second, Retain: x.profile.KeyRetention(),
+		Busy: x.profile.AnswerTimeout() + time.Second, Retain: x.profile.KeyRetention(),
 	}
 	d, err := s.claim(ctx, r)
 	if d.Verdict != dedup.Granted {
@@ -104,7 +104,7 @@
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
 	var a hibiscuscart.Answer
 	if d.Answer == "" || json.Unmarshal([]byte(d.Answer), &a) != nil {
-		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
+		return hibiscuscart.Fail(hibiscuscart.CauseAlreadyRan, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
 	}
 	x.replayed = true
 	x.answer = a
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -48,7 +48,7 @@
 	return name, nil
 }
 
-func (d *Daemon) completions(kind hibiscuscart.Kind) http.HandlerFunc {
+func (d *Daemon) completions(kind hibiscuscart.RequestKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		d.exchange(w, r, func(body []byte) (*hibiscuscart.Request, error) {
 			return parseCompletion(body, r.Header, kind, d.config.Limits)
@@ -76,7 +76,7 @@
 		writeFailure(w, f, "")
 		return
 	}
-	req.Arrived = arrived
+	req.ArrivedAt = arrived
 	out := newWriter(w, req, d.config.Limits.WriteTimeout)
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	if err := d.Exchange(ctx, req, out.sink()); err != nil {
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -74,7 +74,7 @@
 }
 
 // parseCompletion parses a request of either completion interface.
-func parseCompletion(body []byte, h http.Header, kind hibiscuscart.Kind, limits Limits) (*hibiscuscart.Request, error) {
+func parseCompletion(body []byte, h http.Header, kind hibiscuscart.RequestKind, limits Limits) (*hibiscuscart.Request, error) {
 	var c completionBody
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, jsonFault(err)
@@ -223,8 +223,8 @@
 	if len(values) > 1 {
 		return badInput(HeaderKey, "the header stands more than once")
 	}
-	req.Key = h.Get(HeaderKey)
-	if len(req.Key) > maxKeyBytes {
+	req.IdempotencyKey = h.Get(HeaderKey)
+	if len(req.IdempotencyKey) > maxKeyBytes {
 		return badInput(HeaderKey, "the key has more than %d bytes", maxKeyBytes)
 	}
 	return nil
@@ -233,7 +233,7 @@
 // parsePass parses a call to a plain service, /services/PROFILE/PATH.
 func parsePass(r *http.Request, body []byte) (*hibiscuscart.Request, error) {
 	req := &hibiscuscart.Request{
-		ID: uuid.NewString(), Kind: hibiscuscart.KindPass, Profile: r.PathValue("profile"),
+		ID: uuid.NewString(), Kind: hibiscuscart.KindPassThrough, Profile: r.PathValue("profile"),
 		Method: r.Method, Path: "/" + r.PathValue("path"), ContentType: r.Header.Get("Content-Type"), Body: body,
 	}
 	if r.URL.RawQuery != "" {
--- a/entry/profile.go
+++ b/entry/profile.go
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
 	if x.model != "" {
-		s.usage.arrived(x.request.Arrived, x.model)
+		s.usage.arrived(x.request.ArrivedAt, x.model)
 	}
 	return next(ctx, x)
 }
@@ -42,14 +42,14 @@
 		return hibiscuscart.Fail(hibiscuscart.CauseProfileRetired, "the profile %q is retired", req.Profile).WithField("model")
 	}
 	x.profile = p
-	x.deadline = req.Arrived.Add(p.WholeAnswer())
-	if p.IsService() != (req.Kind == hibiscuscart.KindPass) {
+	x.deadline = req.ArrivedAt.Add(p.AnswerTimeout())
+	if p.IsService() != (req.Kind == hibiscuscart.KindPassThrough) {
 		return badInput("model", "the profile %q is not served through this interface", req.Profile)
 	}
 	if err := checkModel(x); err != nil {
 		return err
 	}
-	if p.Once() && req.Key == "" && !safe(req) {
+	if p.AtMostOnce() && req.IdempotencyKey == "" && !safe(req) {
 		return badInput(HeaderKey, "the profile %q runs a request at most once and needs this header", req.Profile)
 	}
 	return nil
@@ -57,7 +57,7 @@
 
 // safe reports whether a call reads only (RFC 9110, section 9.2.1).
 func safe(req *hibiscuscart.Request) bool {
-	return req.Kind == hibiscuscart.KindPass && (req.Method == http.MethodGet || req.Method == http.MethodHead)
+	return req.Kind == hibiscuscart.KindPassThrough && (req.Method == http.MethodGet || req.Method == http.MethodHead)
 }
 
 // checkModel fills in the only model of a profile, and checks the adapter and
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -140,7 +140,7 @@
 	if need.Service {
 		need.Prefix = 0
 	}
-	giveUp := x.request.Arrived.Add(x.profile.WholeAnswer() / 2)
+	giveUp := x.request.ArrivedAt.Add(x.profile.AnswerTimeout() / 2)
 	for {
 		now := s.now()
 		candidates := s.fleet.Candidates(now, need)
@@ -261,7 +261,7 @@
 		err = resumeResult(err, again)
 	}
 	if err == nil {
-		x.answer = hibiscuscart.Answer{Text: asm.Text(), Finish: asm.Finish(), Tokens: asm.Tokens()}
+		x.answer = hibiscuscart.Answer{Text: asm.Text(), FinishReason: asm.Finish(), Tokens: asm.Tokens()}
 		return s.deliver(x)
 	}
 	if hibiscuscart.AsFailure(err).Outcome() == hibiscuscart.OutcomeUnknown {
@@ -345,9 +345,9 @@
 func (s *relayStage) watched(ctx context.Context, x *Exchange, asm *relay.Assembly, stream func(context.Context, frameFunc) error) error {
 	inner, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(patience(x.profile.FirstToken(), firstTokenPatience), func() { cancel(errStalled) })
+	silence := time.AfterFunc(patience(x.profile.FirstTokenTarget(), firstTokenPatience), func() { cancel(errStalled) })
 	defer silence.Stop()
-	between := patience(x.profile.BetweenTokens(), betweenTokensPatience)
+	between := patience(x.profile.BetweenTokensTarget(), betweenTokensPatience)
 	err := stream(inner, func(f hibiscuscart.Frame) error {
 		silence.Reset(between)
 		return s.frame(x, asm, f)
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -19,7 +19,7 @@
 // once is an exchange of a request that may run once and has a claim.
 func once(deadline time.Time) *Exchange {
 	return &Exchange{
-		request: &hibiscuscart.Request{ID: "r", Key: "k"}, deadline: deadline,
+		request: &hibiscuscart.Request{ID: "r", IdempotencyKey: "k"}, deadline: deadline,
 		profile: hibiscuscart.NewProfile(1, wire.Profile{Backend: wire.ProfileBackendService, RunsAllowed: 1, WholeAnswerMs: 1000}),
 	}
 }
--- a/entry/sinks.go
+++ b/entry/sinks.go
@@ -56,7 +56,7 @@
 // sink returns the Sink for the form of answer that the request asks for.
 func (w *writer) sink() Sink {
 	switch {
-	case w.request.Kind == hibiscuscart.KindPass:
+	case w.request.Kind == hibiscuscart.KindPassThrough:
 		return Sink{Whole: w.passWhole}
 	case w.request.Stream:
 		return Sink{Text: w.streamText, Whole: w.streamWhole}
@@ -92,7 +92,7 @@
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
 	w.begin("application/json", http.StatusOK)
-	body := w.object(choice{Finish: &a.Finish})
+	body := w.object(choice{Finish: &a.FinishReason})
 	if w.request.Kind == hibiscuscart.KindChat {
 		body.Choices[0].Message = &hibiscuscart.Message{Role: "assistant", Content: a.Text}
 	} else {
@@ -114,7 +114,7 @@
 		}
 	}
 	return completion{
-		ID: w.request.ID, Object: object, Created: w.request.Arrived.Unix(),
+		ID: w.request.ID, Object: object, Created: w.request.ArrivedAt.Unix(),
 		Model: w.request.Profile + "/" + w.request.Model, Choices: []choice{c},
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 func (w *writer) streamWhole(a hibiscuscart.Answer) error {
-	last := choice{Finish: &a.Finish}
+	last := choice{Finish: &a.FinishReason}
 	if w.request.Kind == hibiscuscart.KindChat {
 		last.Delta = &delta{}
 	} else {
--- a/frame.go
+++ b/frame.go
@@ -9,8 +9,8 @@
 	Sequence int
 	// Text is the generated text.
 	Text string
-	// Finish is the reason why generation stopped; set on the last text frame.
-	Finish string
+	// FinishReason is the reason why generation stopped; set on the last text frame.
+	FinishReason string
 	// End marks the last frame of a complete answer.
 	End bool
 }
--- a/profile.go
+++ b/profile.go
@@ -50,22 +50,22 @@
 	return p.doc.Models[i], true
 }
 
-// FirstToken returns the target for the time to the first token.
-func (p Profile) FirstToken() time.Duration { return milliseconds(p.doc.FirstTokenMs) }
+// FirstTokenTarget returns the target for the time to the first token.
+func (p Profile) FirstTokenTarget() time.Duration { return milliseconds(p.doc.FirstTokenMs) }
 
-// BetweenTokens returns the target for the time between two tokens.
-func (p Profile) BetweenTokens() time.Duration { return milliseconds(p.doc.BetweenTokensMs) }
+// BetweenTokensTarget returns the target for the time between two tokens.
+func (p Profile) BetweenTokensTarget() time.Duration { return milliseconds(p.doc.BetweenTokensMs) }
 
-// WholeAnswer returns the target for the time to the complete answer. A request
+// AnswerTimeout returns the target for the time to the complete answer. A request
 // is aborted after this time.
-func (p Profile) WholeAnswer() time.Duration { return milliseconds(p.doc.WholeAnswerMs) }
+func (p Profile) AnswerTimeout() time.Duration { return milliseconds(p.doc.WholeAnswerMs) }
 
 // RunsAllowed returns how many times a request may be executed: 1 if requests
 // are not idempotent.
 func (p Profile) RunsAllowed() int { return max(p.doc.RunsAllowed, 1) }
 
-// Once reports whether a request may be executed at most once.
-func (p Profile) Once() bool { return p.RunsAllowed() == 1 }
+// AtMostOnce reports whether a request may be executed at most once.
+func (p Profile) AtMostOnce() bool { return p.RunsAllowed() == 1 }
 
 // Priority returns the priority; 9 is the most urgent.
 func (p Profile) Priority() int { return p.doc.Priority }
--- a/relay/assembly.go
+++ b/relay/assembly.go
@@ -89,8 +89,8 @@
 		return a.end()
 	}
 	a.last = f.Sequence
-	if f.Finish != "" {
-		a.finish = f.Finish
+	if f.FinishReason != "" {
+		a.finish = f.FinishReason
 	}
 	return a.take(f.Text)
 }
--- a/request.go
+++ b/request.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is the API through which a request arrived.
-type Kind int
+// RequestKind is the API through which a request arrived.
+type RequestKind int
 
 const (
 	// KindCompletion is a text completion.
-	KindCompletion Kind = iota
+	KindCompletion RequestKind = iota
 	// KindChat is a chat completion.
 	KindChat
-	// KindPass is a call that is passed through to a plain HTTP service.
-	KindPass
+	// KindPassThrough is a call that is passed through to a plain HTTP service.
+	KindPassThrough
 )
 
 // Message is one message of a chat.
@@ -30,7 +30,7 @@
 // stages keep their state elsewhere.
 type Request struct {
 	ID       string
-	Kind     Kind
+	Kind     RequestKind
 	Caller   string
 	Profile  string
 	Model    string
@@ -41,14 +41,14 @@
 	// profile's maximum.
 	MaxTokens int
 	Stream    bool
-	// Key is the caller's idempotency key, or "".
-	Key string
+	// IdempotencyKey is the caller's idempotency key, or "".
+	IdempotencyKey string
 	// Method, Path, ContentType and Body are those of a call to a plain service.
 	Method      string
 	Path        string
 	ContentType string
 	Body        []byte
-	Arrived     time.Time
+	ArrivedAt   time.Time
 }
 
 // BodyHash returns a digest of the content of the request. Requests with the
