--- a/cmd/hibiscuscart/check.go
+++ b/cmd/hibiscuscart/check.go
@@ -25,12 +25,12 @@
 		return misuse("one settings file must be named")
 	}
 	_, err := conf.Load(fs.Arg(0))
-	var faults *conf.FaultsError
+	var faults *conf.ValidationError
 	if errors.As(err, &faults) {
-		for _, f := range faults.Faults {
+		for _, f := range faults.Violations {
 			fmt.Println(f)
 		}
-		return fmt.Errorf("%s: %d faults", fs.Arg(0), len(faults.Faults))
+		return fmt.Errorf("%s: %d faults", fs.Arg(0), len(faults.Violations))
 	}
 	if err != nil {
 		return err
--- a/conf/check.go
+++ b/conf/check.go
@@ -14,8 +14,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one invalid, unknown or missing entry of a settings file.
-type Fault struct {
+// Violation is one invalid, unknown or missing entry of a settings file.
+type Violation struct {
 	Section string
 	Key     string
 	// Value is the invalid value; secrets are masked.
@@ -25,35 +25,35 @@
 }
 
 // String formats the violation as one line.
-func (f Fault) String() string {
-	if f.Key == "" {
-		return fmt.Sprintf("[%s]: %s", f.Section, f.Allowed)
+func (v Violation) String() string {
+	if v.Key == "" {
+		return fmt.Sprintf("[%s]: %s", v.Section, v.Allowed)
 	}
-	return fmt.Sprintf("[%s] %s = %s: allowed: %s", f.Section, f.Key, f.Value, f.Allowed)
+	return fmt.Sprintf("[%s] %s = %s: allowed: %s", v.Section, v.Key, v.Value, v.Allowed)
 }
 
-// FaultsError is the error for an invalid settings file. It lists all
+// ValidationError is the error for an invalid settings file. It lists all
 // violations.
-type FaultsError struct{ Faults []Fault }
+type ValidationError struct{ Violations []Violation }
 
 // Error implements error.
-func (e *FaultsError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, f := range e.Faults {
-		lines[i] = f.String()
+func (e *ValidationError) Error() string {
+	lines := make([]string, len(e.Violations))
+	for i, v := range e.Violations {
+		lines[i] = v.String()
 	}
-	return fmt.Sprintf("invalid settings: %d violations:\n%s", len(e.Faults), strings.Join(lines, "\n"))
+	return fmt.Sprintf("invalid settings: %d violations:\n%s", len(e.Violations), strings.Join(lines, "\n"))
 }
 
 // checker collects the violations of one file.
 type checker struct {
 	schema     schema
 	file       *ini.File
-	violations []Fault
+	violations []Violation
 }
 
 func (c *checker) addViolation(section, key, value, allowed string) {
-	c.violations = append(c.violations, Fault{Section: section, Key: key, Value: value, Allowed: allowed})
+	c.violations = append(c.violations, Violation{Section: section, Key: key, Value: value, Allowed: allowed})
 }
 
 // check validates all sections and keys against the schema and sorts the
@@ -68,7 +68,7 @@
 		}
 		c.checkMissing(name, nil, rules)
 	}
-	slices.SortStableFunc(c.violations, func(a, b Fault) int {
+	slices.SortStableFunc(c.violations, func(a, b Violation) int {
 		return strings.Compare(a.Section+"\x00"+a.Key, b.Section+"\x00"+b.Key)
 	})
 }
--- a/conf/node_test.go
+++ b/conf/node_test.go
@@ -31,9 +31,9 @@
 func TestNodeAllViolationsReported(t *testing.T) {
 	invalid := strings.Replace(minimalNodeSettings, "10.0.0.2:80", "somewhere", 1) + "[retries]\nshare = 7\n[drain]\nnap = 1s\n"
 	_, err := conf.ParseNode([]byte(invalid))
-	var faults *conf.FaultsError
-	require.ErrorAs(t, err, &faults)
-	require.Len(t, faults.Faults, 3)
+	var validationErr *conf.ValidationError
+	require.ErrorAs(t, err, &validationErr)
+	require.Len(t, validationErr.Violations, 3)
 	for _, want := range []string{`[store] address = "somewhere": allowed: an IP address`, `[retries] share = "7": allowed: a number from 0 to 1`, `[drain] nap`} {
 		require.Contains(t, err.Error(), want)
 	}
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -21,7 +21,7 @@
 }
 
 // Load reads and validates the settings file of a deployment. It returns a
-// FaultsError if the settings are invalid.
+// ValidationError if the settings are invalid.
 func Load(path string) (*Settings, error) { return load(path, Parse) }
 
 // LoadNode reads and validates the settings file of one VM.
@@ -61,7 +61,7 @@
 		checkReferences(c, settings)
 	}
 	if len(c.violations) > 0 {
-		return nil, &FaultsError{Faults: c.violations}
+		return nil, &ValidationError{Violations: c.violations}
 	}
 	return settings, nil
 }
@@ -230,11 +230,11 @@
 // Slots returns the maximum batch size of a server in streams.
 func (p Pool) Slots() int { return p.settings.Int(p.section(), "slots") }
 
-// FirstToken returns the time to the first token of a simulated server.
-func (p Pool) FirstToken() time.Duration { return p.settings.Duration(p.section(), "first_token") }
+// FirstTokenDelay returns the time to the first token of a simulated server.
+func (p Pool) FirstTokenDelay() time.Duration { return p.settings.Duration(p.section(), "first_token") }
 
-// BetweenTokens returns the time between two tokens of a simulated server.
-func (p Pool) BetweenTokens() time.Duration {
+// TokenInterval returns the time between two tokens of a simulated server.
+func (p Pool) TokenInterval() time.Duration {
 	return p.settings.Duration(p.section(), "between_tokens")
 }
 
--- a/conf/settings_test.go
+++ b/conf/settings_test.go
@@ -39,14 +39,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := conf.Parse([]byte(minimalSettings(t) + c.extra))
-			var faults *conf.FaultsError
-			require.ErrorAs(t, err, &faults)
-			require.Len(t, faults.Faults, 1)
-			f := faults.Faults[0]
-			require.Equal(t, c.section, f.Section)
-			require.Equal(t, c.key, f.Key)
-			require.Equal(t, c.value, f.Value)
-			require.Contains(t, f.Allowed, c.allowed)
+			var validationErr *conf.ValidationError
+			require.ErrorAs(t, err, &validationErr)
+			require.Len(t, validationErr.Violations, 1)
+			violation := validationErr.Violations[0]
+			require.Equal(t, c.section, violation.Section)
+			require.Equal(t, c.key, violation.Key)
+			require.Equal(t, c.value, violation.Value)
+			require.Contains(t, violation.Allowed, c.allowed)
 		})
 	}
 }
@@ -55,9 +55,9 @@
 	data, err := os.ReadFile("testdata/five_violations.ini")
 	require.NoError(t, err)
 	_, err = conf.Parse(data)
-	var faults *conf.FaultsError
-	require.True(t, errors.As(err, &faults))
-	require.Len(t, faults.Faults, 5)
+	var validationErr *conf.ValidationError
+	require.True(t, errors.As(err, &validationErr))
+	require.Len(t, validationErr.Violations, 5)
 }
 
 func TestParsedValues(t *testing.T) {
--- a/demo/world.go
+++ b/demo/world.go
@@ -177,7 +177,7 @@
 func NewEngine(pool conf.Pool, name string) *stand.Engine {
 	return &stand.Engine{
 		Name: name, MemoryBytes: pool.MemoryBytes(), KVBytes: pool.KVBytes(), Slots: pool.Slots(),
-		FirstToken: pool.FirstToken(), BetweenTokens: pool.BetweenTokens(), ChecksFencing: pool.ChecksFencing(),
+		FirstToken: pool.FirstTokenDelay(), BetweenTokens: pool.TokenInterval(), ChecksFencing: pool.ChecksFencing(),
 	}
 }
 
