--- a/cmd/hibiscuscart/operate.go
+++ b/cmd/hibiscuscart/operate.go
@@ -75,7 +75,7 @@
 func (o *operation) operator() *profs.Operator {
 	c := store.New("http://"+o.settings.Text("platform", "address"), o.settings.Text("platform", "key"), "operator")
 	operator := profs.NewOperator(c)
-	operator.Fits = profs.FitsIn(c.List)
+	operator.CheckCapacity = profs.CapacityCheck(c.List)
 	return operator
 }
 
@@ -168,7 +168,7 @@
 }
 
 func (o *operation) list(ctx context.Context, _ []string) error {
-	list, err := o.operator().List(ctx, profs.Kind)
+	list, err := o.operator().List(ctx, profs.ObjectKind)
 	if err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 func versionOf(reply *wire.FleetReply, node, name string) int {
 	for _, n := range reply.Nodes {
 		for _, v := range n.Versions {
-			if n.Node == node && v.Name == profs.Kind+"/"+name {
+			if n.Node == node && v.Name == profs.ObjectKind+"/"+name {
 				return v.Version
 			}
 		}
--- a/demo/look.go
+++ b/demo/look.go
@@ -57,7 +57,7 @@
 // UnreachableModels returns the models and adapters that no engine holds.
 func (w *World) UnreachableModels() []ctrl.Artifact {
 	var missing []ctrl.Artifact
-	for _, obj := range w.Platform.List(profs.Kind).Items {
+	for _, obj := range w.Platform.List(profs.ObjectKind).Items {
 		doc, err := profs.Parse(obj.Value)
 		if err != nil || doc.Retired {
 			continue
--- a/demo/world.go
+++ b/demo/world.go
@@ -211,7 +211,7 @@
 }
 
 // ApplyProfile puts a profile in the platform.
-func (w *World) ApplyProfile(doc wire.Profile) error { return w.put(profs.Kind, doc.Name, doc) }
+func (w *World) ApplyProfile(doc wire.Profile) error { return w.put(profs.ObjectKind, doc.Name, doc) }
 
 // SetServer changes a backend server's entry.
 func (w *World) SetServer(doc wire.Server) error { return w.put(entry.KindServer, doc.Name, doc) }
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -17,7 +17,7 @@
 
 // Prefixes of the names of documents.
 const (
-	profilePrefix = profs.Kind + "/"
+	profilePrefix = profs.ObjectKind + "/"
 	serverPrefix  = KindServer + "/"
 )
 
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -298,7 +298,7 @@
 // conflict with the version that is there now.
 func TestOperatorsRace(t *testing.T) {
 	w := world(t, nil)
-	obj, ok := w.Platform.Get(profs.Kind, "draft")
+	obj, ok := w.Platform.Get(profs.ObjectKind, "draft")
 	require.True(t, ok)
 	doc, err := profs.Parse(obj.Value)
 	require.NoError(t, err)
@@ -324,13 +324,13 @@
 func TestProfileThatDoesNotFit(t *testing.T) {
 	w := world(t, nil)
 	operator := profs.NewOperator(w.StoreClient("operator"))
-	operator.Fits = profs.FitsIn(w.StoreClient("operator").List)
+	operator.CheckCapacity = profs.CapacityCheck(w.StoreClient("operator").List)
 	doc := smallProfiles()[0]
 	doc.Models = append(doc.Models, wire.Model{Name: "huge", Version: 1, Bytes: 9 << 30})
 	_, err := operator.Apply(context.Background(), doc, -1)
 	require.ErrorContains(t, err, "huge (9663676416 bytes with its adapters) fits on no server")
 	var stored wire.Profile
-	obj, _ := w.Platform.Get(profs.Kind, "draft")
+	obj, _ := w.Platform.Get(profs.ObjectKind, "draft")
 	require.NoError(t, json.Unmarshal(obj.Value, &stored))
 	require.Len(t, stored.Models, 1)
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -18,7 +18,7 @@
 // followProfiles keeps the profiles in force up to date, from the platform.
 func (d *Daemon) followProfiles(ctx context.Context) {
 	d.whileWatching(ctx, "profiles", d.caughtProfiles.Load, func(ctx context.Context) {
-		d.store.Follow(ctx, profs.Kind, d.takeProfileListing, d.takeProfileEvent)
+		d.store.Follow(ctx, profs.ObjectKind, d.takeProfileListing, d.takeProfileEvent)
 	})
 }
 
@@ -28,7 +28,7 @@
 		listed[obj.Name] = true
 		d.adopt(profilePrefix+obj.Name, obj.Version, string(obj.Value))
 	}
-	d.profiles.RemoveMissing(list.Version, listed)
+	d.profiles.RetireMissing(list.Version, listed)
 	d.caughtProfiles.Store(true)
 }
 
@@ -37,7 +37,7 @@
 		d.adopt(profilePrefix+e.Name, e.Version, string(e.Value))
 		return
 	}
-	if d.profiles.Remove(e.Version, e.Name) {
+	if d.profiles.Retire(e.Version, e.Name) {
 		d.peers.spread(d.base, profilePrefix+e.Name)
 	}
 }
@@ -51,7 +51,7 @@
 		d.log.Error().Err(err).Str("profile", name).Int("version", version).Msg("profile document not valid")
 		return false
 	}
-	if !d.profiles.Adopt(version, doc) {
+	if !d.profiles.Update(version, doc) {
 		return false
 	}
 	d.meter.Count("profile.adopted", 1)
--- a/profs/fits.go
+++ b/profs/fits.go
@@ -13,17 +13,17 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// FitsIn returns a check that rejects a document if its models do not fit on the
-// pool's servers together with the models of the other profiles. It requires
-// free memory for a second copy of the largest model, so that a model can be
-// moved by loading the new copy before unloading the old one.
-func FitsIn(list func(ctx context.Context, kind string) (store.Listing, error)) func(context.Context, wire.Profile) error {
+// CapacityCheck returns a check that rejects a document if its models do not fit
+// on the pool's servers together with the models of the other profiles. It
+// requires free memory for a second copy of the largest model, so that a model
+// can be moved by loading the new copy before unloading the old one.
+func CapacityCheck(list func(ctx context.Context, kind string) (store.Listing, error)) func(context.Context, wire.Profile) error {
 	return func(ctx context.Context, doc wire.Profile) error {
 		servers, err := list(ctx, "servers")
 		if err != nil {
 			return fmt.Errorf("list servers: %w", err)
 		}
-		profiles, err := list(ctx, Kind)
+		profiles, err := list(ctx, ObjectKind)
 		if err != nil {
 			return fmt.Errorf("list profiles: %w", err)
 		}
--- a/profs/operate.go
+++ b/profs/operate.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Kind is the kind of the platform's objects that contain profiles.
-const Kind = "profiles"
+// ObjectKind is the kind of the platform's objects that contain profiles.
+const ObjectKind = "profiles"
 
 // Operator applies changes by operators to the stored profiles. Its Get, List
 // and Put fields are the calls to the platform.
@@ -20,9 +20,9 @@
 	Get  func(ctx context.Context, kind, name string) (store.Object, error)
 	List func(ctx context.Context, kind string) (store.Listing, error)
 	Put  func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
-	// Fits returns an error if the servers cannot serve a document. If nil,
-	// Apply skips the check.
-	Fits func(ctx context.Context, doc wire.Profile) error
+	// CheckCapacity returns an error if the servers cannot serve a document. If
+	// nil, Apply skips the check.
+	CheckCapacity func(ctx context.Context, doc wire.Profile) error
 }
 
 // NewOperator returns an Operator that calls the platform through c.
@@ -33,7 +33,7 @@
 // Lookup returns a profile and its version, or version 0 if the profile does not
 // exist.
 func (o *Operator) Lookup(ctx context.Context, name string) (wire.Profile, int, error) {
-	obj, err := o.Get(ctx, Kind, name)
+	obj, err := o.Get(ctx, ObjectKind, name)
 	if trace.IsNotFound(err) {
 		return wire.Profile{}, 0, nil
 	}
@@ -64,8 +64,8 @@
 	if ifVersion != version {
 		return 0, fmt.Errorf("apply %s: %w", doc.Name, &store.ConflictError{Current: version})
 	}
-	if o.Fits != nil {
-		if err := o.Fits(ctx, doc); err != nil {
+	if o.CheckCapacity != nil {
+		if err := o.CheckCapacity(ctx, doc); err != nil {
 			return 0, fmt.Errorf("apply %s: %w", doc.Name, err)
 		}
 	}
@@ -91,7 +91,7 @@
 // write makes the conditional update. If its answer is lost, write reads the
 // object back to determine the result.
 func (o *Operator) write(ctx context.Context, doc wire.Profile, ifVersion int) (int, error) {
-	version, err := o.Put(ctx, Kind, doc.Name, ifVersion, doc)
+	version, err := o.Put(ctx, ObjectKind, doc.Name, ifVersion, doc)
 	if err == nil {
 		return version, nil
 	}
@@ -102,7 +102,7 @@
 }
 
 func (o *Operator) confirmWrite(ctx context.Context, doc wire.Profile, ifVersion int, writeErr error) (int, error) {
-	obj, err := o.Get(ctx, Kind, doc.Name)
+	obj, err := o.Get(ctx, ObjectKind, doc.Name)
 	if err != nil {
 		return 0, fmt.Errorf("write profile: the change may have been accepted; check the current version: %w", writeErr)
 	}
--- a/profs/parse.go
+++ b/profs/parse.go
@@ -14,8 +14,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Fault is one invalid field of a profile document.
-type Fault struct {
+// Violation is one invalid field of a profile document.
+type Violation struct {
 	// Field is the path of the field, such as models[2].bytes.
 	Field string
 	// Value is the invalid value.
@@ -25,8 +25,8 @@
 }
 
 // String formats the violation as one line.
-func (f Fault) String() string {
-	return fmt.Sprintf("%s: %s is not allowed; allowed: %s", f.Field, f.Value, f.Allowed)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s: %s is not allowed; allowed: %s", v.Field, v.Value, v.Allowed)
 }
 
 // Defaults returns a document with the default value of every field.
@@ -50,15 +50,15 @@
 	if dec.More() {
 		return wire.Profile{}, trace.BadParameter("parse profile document: more than one JSON value")
 	}
-	faults := Validate(doc)
-	if len(faults) == 0 {
+	violations := Validate(doc)
+	if len(violations) == 0 {
 		return doc, nil
 	}
-	lines := make([]string, len(faults))
-	for i, f := range faults {
-		lines[i] = f.String()
+	lines := make([]string, len(violations))
+	for i, v := range violations {
+		lines[i] = v.String()
 	}
-	return wire.Profile{}, trace.BadParameter("invalid profile document: %d violations:\n%s", len(faults), strings.Join(lines, "\n"))
+	return wire.Profile{}, trace.BadParameter("invalid profile document: %d violations:\n%s", len(violations), strings.Join(lines, "\n"))
 }
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
@@ -85,7 +85,7 @@
 }
 
 // Validate returns all violations of a document.
-func Validate(doc wire.Profile) []Fault {
+func Validate(doc wire.Profile) []Violation {
 	v := &validator{}
 	v.checkName("name", doc.Name)
 	v.checkBackend(doc)
@@ -106,10 +106,10 @@
 	return v.violations
 }
 
-type validator struct{ violations []Fault }
+type validator struct{ violations []Violation }
 
 func (v *validator) addViolation(field, value, allowed string) {
-	v.violations = append(v.violations, Fault{Field: field, Value: value, Allowed: allowed})
+	v.violations = append(v.violations, Violation{Field: field, Value: value, Allowed: allowed})
 }
 
 func (v *validator) checkName(field, value string) {
--- a/profs/view.go
+++ b/profs/view.go
@@ -17,9 +17,9 @@
 	profiles map[string]hibiscuscart.Profile
 }
 
-// Adopt replaces the active version of a profile if the given version is higher,
+// Update replaces the active version of a profile if the given version is higher,
 // and reports whether it did.
-func (v *View) Adopt(version int, doc wire.Profile) bool {
+func (v *View) Update(version int, doc wire.Profile) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.updateLocked(version, doc)
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Remove retires a profile whose object was deleted at the given version, and
+// Retire retires a profile whose object was deleted at the given version, and
 // reports whether the view changed.
-func (v *View) Remove(version int, name string) bool {
+func (v *View) Retire(version int, name string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	doc := wire.Profile{Name: name}
@@ -56,13 +56,13 @@
 	return v.updateLocked(version, doc)
 }
 
-// RemoveMissing retires the profiles that are missing from a listing taken at the
+// RetireMissing retires the profiles that are missing from a listing taken at the
 // given version. It skips profiles whose version is not lower than that of
 // the listing, because the listing may predate them.
-func (v *View) RemoveMissing(version int, listed map[string]bool) {
+func (v *View) RetireMissing(version int, listed map[string]bool) {
 	for _, p := range v.All() {
 		if !listed[p.Name()] && !p.Retired() && p.Version() < version {
-			v.Remove(version, p.Name())
+			v.Retire(version, p.Name())
 		}
 	}
 }
@@ -97,9 +97,9 @@
 	return versions
 }
 
-// Behind returns the names of the profiles whose version in the view is lower
+// OutdatedNames returns the names of the profiles whose version in the view is lower
 // than the given version.
-func (v *View) Behind(versions []wire.ProfileVersion) []string {
+func (v *View) OutdatedNames(versions []wire.ProfileVersion) []string {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var names []string
