--- a/bench/pair.go
+++ b/bench/pair.go
@@ -95,7 +95,7 @@
 	out.faults = <-faults
 	out.summary = w.Sum(t.classes, out.results)
 	for _, d := range daemons {
-		out.attempts += d.Metrics().Counter("relay.attempts")
+		out.attempts += d.Metrics().CounterValue("relay.attempts")
 	}
 	if o.Out != nil {
 		name := "ours"
--- a/cmd/hibiscuscart/serve.go
+++ b/cmd/hibiscuscart/serve.go
@@ -74,7 +74,7 @@
 func setUpTraces(ctx context.Context, settings *conf.Settings, vm string) (func(context.Context) error, error) {
 	flush, err := spans.Setup(ctx, spans.Config{
 		Exporter: settings.Text("traces", "exporter"), Endpoint: settings.Text("traces", "endpoint"),
-		Sample: settings.Float("traces", "sample"), Node: vm, Output: os.Stderr,
+		SampleRatio: settings.Float("traces", "sample"), VMName: vm, Output: os.Stderr,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("set up traces: %w", err)
--- a/demo/world.go
+++ b/demo/world.go
@@ -285,7 +285,7 @@
 func (w *World) PeerBytes() int64 {
 	total := int64(0)
 	for _, d := range w.VMs() {
-		total += d.Metrics().Counter("peers.bytes_sent") + d.Metrics().Counter("peers.bytes_received")
+		total += d.Metrics().CounterValue("peers.bytes_sent") + d.Metrics().CounterValue("peers.bytes_received")
 	}
 	return total
 }
--- a/entry/account.go
+++ b/entry/account.go
@@ -16,7 +16,7 @@
 type accountStage struct {
 	now   func() time.Time
 	log   zerolog.Logger
-	meter *meter.Set
+	meter *meter.Registry
 }
 
 func (s *accountStage) run(ctx context.Context, x *Exchange, next Next) error {
@@ -31,21 +31,21 @@
 
 func (s *accountStage) count(x *Exchange, err error) {
 	took := s.now().Sub(x.request.ArrivedAt)
-	s.meter.Count("request.total", 1)
+	s.meter.AddCounter("request.total", 1)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
-		s.meter.Count("request.failed."+f.Cause().String(), 1)
-		s.meter.Count("request.outcome."+f.Outcome().String(), 1)
+		s.meter.AddCounter("request.failed."+f.Cause().String(), 1)
+		s.meter.AddCounter("request.outcome."+f.Outcome().String(), 1)
 		return
 	}
-	s.meter.Count("request.outcome.done", 1)
-	s.meter.Count("request.tokens", int64(x.tokens))
-	s.meter.Time("request.time", took)
+	s.meter.AddCounter("request.outcome.done", 1)
+	s.meter.AddCounter("request.tokens", int64(x.tokens))
+	s.meter.RecordDuration("request.time", took)
 	if !x.firstAt.IsZero() {
-		s.meter.Time("request.first_token", x.firstAt.Sub(x.request.ArrivedAt))
+		s.meter.RecordDuration("request.first_token", x.firstAt.Sub(x.request.ArrivedAt))
 	}
 	if x.attained(took) {
-		s.meter.Count("request.attained", 1)
+		s.meter.AddCounter("request.attained", 1)
 	}
 }
 
--- a/entry/claimer.go
+++ b/entry/claimer.go
@@ -78,7 +78,7 @@
 	r = claim.NewRunner(fmt.Sprintf("shard-%d", shard), c.d.store, c.d.now)
 	r.Interval = c.d.config.ClaimInterval
 	r.Failed = func(err error) {
-		c.d.meter.Count("claim.shard_failed", 1)
+		c.d.meter.AddCounter("claim.shard_failed", 1)
 		c.d.log.Warn().Err(err).Int("shard", shard).Msg("claims are not granted")
 	}
 	c.runners[shard] = r
@@ -98,7 +98,7 @@
 	if err == nil {
 		return decisionOf(r, reply), nil
 	}
-	c.d.meter.Count("claim.owner_failed", 1)
+	c.d.meter.AddCounter("claim.owner_failed", 1)
 	if !errors.Is(err, errNotSent) {
 		// The owner may grant the claim yet. This VM will not send the request
 		// under that grant, and so may withdraw it; it goes on under another,
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -34,7 +34,7 @@
 	claims Claims
 	now    func() time.Time
 	log    zerolog.Logger
-	meter  *meter.Set
+	meter  *meter.Registry
 	// settling counts the claims whose end is being recorded.
 	settling sync.WaitGroup
 }
@@ -74,8 +74,8 @@
 	began := s.now()
 	d, err := s.claims.Claim(ctx, began, r)
 	spans.End(span, err)
-	s.meter.Time("claim.time", s.now().Sub(began))
-	s.meter.Count("claim."+d.Verdict.String(), 1)
+	s.meter.RecordDuration("claim.time", s.now().Sub(began))
+	s.meter.AddCounter("claim."+d.Verdict.String(), 1)
 	return d, err
 }
 
@@ -135,7 +135,7 @@
 		err = s.claims.Finish(ctx, s.now(), r, d, wire.ClaimStateUnknown, "")
 	}
 	if err != nil {
-		s.meter.Count("claim.not_settled", 1)
+		s.meter.AddCounter("claim.not_settled", 1)
 		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("claim not settled")
 	}
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if err := c.keepLease(ctx); err != nil {
-		c.d.meter.Count("control.lease_failed", 1)
+		c.d.meter.AddCounter("control.lease_failed", 1)
 	}
 	if !c.keeper.Held(c.d.now()) {
 		c.term = nil
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	if err := c.work(ctx); err != nil {
-		c.d.meter.Count("control.failed", 1)
+		c.d.meter.AddCounter("control.failed", 1)
 		c.d.log.Warn().Err(err).Msg("control step failed")
 	}
 }
@@ -302,10 +302,10 @@
 			return fmt.Errorf("send order: %w", err)
 		}
 		if err != nil {
-			c.d.meter.Count("control.orders_failed", 1)
+			c.d.meter.AddCounter("control.orders_failed", 1)
 			continue
 		}
-		c.d.meter.Count("control.orders", 1)
+		c.d.meter.AddCounter("control.orders", 1)
 	}
 	return nil
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -45,7 +45,7 @@
 	boot    string
 	log     zerolog.Logger
 	now     func() time.Time
-	meter   *meter.Set
+	meter   *meter.Registry
 	store   *store.Client
 	engines *engine.Client
 	plain   *plain.Client
@@ -151,7 +151,7 @@
 }
 
 // Metrics returns the VM's metrics.
-func (d *Daemon) Metrics() *meter.Set { return d.meter }
+func (d *Daemon) Metrics() *meter.Registry { return d.meter }
 
 // FailureDomain returns where the VM is.
 func (d *Daemon) FailureDomain() string { return d.config.FailureDomain }
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -63,8 +63,8 @@
 		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", id, 16))
 		require.Equal(t, wanted("m", id, 16), r.text(t))
 	}
-	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_foreign"))
-	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_repeated"))
+	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_foreign"))
+	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_repeated"))
 }
 
 // The server that runs an idempotent request dies in the middle of its stream.
@@ -233,7 +233,7 @@
 		require.Equal(t, 200, r.status, r.body)
 	}
 	require.Zero(t, w.Engine("llm-1").Counts().Started)
-	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().Counter("relay.failed.refused"), int64(1))
+	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().CounterValue("relay.failed.refused"), int64(1))
 }
 
 // A VM is stopped while it streams. Every request in progress ends whole, new
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -42,7 +42,7 @@
 	key := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	name, ok := d.config.Callers[key]
 	if !ok {
-		d.meter.Count("caller.wrong_key", 1)
+		d.meter.AddCounter("caller.wrong_key", 1)
 		return "", hibiscuscart.Fail(hibiscuscart.CauseUnauthorized, "the key is not that of a caller").WithField("Authorization")
 	}
 	return name, nil
@@ -71,7 +71,7 @@
 	req, err := d.accept(w, r, parse)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
-		d.meter.Count("request.refused."+f.Cause().String(), 1)
+		d.meter.AddCounter("request.refused."+f.Cause().String(), 1)
 		d.log.Info().Err(err).Str("outcome", f.Outcome().String()).Msg("request refused")
 		writeFailure(w, f, "")
 		return
--- a/entry/links.go
+++ b/entry/links.go
@@ -13,7 +13,7 @@
 func (p *peers) sendTo(ctx context.Context, address string, m *wire.Message) {
 	conn, err := p.connect(ctx, address)
 	if err != nil {
-		p.d.meter.Count("peers.dial_failed", 1)
+		p.d.meter.AddCounter("peers.dial_failed", 1)
 		return
 	}
 	if conn == nil {
@@ -25,7 +25,7 @@
 		p.drop(address, conn)
 		return
 	}
-	p.d.meter.Count("peers.frames_sent", 1)
+	p.d.meter.AddCounter("peers.frames_sent", 1)
 }
 
 // connect returns the link to an address, opened when there is none. It
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -12,7 +12,7 @@
 	acceptor := &link.Acceptor{
 		Hello: d.peers.hello, Keys: d.config.Keys, MaxFrame: d.config.MaxFrameBytes, Serve: d.peers.serve, Count: d.peers.countBytes,
 		Refused: func(err error) {
-			d.meter.Count("peers.links_refused", 1)
+			d.meter.AddCounter("peers.links_refused", 1)
 			d.log.Warn().Err(err).Msg("link refused")
 		},
 	}
@@ -28,8 +28,8 @@
 func (d *Daemon) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		running, waiting := d.admit.depth()
-		d.meter.Gauge("admit.running", int64(running))
-		d.meter.Gauge("admit.waiting", int64(waiting))
+		d.meter.SetGauge("admit.running", int64(running))
+		d.meter.SetGauge("admit.waiting", int64(waiting))
 		d.meter.ServeHTTP(w, r)
 	})
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -73,8 +73,8 @@
 }
 
 func (p *peers) countBytes(sent, received int) {
-	p.d.meter.Count("peers.bytes_sent", int64(sent))
-	p.d.meter.Count("peers.bytes_received", int64(received))
+	p.d.meter.AddCounter("peers.bytes_sent", int64(sent))
+	p.d.meter.AddCounter("peers.bytes_received", int64(received))
 }
 
 // run passes heartbeats on until ctx ends.
@@ -110,7 +110,7 @@
 	defer cancel()
 	vms, err := p.d.store.VMs(ctx)
 	if err != nil {
-		p.d.meter.Count("peers.list_failed", 1)
+		p.d.meter.AddCounter("peers.list_failed", 1)
 		return
 	}
 	p.mu.Lock()
@@ -256,7 +256,7 @@
 	for {
 		m, err := conn.Receive(ctx)
 		if trace.IsBadParameter(err) {
-			p.d.meter.Count("peers.frames_refused", 1)
+			p.d.meter.AddCounter("peers.frames_refused", 1)
 		}
 		if err != nil {
 			return
@@ -276,7 +276,7 @@
 		return errors.New(m.Refusal.Reason)
 	}
 	if conn.Role() != link.RolePeer {
-		p.d.meter.Count("peers.frames_refused", 1)
+		p.d.meter.AddCounter("peers.frames_refused", 1)
 		return trace.AccessDenied("a frame that an operator may not send")
 	}
 	switch {
@@ -296,7 +296,7 @@
 	case m.ClaimReply != nil:
 		p.calls.reply(m.ClaimReply)
 	default:
-		p.d.meter.Count("peers.frames_refused", 1)
+		p.d.meter.AddCounter("peers.frames_refused", 1)
 		return trace.BadParameter("a frame that has no place here")
 	}
 	return nil
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -63,7 +63,7 @@
 	default:
 		p.Output = plan.Make(in)
 	}
-	c.d.meter.Gauge("control.unplaced_models", int64(len(p.Unplaced)))
+	c.d.meter.SetGauge("control.unplaced_models", int64(len(p.Unplaced)))
 	return p
 }
 
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -41,7 +41,7 @@
 	}
 	report, err := load(ctx, server.Address)
 	if err != nil {
-		d.meter.Count("poll.failed", 1)
+		d.meter.AddCounter("poll.failed", 1)
 		return
 	}
 	d.fleet.SetReport(d.now(), server.Name, report)
@@ -53,7 +53,7 @@
 func (d *Daemon) pollCache(ctx context.Context, server wire.Server) {
 	events, err := d.engines.CacheEvents(ctx, server.Address, d.fleet.CacheEvent(server.Name))
 	if err != nil {
-		d.meter.Count("poll.failed", 1)
+		d.meter.AddCounter("poll.failed", 1)
 		return
 	}
 	d.fleet.AddCacheEvents(server.Name, events, parsePrefix)
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -57,7 +57,7 @@
 	engines *engine.Client
 	plain   *plain.Client
 	now     func() time.Time
-	meter   *meter.Set
+	meter   *meter.Registry
 	usage   *modelUsage
 
 	mu  sync.Mutex
@@ -82,7 +82,7 @@
 		if !s.mayRetry(x, f, try) {
 			return s.final(x, f)
 		}
-		s.meter.Count("relay.retries", 1)
+		s.meter.AddCounter("relay.retries", 1)
 		if !pause.For(ctx, s.wait(try)) {
 			return s.final(x, f)
 		}
@@ -173,7 +173,7 @@
 	ctx, span := spans.Start(ctx, "attempt",
 		attribute.String("attempt", x.attempt), attribute.String("server", c.Name), attribute.String("model", x.model))
 	s.fleet.Begin(now, c.Name)
-	s.meter.Count("relay.attempts", 1)
+	s.meter.AddCounter("relay.attempts", 1)
 	err := s.send(ctx, x, c, asm)
 	s.learn(x, c, err)
 	spans.End(span, err)
@@ -205,7 +205,7 @@
 		default:
 			healthy = false
 		}
-		s.meter.Count("relay.failed."+hibiscuscart.AsFailure(err).Cause().String(), 1)
+		s.meter.AddCounter("relay.failed."+hibiscuscart.AsFailure(err).Cause().String(), 1)
 	}
 	now := s.now()
 	if err == nil && x.model != "" {
@@ -251,7 +251,7 @@
 		return s.engines.Generate(ctx, c.Address, x.attempt, s.generation(x), frame)
 	})
 	for n := 1; n <= s.resumes && resumable(err); n++ {
-		s.meter.Count("relay.resumes", 1)
+		s.meter.AddCounter("relay.resumes", 1)
 		if !pause.For(ctx, s.wait(n)) {
 			break
 		}
@@ -310,11 +310,11 @@
 	}
 	switch verdict {
 	case relay.DropForeign:
-		s.meter.Count("relay.frames_foreign", 1)
+		s.meter.AddCounter("relay.frames_foreign", 1)
 	case relay.DropRepeated:
-		s.meter.Count("relay.frames_repeated", 1)
+		s.meter.AddCounter("relay.frames_repeated", 1)
 	case relay.Deliver:
-		s.meter.Count("relay.frames", 1)
+		s.meter.AddCounter("relay.frames", 1)
 		return s.deliverText(x, text)
 	}
 	return nil
@@ -367,6 +367,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := s.engines.Cancel(ctx, c.Address, attempt); err != nil {
-		s.meter.Count("relay.cancel_failed", 1)
+		s.meter.AddCounter("relay.cancel_failed", 1)
 	}
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -35,7 +35,7 @@
 	err := s.attempt(context.Background(), x, fleet.Candidate{Name: "a", Address: "127.0.0.1:1"}, &relay.Assembly{})
 	require.Equal(t, hibiscuscart.CauseGrantExpired, hibiscuscart.AsFailure(err).Cause())
 	require.False(t, x.sent)
-	require.Zero(t, s.meter.Counter("relay.attempts"))
+	require.Zero(t, s.meter.CounterValue("relay.attempts"))
 }
 
 // The first attempt was sent and its answer was lost; the second did not reach
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -47,14 +47,14 @@
 func (d *Daemon) adoptProfile(name string, version int, value json.RawMessage) bool {
 	doc, err := profs.Parse(value)
 	if err != nil || doc.Name != name {
-		d.meter.Count("profile.invalid", 1)
+		d.meter.AddCounter("profile.invalid", 1)
 		d.log.Error().Err(err).Str("profile", name).Int("version", version).Msg("profile document not valid")
 		return false
 	}
 	if !d.profiles.Update(version, doc) {
 		return false
 	}
-	d.meter.Count("profile.adopted", 1)
+	d.meter.AddCounter("profile.adopted", 1)
 	d.log.Info().Str("profile", name).Int("version", version).Msg("profile in force")
 	return true
 }
--- a/httpx/httpx.go
+++ b/httpx/httpx.go
@@ -31,9 +31,9 @@
 	httpClient *http.Client
 }
 
-// HTTP returns the underlying *http.Client, whose connections count the bytes
-// written to them.
-func (c *Client) HTTP() *http.Client {
+// HTTPClient returns the underlying *http.Client, whose connections count the
+// bytes written to them.
+func (c *Client) HTTPClient() *http.Client {
 	c.initOnce.Do(c.init)
 	return c.httpClient
 }
@@ -64,7 +64,7 @@
 }
 
 // CloseIdle closes the idle connections.
-func (c *Client) CloseIdle() { c.HTTP().CloseIdleConnections() }
+func (c *Client) CloseIdle() { c.HTTPClient().CloseIdleConnections() }
 
 // Do sends req. On an error, written reports whether a byte of the request may
 // have been written; if it is false, the server cannot have received the request.
@@ -77,7 +77,7 @@
 func (c *Client) Do(req *http.Request) (resp *http.Response, written bool, err error) {
 	var tracker writeTracker
 	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: tracker.gotConn})
-	resp, err = c.HTTP().Do(req.WithContext(ctx))
+	resp, err = c.HTTPClient().Do(req.WithContext(ctx))
 	return resp, tracker.written(), err
 }
 
--- a/node/follow.go
+++ b/node/follow.go
@@ -322,13 +322,13 @@
 
 // noteCrash logs and counts a server crash that this VM detected during a request.
 func (n *Node) noteCrash(c poison.Crash, crashes int) {
-	n.meter.Count("poison.crashes", 1)
+	n.meter.AddCounter("poison.crashes", 1)
 	n.log.Info().Str("fingerprint", string(c.Request)).Str("server", c.Server).Int("crashes", crashes).Msg("server crashed while processing a request")
 }
 
 // noteBlock logs and counts a request that has become blocked on this VM.
 func (n *Node) noteBlock(s poison.Suspect) {
-	n.meter.Count("poison.blocked", 1)
+	n.meter.AddCounter("poison.blocked", 1)
 	n.log.Warn().Str("fingerprint", string(s.Request)).Int("crashes", s.Crashes).Dur("for", s.BlockedFor).Msg("request blocked")
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -85,7 +85,7 @@
 	active  atomic.Pointer[conf.Settings]
 	log     zerolog.Logger
 	now     func() time.Time
-	meter   *meter.Set
+	meter   *meter.Registry
 	servers *backs.View
 	book    *pick.Book
 	pool    *conns.Pool
@@ -325,7 +325,7 @@
 		n.book.Retain(n.servers.All(now))
 		n.limits.Retain(func(id string) bool { return n.servers.Usable(now, id) })
 		if n.config.Dropped != nil {
-			n.meter.Gauge("log.dropped", n.config.Dropped())
+			n.meter.SetGauge("log.dropped", n.config.Dropped())
 		}
 		vms := n.peers.VMs()
 		n.mu.Lock()
--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -90,7 +90,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	g.Meter.Count("pass.dials", 1)
+	g.Meter.AddCounter("pass.dials", 1)
 	return g.Pool.Dial(ctx, server, address)
 }
 
@@ -239,7 +239,7 @@
 	} else {
 		c.avoid = c.avoid[:len(c.avoid)-1]
 	}
-	g.Meter.Count("pass.silent", 1)
+	g.Meter.AddCounter("pass.silent", 1)
 	g.Log.Info().Str("request", c.id).Str("server", t.choice.Server.ID).Bool("started", c.started).Bool("given_up", ok).
 		Str("instead", choice.Server.ID).Dur("predicted", choice.Predicted).Int("running", choice.Load.Running).Msg("server silent")
 	return ok
@@ -259,7 +259,7 @@
 			t.updateLimit()
 			return nil
 		}
-		t.g.Meter.Count("pass.stray_answers", 1)
+		t.g.Meter.AddCounter("pass.stray_answers", 1)
 		t.g.Log.Warn().Str("request", t.c.id).Str("server", t.choice.Server.ID).Str("answer_to", id).Msg("answer to another request dropped")
 		_, err = conns.ReadAll(resp.Body, strayLimit)
 		if err := errors.Join(err, resp.Body.Close()); err != nil {
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -80,7 +80,7 @@
 	Now   func() time.Time
 	Log   zerolog.Logger
 	// Meter takes counters and histograms.
-	Meter *meter.Set
+	Meter *meter.Registry
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -129,8 +129,8 @@
 	}
 	c := newCall(now, g.Names, r, body, table, route)
 	g.run(w, c)
-	g.Meter.Time("pass.request", g.Now().Sub(c.arrived))
-	g.Meter.Count("pass.status."+strconv.Itoa(c.status), 1)
+	g.Meter.RecordDuration("pass.request", g.Now().Sub(c.arrived))
+	g.Meter.AddCounter("pass.status."+strconv.Itoa(c.status), 1)
 	g.logEnd(c)
 }
 
@@ -146,7 +146,7 @@
 
 // reject answers a request that has no route or can not be read.
 func (g *Gateway) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	g.Meter.Count("pass.status."+strconv.Itoa(status), 1)
+	g.Meter.AddCounter("pass.status."+strconv.Itoa(status), 1)
 	g.Log.Info().Str("request", r.Header.Get(g.Names.ID)).Str("host", r.Host).Str("path", r.URL.Path).
 		Int("status", status).Str("reason", reason).Msg("request rejected")
 	if status == http.StatusServiceUnavailable {
@@ -179,7 +179,7 @@
 		spans.End(span, c.failure())
 	}()
 	if g.blocked(c.arrived, c) {
-		g.Meter.Count("pass.blocked", 1)
+		g.Meter.AddCounter("pass.blocked", 1)
 		g.fail(ctx, w, c)
 		return
 	}
--- a/pass/hold.go
+++ b/pass/hold.go
@@ -42,7 +42,7 @@
 			g.held = make(map[string]int)
 		}
 		g.held[heldKey(c)]++
-		g.Meter.Count("pass.held", 1)
+		g.Meter.AddCounter("pass.held", 1)
 	}
 	c.comeBack = pick.ComeBack(choice.Queue)
 	spread := time.Duration(g.random(now).Int64N(int64(pick.RoomPause)))
--- a/pass/limit.go
+++ b/pass/limit.go
@@ -55,7 +55,7 @@
 	wait := g.Permit(ctx, server)
 	g.Limits.SetBackoff(g.Now(), server, wait)
 	if wait > 0 {
-		g.Meter.Count("pass.permits_refused", 1)
+		g.Meter.AddCounter("pass.permits_refused", 1)
 	}
 	return wait == 0
 }
--- a/pass/silence_test.go
+++ b/pass/silence_test.go
@@ -88,7 +88,7 @@
 				if tc.other {
 					g.Servers.Put(clock.Now(), server("b", "d", pausing(t, "b", nil, nil)))
 				}
-				for g.Meter.Counter("pass.silent") == 0 {
+				for g.Meter.CounterValue("pass.silent") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 			}()
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -80,7 +80,7 @@
 	}
 	w.WriteHeader(t.resp.StatusCode)
 	t.c.firstEvent = t.g.Now().Sub(t.c.arrived)
-	t.g.Meter.Time("pass.first_event", t.c.firstEvent)
+	t.g.Meter.RecordDuration("pass.first_event", t.c.firstEvent)
 }
 
 func (t *try) streamEnd(w http.ResponseWriter, out *http.ResponseController, events *splitter) bool {
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -80,7 +80,7 @@
 	StoreAway func() bool
 	Now       func() time.Time
 	Log       zerolog.Logger
-	Meter     *meter.Set
+	Meter     *meter.Registry
 
 	mu     sync.Mutex
 	wants  map[wantKey]*steer.Want
@@ -389,8 +389,8 @@
 }
 
 func (p *Peers) count(sent, received int) {
-	p.Meter.Count("peers.bytes_sent", int64(sent))
-	p.Meter.Count("peers.bytes_received", int64(received))
+	p.Meter.AddCounter("peers.bytes_sent", int64(sent))
+	p.Meter.AddCounter("peers.bytes_received", int64(received))
 }
 
 // interval returns the pause between frames that tell load, by the number of
--- a/spans/spans.go
+++ b/spans/spans.go
@@ -26,10 +26,10 @@
 	Exporter string
 	// Endpoint is the address (host and port) of the OTLP collector.
 	Endpoint string
-	// Sample is the fraction of requests that are traced.
-	Sample float64
-	// Node is the name of the VM, which is set on each span.
-	Node string
+	// SampleRatio is the fraction of requests that are traced.
+	SampleRatio float64
+	// VMName is the name of the VM, which is set on each span.
+	VMName string
 	// Output is the destination of the stderr exporter.
 	Output io.Writer
 }
@@ -47,8 +47,8 @@
 	}
 	provider := trace.NewTracerProvider(
 		trace.WithBatcher(exporter),
-		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(c.Sample))),
-		trace.WithResource(resource.NewSchemaless(attribute.String("service.name", "hibiscuscart"), attribute.String("node", c.Node))),
+		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(c.SampleRatio))),
+		trace.WithResource(resource.NewSchemaless(attribute.String("service.name", "hibiscuscart"), attribute.String("node", c.VMName))),
 	)
 	otel.SetTracerProvider(provider)
 	return provider.Shutdown, nil
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -67,7 +67,7 @@
 	Spawn func(call func())
 	Now   func() time.Time
 	Log   zerolog.Logger
-	Meter *meter.Set
+	Meter *meter.Registry
 
 	mu sync.Mutex
 	// fence is that of the present term, ended when the VM before gave its last
@@ -127,7 +127,7 @@
 		begun := c.Now()
 		c.Step(ctx, begun)
 		took := c.Now().Sub(begun)
-		c.Meter.Time("steer.step", took)
+		c.Meter.RecordDuration("steer.step", took)
 		pause.For(ctx, max(tick, stepShare*took))
 	}
 }
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -63,7 +63,7 @@
 	defer c.mu.Unlock()
 	s.Answered(c.Now(), now, c.engine(e.Service), o, verdict, within)
 	c.notify()
-	c.Meter.Count("steer.orders", 1)
+	c.Meter.AddCounter("steer.orders", 1)
 	c.Log.Info().Str("server", e.ID).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
 		Int("expect", o.Expect).Int("fence", fence).Dur("within", within).Int("verdict", int(verdict)).Err(err).Msg("order")
 	return verdict
