--- a/design_page_test.go
+++ b/design_page_test.go
@@ -27,17 +27,17 @@
 	}
 	for row := range strings.SplitSeq(section, "\n") {
 		dir := ""
-		for i, word := range strings.Split(row, "`") {
+		for i, name := range strings.Split(row, "`") {
 			if i%2 == 0 {
 				continue
 			}
 			switch {
-			case strings.Contains(word, "/"):
-				require.FileExists(t, word)
-			case strings.HasSuffix(word, ".go"):
-				require.FileExists(t, filepath.Join(dir, word))
-			case isDir(word):
-				dir = word
+			case strings.Contains(name, "/"):
+				require.FileExists(t, name)
+			case strings.HasSuffix(name, ".go"):
+				require.FileExists(t, filepath.Join(dir, name))
+			case isDir(name):
+				dir = name
 			}
 		}
 	}
--- a/profile.go
+++ b/profile.go
@@ -85,8 +85,8 @@
 	return time.Duration(p.doc.KeyRetentionS) * time.Second
 }
 
-// AttainmentWeight returns the weight of target attainment against the number
-// of model moves, from 0 to 1.
+// AttainmentWeight returns the weight of target attainment against the number of
+// model loads and unloads, from 0 to 1.
 func (p Profile) AttainmentWeight() float64 { return p.doc.AttainmentWeight }
 
 // CallerWeight returns the weight of a caller in fair sharing; 1 if none is set.
--- a/wire/types.go
+++ b/wire/types.go
@@ -553,8 +553,8 @@
 	// Service corresponds to the JSON schema field "service".
 	Service string `json:"service"`
 
-	// Total processing time of the requests in microseconds, as time of a whole
-	// server.
+	// Total time in microseconds that a server needs for the requests if it serves
+	// nothing else.
 	TimeUs int `json:"time_us"`
 }
 
@@ -649,8 +649,8 @@
 // A profile document, which defines how a class of requests is served. Accepted
 // documents are complete: defaults are filled in before they are stored.
 type Profile struct {
-	// Weight of target attainment against model moves: 1 considers attainment only, 0
-	// moves only.
+	// Weight of target attainment against model loads and unloads: 1 considers
+	// attainment only, 0 only loads and unloads.
 	AttainmentWeight float64 `json:"attainment_weight"`
 
 	// Backend corresponds to the JSON schema field "backend".
@@ -855,7 +855,7 @@
 	Tokens int `json:"tokens"`
 }
 
-// The controller's state of a backend server.
+// State of a backend server as recorded by the controller.
 type ServerState struct {
 	// Address corresponds to the JSON schema field "address".
 	Address string `json:"address"`
