--- a/demo/world.go
+++ b/demo/world.go
@@ -177,7 +177,7 @@
 func NewEngine(pool conf.Pool, name string) *stand.Engine {
 	return &stand.Engine{
 		Name: name, MemoryBytes: pool.MemoryBytes(), KVBytes: pool.KVBytes(), Slots: pool.Slots(),
-		FirstToken: pool.FirstToken(), BetweenTokens: pool.BetweenTokens(), ChecksFencing: pool.ChecksFencing(),
+		FirstToken: pool.FirstTokenDelay(), BetweenTokens: pool.TokenInterval(), ChecksFencing: pool.ChecksFencing(),
 	}
 }
 
@@ -211,7 +211,7 @@
 }
 
 // ApplyProfile puts a profile in the platform.
-func (w *World) ApplyProfile(doc wire.Profile) error { return w.put(profs.Kind, doc.Name, doc) }
+func (w *World) ApplyProfile(doc wire.Profile) error { return w.put(profs.ObjectKind, doc.Name, doc) }
 
 // SetServer changes a backend server's entry.
 func (w *World) SetServer(doc wire.Server) error { return w.put(entry.KindServer, doc.Name, doc) }
@@ -285,7 +285,7 @@
 func (w *World) PeerBytes() int64 {
 	total := int64(0)
 	for _, d := range w.VMs() {
-		total += d.Metrics().Counter("peers.bytes_sent") + d.Metrics().Counter("peers.bytes_received")
+		total += d.Metrics().CounterValue("peers.bytes_sent") + d.Metrics().CounterValue("peers.bytes_received")
 	}
 	return total
 }
--- a/rooms_test.go
+++ b/design_page_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The design page tells a newcomer which room decides what. It names each package, and no
-// package or file that is not there.
-func TestRooms(t *testing.T) {
+// TestDesignPageListsPackages checks that the design page lists every package
+// and names no package or file that does not exist.
+func TestDesignPageListsPackages(t *testing.T) {
 	page, err := os.ReadFile("docs/DESIGN.md")
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(page), "## Which room decides what\n")
@@ -23,21 +23,21 @@
 		if !e.IsDir() || strings.HasPrefix(e.Name(), ".") {
 			continue
 		}
-		require.True(t, strings.Contains(section, "`"+e.Name()+"`") || strings.Contains(section, "`"+e.Name()+"/"), "%s is not told of", e.Name())
+		require.True(t, strings.Contains(section, "`"+e.Name()+"`") || strings.Contains(section, "`"+e.Name()+"/"), "the design page does not mention %s", e.Name())
 	}
 	for row := range strings.SplitSeq(section, "\n") {
-		room := ""
-		for i, word := range strings.Split(row, "`") {
+		dir := ""
+		for i, name := range strings.Split(row, "`") {
 			if i%2 == 0 {
 				continue
 			}
 			switch {
-			case strings.Contains(word, "/"):
-				require.FileExists(t, word)
-			case strings.HasSuffix(word, ".go"):
-				require.FileExists(t, filepath.Join(room, word))
-			case isDir(word):
-				room = word
+			case strings.Contains(name, "/"):
+				require.FileExists(t, name)
+			case strings.HasSuffix(name, ".go"):
+				require.FileExists(t, filepath.Join(dir, name))
+			case isDir(name):
+				dir = name
 			}
 		}
 	}
--- a/entry/account.go
+++ b/entry/account.go
@@ -16,7 +16,7 @@
 type accountStage struct {
 	now   func() time.Time
 	log   zerolog.Logger
-	meter *meter.Set
+	meter *meter.Registry
 }
 
 func (s *accountStage) run(ctx context.Context, x *Exchange, next Next) error {
@@ -30,37 +30,37 @@
 }
 
 func (s *accountStage) count(x *Exchange, err error) {
-	took := s.now().Sub(x.request.Arrived)
-	s.meter.Count("request.total", 1)
+	took := s.now().Sub(x.request.ArrivedAt)
+	s.meter.AddCounter("request.total", 1)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
-		s.meter.Count("request.failed."+f.Cause().String(), 1)
-		s.meter.Count("request.outcome."+f.Outcome().String(), 1)
+		s.meter.AddCounter("request.failed."+f.Cause().String(), 1)
+		s.meter.AddCounter("request.outcome."+f.Outcome().String(), 1)
 		return
 	}
-	s.meter.Count("request.outcome.done", 1)
-	s.meter.Count("request.tokens", int64(x.tokens))
-	s.meter.Time("request.time", took)
+	s.meter.AddCounter("request.outcome.done", 1)
+	s.meter.AddCounter("request.tokens", int64(x.tokens))
+	s.meter.RecordDuration("request.time", took)
 	if !x.firstAt.IsZero() {
-		s.meter.Time("request.first_token", x.firstAt.Sub(x.request.Arrived))
+		s.meter.RecordDuration("request.first_token", x.firstAt.Sub(x.request.ArrivedAt))
 	}
 	if x.attained(took) {
-		s.meter.Count("request.attained", 1)
+		s.meter.AddCounter("request.attained", 1)
 	}
 }
 
 // attained reports whether the answer met the profile's targets.
 func (x *Exchange) attained(took time.Duration) bool {
-	if took > x.profile.WholeAnswer() {
+	if took > x.profile.AnswerTimeout() {
 		return false
 	}
 	if x.firstAt.IsZero() {
 		return true
 	}
-	if x.firstAt.Sub(x.request.Arrived) > x.profile.FirstToken() {
+	if x.firstAt.Sub(x.request.ArrivedAt) > x.profile.FirstTokenTarget() {
 		return false
 	}
-	return x.maxGap <= x.profile.BetweenTokens()
+	return x.maxGap <= x.profile.BetweenTokensTarget()
 }
 
 func (s *accountStage) write(x *Exchange, err error) {
@@ -76,5 +76,5 @@
 	event.Str("request", x.request.ID).Str("attempt", x.attempt).Str("profile", x.request.Profile).
 		Str("model", x.model).Str("server", x.server).Str("caller", x.request.Caller).
 		Int("runs", x.runs).Int("tokens", x.tokens).Bool("replayed", x.replayed).
-		Dur("took", s.now().Sub(x.request.Arrived)).Msg("request")
+		Dur("took", s.now().Sub(x.request.ArrivedAt)).Msg("request")
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -34,19 +34,19 @@
 	claims Claims
 	now    func() time.Time
 	log    zerolog.Logger
-	meter  *meter.Set
+	meter  *meter.Registry
 	// settling counts the claims whose end is being recorded.
 	settling sync.WaitGroup
 }
 
 func (s *claimStage) run(ctx context.Context, x *Exchange, next Next) error {
-	if !x.profile.Once() || x.request.Key == "" {
+	if !x.profile.AtMostOnce() || x.request.IdempotencyKey == "" {
 		return next(ctx, x)
 	}
 	r := dedup.Request{
-		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.Key},
+		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.IdempotencyKey},
 		BodyHash: x.request.BodyHash(), GrantID: x.request.ID,
-		InProgressTimeout: x.profile.WholeAnswer() + time.Second, Retention: x.profile.KeyRetention(),
+		InProgressTimeout: x.profile.AnswerTimeout() + time.Second, Retention: x.profile.KeyRetention(),
 	}
 	d, err := s.claim(ctx, r)
 	if d.Verdict != dedup.Granted {
@@ -74,8 +74,8 @@
 	began := s.now()
 	d, err := s.claims.Claim(ctx, began, r)
 	spans.End(span, err)
-	s.meter.Time("claim.time", s.now().Sub(began))
-	s.meter.Count("claim."+d.Verdict.String(), 1)
+	s.meter.RecordDuration("claim.time", s.now().Sub(began))
+	s.meter.AddCounter("claim."+d.Verdict.String(), 1)
 	return d, err
 }
 
@@ -104,7 +104,7 @@
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
 	var a hibiscuscart.Answer
 	if d.Response == "" || json.Unmarshal([]byte(d.Response), &a) != nil {
-		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
+		return hibiscuscart.Fail(hibiscuscart.CauseAlreadyRan, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
 	}
 	x.replayed = true
 	x.answer = a
@@ -135,7 +135,7 @@
 		err = s.claims.Finish(ctx, s.now(), r, d, wire.ClaimStateUnknown, "")
 	}
 	if err != nil {
-		s.meter.Count("claim.not_settled", 1)
+		s.meter.AddCounter("claim.not_settled", 1)
 		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("claim not settled")
 	}
 }
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -63,8 +63,8 @@
 		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", id, 16))
 		require.Equal(t, wanted("m", id, 16), r.text(t))
 	}
-	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_foreign"))
-	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_repeated"))
+	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_foreign"))
+	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_repeated"))
 }
 
 // The server that runs an idempotent request dies in the middle of its stream.
@@ -233,7 +233,7 @@
 		require.Equal(t, 200, r.status, r.body)
 	}
 	require.Zero(t, w.Engine("llm-1").Counts().Started)
-	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().Counter("relay.failed.refused"), int64(1))
+	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().CounterValue("relay.failed.refused"), int64(1))
 }
 
 // A VM is stopped while it streams. Every request in progress ends whole, new
@@ -298,7 +298,7 @@
 // conflict with the version that is there now.
 func TestOperatorsRace(t *testing.T) {
 	w := world(t, nil)
-	obj, ok := w.Platform.Get(profs.Kind, "draft")
+	obj, ok := w.Platform.Get(profs.ObjectKind, "draft")
 	require.True(t, ok)
 	doc, err := profs.Parse(obj.Value)
 	require.NoError(t, err)
@@ -324,13 +324,13 @@
 func TestProfileThatDoesNotFit(t *testing.T) {
 	w := world(t, nil)
 	operator := profs.NewOperator(w.StoreClient("operator"))
-	operator.Fits = profs.FitsIn(w.StoreClient("operator").List)
+	operator.CheckCapacity = profs.CapacityCheck(w.StoreClient("operator").List)
 	doc := smallProfiles()[0]
 	doc.Models = append(doc.Models, wire.Model{Name: "huge", Version: 1, Bytes: 9 << 30})
 	_, err := operator.Apply(context.Background(), doc, -1)
 	require.ErrorContains(t, err, "huge (9663676416 bytes with its adapters) fits on no server")
 	var stored wire.Profile
-	obj, _ := w.Platform.Get(profs.Kind, "draft")
+	obj, _ := w.Platform.Get(profs.ObjectKind, "draft")
 	require.NoError(t, json.Unmarshal(obj.Value, &stored))
 	require.Len(t, stored.Models, 1)
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -19,7 +19,7 @@
 // once is an exchange of a request that may run once and has a claim.
 func once(deadline time.Time) *Exchange {
 	return &Exchange{
-		request: &hibiscuscart.Request{ID: "r", Key: "k"}, deadline: deadline,
+		request: &hibiscuscart.Request{ID: "r", IdempotencyKey: "k"}, deadline: deadline,
 		profile: hibiscuscart.NewProfile(1, wire.Profile{Backend: wire.ProfileBackendService, RunsAllowed: 1, WholeAnswerMs: 1000}),
 	}
 }
@@ -35,7 +35,7 @@
 	err := s.attempt(context.Background(), x, fleet.Candidate{Name: "a", Address: "127.0.0.1:1"}, &relay.Assembly{})
 	require.Equal(t, hibiscuscart.CauseGrantExpired, hibiscuscart.AsFailure(err).Cause())
 	require.False(t, x.sent)
-	require.Zero(t, s.meter.Counter("relay.attempts"))
+	require.Zero(t, s.meter.CounterValue("relay.attempts"))
 }
 
 // The first attempt was sent and its answer was lost; the second did not reach
--- a/pass/admission.go
+++ b/pass/admission.go
@@ -42,7 +42,7 @@
 			g.admissionWaiters = make(map[string]int)
 		}
 		g.admissionWaiters[admissionKey(c)]++
-		g.Meter.Count("pass.held", 1)
+		g.Meter.AddCounter("pass.held", 1)
 	}
 	c.retryAfter = pick.RetryAfter(choice.QueueTime)
 	spread := time.Duration(g.random(now).Int64N(int64(pick.AdmissionCheckInterval)))
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -79,7 +79,7 @@
 	Now           func() time.Time
 	Log           zerolog.Logger
 	// Meter receives counters and durations.
-	Meter *meter.Set
+	Meter *meter.Registry
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -128,8 +128,8 @@
 	}
 	c := newCall(now, g.HeaderNames, r, body, table, route)
 	g.serveCall(w, c)
-	g.Meter.Time("pass.request", g.Now().Sub(c.arrived))
-	g.Meter.Count("pass.status."+strconv.Itoa(c.status), 1)
+	g.Meter.RecordDuration("pass.request", g.Now().Sub(c.arrived))
+	g.Meter.AddCounter("pass.status."+strconv.Itoa(c.status), 1)
 	g.logRequest(c)
 }
 
@@ -145,7 +145,7 @@
 
 // reject responds to a request that has no route or can not be read.
 func (g *Gateway) reject(w http.ResponseWriter, r *http.Request, status int, reason string) {
-	g.Meter.Count("pass.status."+strconv.Itoa(status), 1)
+	g.Meter.AddCounter("pass.status."+strconv.Itoa(status), 1)
 	g.Log.Info().Str("request", r.Header.Get(g.HeaderNames.AttemptID)).Str("host", r.Host).Str("path", r.URL.Path).
 		Int("status", status).Str("reason", reason).Msg("request rejected")
 	if status == http.StatusServiceUnavailable {
@@ -177,7 +177,7 @@
 		spans.End(span, c.failure())
 	}()
 	if g.blocked(c.arrived, c) {
-		g.Meter.Count("pass.blocked", 1)
+		g.Meter.AddCounter("pass.blocked", 1)
 		g.fail(ctx, w, c)
 		return
 	}
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -80,7 +80,7 @@
 	}
 	w.WriteHeader(t.resp.StatusCode)
 	t.c.timeToFirstEvent = t.g.Now().Sub(t.c.arrived)
-	t.g.Meter.Time("pass.first_event", t.c.timeToFirstEvent)
+	t.g.Meter.RecordDuration("pass.first_event", t.c.timeToFirstEvent)
 }
 
 func (t *try) finishStream(w http.ResponseWriter, controller *http.ResponseController, events *eventSplitter) bool {
--- a/pass/stream_test.go
+++ b/pass/stream_test.go
@@ -86,7 +86,7 @@
 				if tc.otherServer {
 					g.Servers.Put(clock.Now(), server("b", "d", startPausingBackend(t, "b", nil, nil)))
 				}
-				for g.Meter.Counter("pass.silent") == 0 {
+				for g.Meter.CounterValue("pass.silent") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 			}()
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -80,7 +80,7 @@
 	StoreUnreachable func() bool
 	Now              func() time.Time
 	Log              zerolog.Logger
-	Meter            *meter.Set
+	Meter            *meter.Registry
 
 	mu sync.Mutex
 	// demand and unverified are not yet reported to the controller.
@@ -392,8 +392,8 @@
 }
 
 func (p *Peers) countBytes(sent, received int) {
-	p.Meter.Count("peers.bytes_sent", int64(sent))
-	p.Meter.Count("peers.bytes_received", int64(received))
+	p.Meter.AddCounter("peers.bytes_sent", int64(sent))
+	p.Meter.AddCounter("peers.bytes_received", int64(received))
 }
 
 // loadInterval returns the interval between frames with load for a number of links.
--- a/relay/assembly.go
+++ b/relay/assembly.go
@@ -89,8 +89,8 @@
 		return a.acceptEnd()
 	}
 	a.lastSequence = f.Sequence
-	if f.Finish != "" {
-		a.finishReason = f.Finish
+	if f.FinishReason != "" {
+		a.finishReason = f.FinishReason
 	}
 	return a.deliverNew(f.Text)
 }
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -67,7 +67,7 @@
 	Spawn func(call func())
 	Now   func() time.Time
 	Log   zerolog.Logger
-	Meter *meter.Set
+	Meter *meter.Registry
 
 	mu sync.Mutex
 	// fence is the fencing number of the current term. predecessorEnd is the latest time at which
@@ -128,7 +128,7 @@
 		startedAt := c.Now()
 		c.Step(ctx, startedAt)
 		elapsed := c.Now().Sub(startedAt)
-		c.Meter.Time("steer.step", elapsed)
+		c.Meter.RecordDuration("steer.step", elapsed)
 		pause.For(ctx, max(stepInterval, stepDutyDivisor*elapsed))
 	}
 }
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -62,7 +62,7 @@
 	defer c.mu.Unlock()
 	s.ApplyResult(c.Now(), now, c.engine(e.Service), o, result, expectedTime)
 	c.notifyChanged()
-	c.Meter.Count("steer.orders", 1)
+	c.Meter.AddCounter("steer.orders", 1)
 	c.Log.Info().Str("server", e.ID).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
 		Int("expect", o.ExpectedSequence).Int("fence", fence).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
 	return result
