--- a/entry/account.go
+++ b/entry/account.go
@@ -12,25 +12,25 @@
 	"github.com/hibiscuscart/hibiscuscart/spans"
 )
 
-// accountStage logs and counts each request and holds its span.
-type accountStage struct {
+// accountingStage logs and counts each request and records its span.
+type accountingStage struct {
 	now   func() time.Time
 	log   zerolog.Logger
 	meter *meter.Set
 }
 
-func (s *accountStage) run(ctx context.Context, x *Exchange, next Next) error {
+func (s *accountingStage) run(ctx context.Context, x *Exchange, next Next) error {
 	ctx, span := spans.Start(ctx, "request",
 		attribute.String("request", x.request.ID), attribute.String("profile", x.request.Profile))
 	err := next(ctx, x)
 	spans.End(span, err)
-	s.count(x, err)
-	s.write(x, err)
+	s.recordMetrics(x, err)
+	s.logRequest(x, err)
 	return err
 }
 
-func (s *accountStage) count(x *Exchange, err error) {
-	took := s.now().Sub(x.request.Arrived)
+func (s *accountingStage) recordMetrics(x *Exchange, err error) {
+	duration := s.now().Sub(x.request.Arrived)
 	s.meter.Count("request.total", 1)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
@@ -39,31 +39,31 @@
 		return
 	}
 	s.meter.Count("request.outcome.done", 1)
-	s.meter.Count("request.tokens", int64(x.tokens))
-	s.meter.Time("request.time", took)
-	if !x.firstAt.IsZero() {
-		s.meter.Time("request.first_token", x.firstAt.Sub(x.request.Arrived))
+	s.meter.Count("request.tokens", int64(x.tokenCount))
+	s.meter.Time("request.time", duration)
+	if !x.firstTokenAt.IsZero() {
+		s.meter.Time("request.first_token", x.firstTokenAt.Sub(x.request.Arrived))
 	}
-	if x.attained(took) {
+	if x.metTargets(duration) {
 		s.meter.Count("request.attained", 1)
 	}
 }
 
-// attained reports whether the answer met the profile's targets.
-func (x *Exchange) attained(took time.Duration) bool {
-	if took > x.profile.WholeAnswer() {
+// metTargets reports whether the response met the profile's latency targets.
+func (x *Exchange) metTargets(duration time.Duration) bool {
+	if duration > x.profile.WholeAnswer() {
 		return false
 	}
-	if x.firstAt.IsZero() {
+	if x.firstTokenAt.IsZero() {
 		return true
 	}
-	if x.firstAt.Sub(x.request.Arrived) > x.profile.FirstToken() {
+	if x.firstTokenAt.Sub(x.request.Arrived) > x.profile.FirstToken() {
 		return false
 	}
-	return x.maxGap <= x.profile.BetweenTokens()
+	return x.maxTokenGap <= x.profile.BetweenTokens()
 }
 
-func (s *accountStage) write(x *Exchange, err error) {
+func (s *accountingStage) logRequest(x *Exchange, err error) {
 	event := s.log.Debug()
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
@@ -73,8 +73,8 @@
 		}
 		event = event.Err(err).Str("outcome", f.Outcome().String()).Str("cause", f.Cause().String())
 	}
-	event.Str("request", x.request.ID).Str("attempt", x.attempt).Str("profile", x.request.Profile).
-		Str("model", x.model).Str("server", x.server).Str("caller", x.request.Caller).
-		Int("runs", x.runs).Int("tokens", x.tokens).Bool("replayed", x.replayed).
+	event.Str("request", x.request.ID).Str("attempt", x.attemptID).Str("profile", x.request.Profile).
+		Str("model", x.modelName).Str("server", x.serverName).Str("caller", x.request.Caller).
+		Int("runs", x.possibleRuns).Int("tokens", x.tokenCount).Bool("replayed", x.replayed).
 		Dur("took", s.now().Sub(x.request.Arrived)).Msg("request")
 }
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -14,231 +14,237 @@
 )
 
 const (
-	// expireInterval is the time between two looks for requests that have
+	// queueCheckInterval is the time between two checks for requests that have
 	// waited too long.
-	expireInterval = 25 * time.Millisecond
-	// firstTokenMargin allows for a first token that takes longer than usual.
-	firstTokenMargin = 1.5
+	queueCheckInterval = 25 * time.Millisecond
+	// firstTokenTimeFactor allows for a first token that takes longer than the
+	// mean.
+	firstTokenTimeFactor = 1.5
 )
 
-// admitStage holds requests at the gate of their profile.
-type admitStage struct {
+// admissionStage queues requests until their profile and model have capacity.
+type admissionStage struct {
 	now func() time.Time
-	// share returns the VM's part of a profile's fleet-wide limit, for its own
-	// demand.
-	share func(p hibiscuscart.Profile, own int) int
-	// free returns how many more requests for a model this VM may send to the
-	// servers that hold it, and whether that is known.
-	free func(p hibiscuscart.Profile, model string) (int, bool)
+	// concurrencyShare returns the VM's share of a profile's fleet-wide limit,
+	// given the VM's own demand.
+	concurrencyShare func(p hibiscuscart.Profile, own int) int
+	// freeSlots returns how many more requests for a model this VM may send to
+	// the servers that hold it, and whether that number is known.
+	freeSlots func(p hibiscuscart.Profile, model string) (int, bool)
 
-	mu     sync.Mutex
-	gates  map[string]*gate
-	waits  map[uint64]chan error
-	lastID uint64
+	mu      sync.Mutex
+	queues  map[string]*admissionQueue
+	waiters map[uint64]chan error
+	lastID  uint64
 }
 
-// gate is the gate of one model of a profile, or of a profile without models,
-// with what the stage learns about it. Each model has its own, as a model whose
-// servers are full must not hold up the others.
-type gate struct {
+// admissionQueue is the admission queue of one model of a profile, or of a
+// profile without models. Each model has its own, so that a model whose servers
+// are full does not block the others.
+type admissionQueue struct {
 	admit.Gate
 	profile hibiscuscart.Profile
 	model   string
-	// first is the running mean of the time from admission to the first token.
-	first time.Duration
+	// meanFirstTokenTime is the running mean of the time from admission to the
+	// first token.
+	meanFirstTokenTime time.Duration
 }
 
-func newAdmitStage(d *Daemon) *admitStage {
-	return &admitStage{now: d.now, share: d.peers.share, free: d.freeSlots, gates: make(map[string]*gate), waits: make(map[uint64]chan error)}
+func newAdmissionStage(d *Daemon) *admissionStage {
+	return &admissionStage{now: d.now, concurrencyShare: d.peers.concurrencyShare, freeSlots: d.freeSlots, queues: make(map[string]*admissionQueue), waiters: make(map[uint64]chan error)}
 }
 
-// expire refuses waiting requests that can not be answered in time, until ctx
-// ends.
-func (s *admitStage) expire(ctx context.Context) {
-	for pause.For(ctx, expireInterval) {
+// runExpiry refuses waiting requests that can not be answered in time, until
+// ctx ends.
+func (s *admissionStage) runExpiry(ctx context.Context) {
+	for pause.For(ctx, queueCheckInterval) {
 		s.mu.Lock()
-		for _, g := range s.gates {
-			s.refuseLate(g)
-			s.setLimits(g)
-			s.start(g.Dispatch())
+		for _, q := range s.queues {
+			s.refuseExpired(q)
+			s.setLimits(q)
+			s.admitTickets(q.Dispatch())
 		}
 		s.mu.Unlock()
 	}
 }
 
-// refuseLate refuses at once the requests that have become hopeless. The caller
-// holds s.mu.
-func (s *admitStage) refuseLate(g *gate) {
-	for _, t := range g.Expire(s.now()) {
-		s.wake(t.ID, hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable,
-			"the answer could not be whole in time").WithRetryAfter(max(g.Wait(t), shortestRetryHint)))
+// refuseExpired refuses the waiting requests that can no longer meet their
+// deadline. The caller holds s.mu.
+func (s *admissionStage) refuseExpired(q *admissionQueue) {
+	for _, t := range q.Expire(s.now()) {
+		s.notify(t.ID, hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable,
+			"the answer could not be whole in time").WithRetryAfter(max(q.Wait(t), minRetryAfter)))
 	}
 }
 
-func (s *admitStage) run(ctx context.Context, x *Exchange, next Next) error {
+func (s *admissionStage) run(ctx context.Context, x *Exchange, next Next) error {
 	spanCtx, span := spans.Start(ctx, "admit")
-	err := s.enter(spanCtx, x)
+	err := s.admit(spanCtx, x)
 	spans.End(span, err)
 	if err != nil {
 		return err
 	}
-	began := s.now()
-	defer func() { s.leave(x, began) }()
+	startedAt := s.now()
+	defer func() { s.finish(x, startedAt) }()
 	return next(ctx, x)
 }
 
-// enter returns once the request may go on.
-func (s *admitStage) enter(ctx context.Context, x *Exchange) error {
-	id, verdict, wait := s.arrive(x)
+// admit returns once the request is admitted, or with the reason of its
+// refusal.
+func (s *admissionStage) admit(ctx context.Context, x *Exchange) error {
+	id, verdict, wait := s.enqueue(x)
 	switch verdict {
 	case admit.Admitted:
 		return nil
 	case admit.QueueFull:
-		return hibiscuscart.Fail(hibiscuscart.CauseQueueFull, "the queue of profile %q is full", x.profile.Name()).WithRetryAfter(s.estimate(x))
+		return hibiscuscart.Fail(hibiscuscart.CauseQueueFull, "the queue of profile %q is full", x.profile.Name()).WithRetryAfter(s.retryAfter(x))
 	case admit.TooLate:
-		return hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable, "the answer could not be whole in time").WithRetryAfter(s.estimate(x))
+		return hibiscuscart.Fail(hibiscuscart.CauseDeadlineUnreachable, "the answer could not be whole in time").WithRetryAfter(s.retryAfter(x))
 	}
 	select {
 	case err := <-wait:
 		return err
 	case <-ctx.Done():
-		return s.abandon(ctx, x, id, wait)
+		return s.cancelWait(ctx, x, id, wait)
 	}
 }
 
-func (s *admitStage) arrive(x *Exchange) (uint64, admit.Verdict, chan error) {
+func (s *admissionStage) enqueue(x *Exchange) (uint64, admit.Verdict, chan error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.gate(x)
+	q := s.queueFor(x)
 	s.lastID++
 	id := s.lastID
-	s.refuseLate(g)
-	verdict, evicted := g.Arrive(s.now(), g.ticket(id, x))
+	s.refuseExpired(q)
+	verdict, evicted := q.Arrive(s.now(), q.newTicket(id, x))
 	if evicted != nil {
-		s.wake(evicted.ID, hibiscuscart.Fail(hibiscuscart.CauseQueueFull,
-			"the queue is full and this caller has the most requests in it").WithRetryAfter(g.Wait(*evicted)))
+		s.notify(evicted.ID, hibiscuscart.Fail(hibiscuscart.CauseQueueFull,
+			"the queue is full and this caller has the most requests in it").WithRetryAfter(q.Wait(*evicted)))
 	}
 	if verdict != admit.Queued {
 		return id, verdict, nil
 	}
 	wait := make(chan error, 1)
-	s.waits[id] = wait
+	s.waiters[id] = wait
 	return id, verdict, wait
 }
 
-// gate returns the gate of a request, with its limits as they are now.
-func (s *admitStage) gate(x *Exchange) *gate {
-	key := x.profile.Name() + "/" + x.model
-	g := s.gates[key]
-	if g == nil {
-		g = &gate{model: x.model}
-		s.gates[key] = g
+// queueFor returns the queue of a request, with its limits brought up to date.
+func (s *admissionStage) queueFor(x *Exchange) *admissionQueue {
+	key := x.profile.Name() + "/" + x.modelName
+	q := s.queues[key]
+	if q == nil {
+		q = &admissionQueue{model: x.modelName}
+		s.queues[key] = q
 	}
-	g.profile = x.profile
-	s.setLimits(g)
-	return g
+	q.profile = x.profile
+	s.setLimits(q)
+	return q
 }
 
-// setLimits bounds the requests in progress by the VM's part of the profile's
-// limit and by what the servers that hold the model can take: a request that
-// waits here can still be refused in time, or go elsewhere; one that waits at a
-// server can not.
-func (s *admitStage) setLimits(g *gate) {
-	concurrency := s.share(g.profile, g.Running()+g.Waiting()+1)
-	if free, known := s.free(g.profile, g.model); known {
-		concurrency = min(concurrency, g.Running()+free)
+// setLimits bounds the requests in progress by the VM's share of the profile's
+// limit and by the free capacity of the servers that hold the model. A request
+// that waits in this queue can still be refused in time or sent to another
+// server; one that waits at a server can not.
+func (s *admissionStage) setLimits(q *admissionQueue) {
+	concurrency := s.concurrencyShare(q.profile, q.Running()+q.Waiting()+1)
+	if free, known := s.freeSlots(q.profile, q.model); known {
+		concurrency = min(concurrency, q.Running()+free)
 	}
-	g.SetLimits(admit.Limits{Concurrency: concurrency, Queue: g.profile.QueueLimit()})
+	q.SetLimits(admit.Limits{Concurrency: concurrency, Queue: q.profile.QueueLimit()})
 }
 
-// start lets requests go on. The caller holds s.mu.
-func (s *admitStage) start(tickets []admit.Ticket) {
+// admitTickets admits waiting requests. The caller holds s.mu.
+func (s *admissionStage) admitTickets(tickets []admit.Ticket) {
 	for _, t := range tickets {
-		s.wake(t.ID, nil)
+		s.notify(t.ID, nil)
 	}
 }
 
-// ticket returns the ticket of a request. To meet the target for the first
-// token it must be admitted as much earlier as a first token takes.
-func (g *gate) ticket(id uint64, x *Exchange) admit.Ticket {
+// newTicket returns the ticket of a request. To meet the first-token target,
+// the request must be admitted earlier by the expected time to the first token.
+func (q *admissionQueue) newTicket(id uint64, x *Exchange) admit.Ticket {
 	t := admit.Ticket{
 		ID: id, Caller: x.request.Caller, Weight: x.profile.CallerWeight(x.request.Caller),
 		Priority: x.profile.Priority(), Target: x.deadline, Deadline: x.deadline,
 	}
 	if !x.profile.IsService() {
-		takes := time.Duration(firstTokenMargin * float64(g.first))
-		t.Target = x.request.Arrived.Add(max(x.profile.FirstToken()-takes, 0))
+		firstTokenTime := time.Duration(firstTokenTimeFactor * float64(q.meanFirstTokenTime))
+		t.Target = x.request.Arrived.Add(max(x.profile.FirstToken()-firstTokenTime, 0))
 	}
 	return t
 }
 
-// learn takes in how long the first token of a request took.
-func (g *gate) learn(x *Exchange, began time.Time) {
-	if x.firstAt.IsZero() {
+// recordFirstToken adds the time to the first token of a request to the running
+// mean.
+func (q *admissionQueue) recordFirstToken(x *Exchange, startedAt time.Time) {
+	if x.firstTokenAt.IsZero() {
 		return
 	}
-	took := x.firstAt.Sub(began)
-	if g.first == 0 {
-		g.first = took
+	firstTokenTime := x.firstTokenAt.Sub(startedAt)
+	if q.meanFirstTokenTime == 0 {
+		q.meanFirstTokenTime = firstTokenTime
 	}
-	g.first += time.Duration(admit.Smoothing * float64(took-g.first))
+	q.meanFirstTokenTime += time.Duration(admit.Smoothing * float64(firstTokenTime-q.meanFirstTokenTime))
 }
 
-// wake ends the wait of a ticket. The caller holds s.mu.
-func (s *admitStage) wake(id uint64, err error) {
-	if wait := s.waits[id]; wait != nil {
+// notify ends the wait of a ticket. The caller holds s.mu.
+func (s *admissionStage) notify(id uint64, err error) {
+	if wait := s.waiters[id]; wait != nil {
 		wait <- err
-		delete(s.waits, id)
+		delete(s.waiters, id)
 	}
 }
 
-// abandon gives up a waiting request whose caller has gone or whose time is
-// over. When its turn came at the same moment, the place is passed on.
-func (s *admitStage) abandon(ctx context.Context, x *Exchange, id uint64, wait chan error) error {
+// cancelWait removes a waiting request whose caller disconnected or whose
+// deadline passed. When the request was admitted at the same moment, its slot
+// is released.
+func (s *admissionStage) cancelWait(ctx context.Context, x *Exchange, id uint64, wait chan error) error {
 	s.mu.Lock()
-	g := s.gate(x)
-	waiting := g.Abandon(id)
-	delete(s.waits, id)
+	q := s.queueFor(x)
+	waiting := q.Abandon(id)
+	delete(s.waiters, id)
 	s.mu.Unlock()
 	cause, _ := httpx.ContextCause(ctx, false)
-	failure := hibiscuscart.Fail(cause, "the request waited until its time was over").WithRetryAfter(s.estimate(x))
+	failure := hibiscuscart.Fail(cause, "the request waited until its time was over").WithRetryAfter(s.retryAfter(x))
 	if waiting {
 		return failure
 	}
 	if err := <-wait; err != nil {
 		return err
 	}
-	s.leave(x, s.now())
+	s.finish(x, s.now())
 	return failure
 }
 
-// leave gives a request's place to the next.
-func (s *admitStage) leave(x *Exchange, began time.Time) {
+// finish releases a request's slot and admits the next requests.
+func (s *admissionStage) finish(x *Exchange, startedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.gate(x)
-	g.learn(x, began)
-	s.refuseLate(g)
-	s.start(g.Finish(s.now().Sub(began)))
+	q := s.queueFor(x)
+	q.recordFirstToken(x, startedAt)
+	s.refuseExpired(q)
+	s.admitTickets(q.Finish(s.now().Sub(startedAt)))
 }
 
-const shortestRetryHint = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
-// estimate says when a refused caller should come back.
-func (s *admitStage) estimate(x *Exchange) time.Duration {
+// retryAfter estimates after how long a refused caller should retry.
+func (s *admissionStage) retryAfter(x *Exchange) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := s.gate(x).Wait(admit.Ticket{Caller: x.request.Caller, Priority: x.profile.Priority()})
-	return max(wait, shortestRetryHint)
+	wait := s.queueFor(x).Wait(admit.Ticket{Caller: x.request.Caller, Priority: x.profile.Priority()})
+	return max(wait, minRetryAfter)
 }
 
-// demand returns the requests in progress and waiting of each profile.
-func (s *admitStage) demand() []wire.ProfileDemand {
+// demand returns the number of requests in progress and waiting of each
+// profile.
+func (s *admissionStage) demand() []wire.ProfileDemand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	requests := make(map[string]int)
-	for _, g := range s.gates {
-		requests[g.profile.Name()] += g.Running() + g.Waiting()
+	for _, q := range s.queues {
+		requests[q.profile.Name()] += q.Running() + q.Waiting()
 	}
 	demand := []wire.ProfileDemand{}
 	for name, n := range requests {
@@ -249,13 +255,14 @@
 	return demand
 }
 
-// depth returns the requests in progress and waiting, over all profiles.
-func (s *admitStage) depth() (running, waiting int) {
+// requestCounts returns the numbers of requests in progress and waiting, over
+// all profiles.
+func (s *admissionStage) requestCounts() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, g := range s.gates {
-		running += g.Running()
-		waiting += g.Waiting()
+	for _, q := range s.queues {
+		running += q.Running()
+		waiting += q.Waiting()
 	}
 	return running, waiting
 }
--- a/entry/claimer.go
+++ b/entry/claimer.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	defaultShards = 4
-	// claimCallTimeout bounds a call of a shard's owner.
+	defaultClaimShards = 4
+	// claimCallTimeout bounds a call to a shard's owner.
 	claimCallTimeout = 2 * time.Second
-	// abandonTimeout bounds the withdrawal of a claim whose fate is not known.
-	abandonTimeout = 5 * time.Second
-	// linkTimeout bounds the opening of a link for a call.
-	linkTimeout = 300 * time.Millisecond
+	// withdrawTimeout bounds the withdrawal of a claim whose result is unknown.
+	withdrawTimeout = 5 * time.Second
+	// linkDialTimeout bounds the opening of a link for a call.
+	linkDialTimeout = 300 * time.Millisecond
 )
 
-// claimer makes claims with the VM that owns the key's shard. Who owns a shard
-// follows from who is alive and matters only for speed: any VM may write any
-// shard, and the version of the shard's object decides.
+// claimer makes claims through the VM that owns the key's shard. Ownership
+// follows from the list of live VMs and matters only for speed: any VM may
+// write any shard, and the version of the shard's object decides.
 type claimer struct {
-	d      *Daemon
-	shards int
-	base   context.Context
+	d       *Daemon
+	shards  int
+	baseCtx context.Context
 
 	mu      sync.Mutex
 	runners map[int]*claim.Runner
@@ -44,12 +44,12 @@
 func newClaimer(d *Daemon) *claimer {
 	shards := d.config.ClaimShards
 	if shards == 0 {
-		shards = defaultShards
+		shards = defaultClaimShards
 	}
 	return &claimer{d: d, shards: shards, runners: make(map[int]*claim.Runner)}
 }
 
-// claims returns the claimer as the stage uses it.
+// claims returns the functions that claimStage calls.
 func (c *claimer) claims() Claims {
 	return Claims{Claim: c.claim, Finish: c.finish, Release: c.release}
 }
@@ -58,16 +58,16 @@
 
 // owner returns the live VM that owns a shard, by rendezvous hashing.
 func (c *claimer) owner(shard int) string {
-	best, most := "", uint64(0)
-	for _, node := range c.d.peers.liveNodes() {
-		if w := xxhash.Sum64String(node + "/" + strconv.Itoa(shard)); best == "" || w > most {
-			best, most = node, w
+	owner, maxWeight := "", uint64(0)
+	for _, node := range c.d.peers.activeVMs() {
+		if weight := xxhash.Sum64String(node + "/" + strconv.Itoa(shard)); owner == "" || weight > maxWeight {
+			owner, maxWeight = node, weight
 		}
 	}
-	return best
+	return owner
 }
 
-// runner returns the runner of a shard, started when it is first needed.
+// runner returns the runner of a shard and starts it at the first use.
 func (c *claimer) runner(shard int) *claim.Runner {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,15 +79,15 @@
 	r.Interval = c.d.config.ClaimInterval
 	r.Failed = func(err error) {
 		c.d.meter.Count("claim.shard_failed", 1)
-		c.d.log.Warn().Err(err).Int("shard", shard).Msg("claims are not granted")
+		c.d.log.Warn().Err(err).Int("shard", shard).Msg("failed to write claim shard")
 	}
 	c.runners[shard] = r
-	c.jobs.Go(func() { r.Run(c.base) })
+	c.jobs.Go(func() { r.Run(c.baseCtx) })
 	return r
 }
 
-// claim asks the shard's owner for a claim. When the owner can not be asked, or
-// does not answer, this VM writes the shard itself.
+// claim requests a claim from the shard's owner. When the owner can not be
+// reached or does not reply, this VM writes the shard itself.
 func (c *claimer) claim(ctx context.Context, _ time.Time, r dedup.Request) (dedup.Decision, error) {
 	shard := c.shardOf(r.StoredKey())
 	owner := c.owner(shard)
@@ -100,24 +100,24 @@
 	}
 	c.d.meter.Count("claim.owner_failed", 1)
 	if !errors.Is(err, errNotSent) {
-		// The owner may grant the claim yet. This VM will not send the request
-		// under that grant, and so may withdraw it; it goes on under another,
-		// so that the withdrawal can not undo what is granted here.
-		go c.abandon(owner, shard, r)
+		// The owner may still grant the claim. This VM does not send the
+		// request under that grant, so it may withdraw it. The VM continues
+		// with a new grant, which the withdrawal does not affect.
+		go c.withdraw(owner, shard, r)
 		r.Grant = uuid.NewString()
 	}
 	return c.runner(shard).Claim(ctx, r), nil
 }
 
-// abandon withdraws a grant under which nothing was sent.
-func (c *claimer) abandon(owner string, shard int, r dedup.Request) {
+// withdraw withdraws a grant under which no request was sent.
+func (c *claimer) withdraw(owner string, shard int, r dedup.Request) {
 	c.runner(shard).Cancel(r)
-	ctx, cancel := context.WithTimeout(c.base, abandonTimeout)
+	ctx, cancel := context.WithTimeout(c.baseCtx, withdrawTimeout)
 	defer cancel()
 	_, _ = c.d.peers.callClaim(ctx, owner, newClaimCall(wire.ClaimCallOperationRelease, r, ""))
 }
 
-// finish records how a granted request ended.
+// finish records the result of a granted request.
 func (c *claimer) finish(ctx context.Context, _ time.Time, r dedup.Request, _ dedup.Decision, state wire.ClaimState, answer string) error {
 	shard := c.shardOf(r.StoredKey())
 	operation := wire.ClaimCallOperationDone
@@ -132,7 +132,7 @@
 	return c.runner(shard).Settle(ctx, r, state, answer)
 }
 
-// release gives up a claim whose request was not sent.
+// release withdraws the claim of a request that was not sent.
 func (c *claimer) release(ctx context.Context, r dedup.Request, _ dedup.Decision) error {
 	shard := c.shardOf(r.StoredKey())
 	if owner := c.owner(shard); owner != c.d.config.Name {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// serve answers a peer that takes this VM for the owner of a shard.
-func (c *claimer) serve(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
+// handleCall replies to a peer that considers this VM the owner of a shard.
+func (c *claimer) handleCall(ctx context.Context, call *wire.ClaimCall) *wire.ClaimReply {
 	ctx, span := spans.Start(ctx, "claim owner")
 	defer span.End()
 	r := dedup.Request{
@@ -188,64 +188,66 @@
 }
 
 var (
-	// errNotSent says that a call provably did not leave this VM.
-	errNotSent    = errors.New("no link to the VM")
-	errLinkBroken = errors.New("the link broke before the reply")
+	// errNotSent means that a call certainly did not leave this VM.
+	errNotSent    = errors.New("no link to the VM; the call was not sent")
+	errLinkBroken = errors.New("the link closed before the reply")
 )
 
-// calls matches the replies of claim calls with those who wait for them.
-type calls struct {
+// pendingCalls matches the replies of claim calls with the goroutines that wait
+// for them.
+type pendingCalls struct {
 	mu      sync.Mutex
-	last    int
-	waiting map[int]call
+	lastID  int
+	pending map[int]pendingCall
 }
 
-// call is one call under way; its reply is nil when the link breaks first.
-type call struct {
+// pendingCall is a call that waits for its reply, which is nil when the link
+// closes first.
+type pendingCall struct {
 	conn  *link.Conn
 	reply chan *wire.ClaimReply
 }
 
-func (c *calls) begin(conn *link.Conn) (int, chan *wire.ClaimReply) {
+func (c *pendingCalls) add(conn *link.Conn) (int, chan *wire.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting == nil {
-		c.waiting = make(map[int]call)
+	if c.pending == nil {
+		c.pending = make(map[int]pendingCall)
 	}
-	c.last++
+	c.lastID++
 	reply := make(chan *wire.ClaimReply, 1)
-	c.waiting[c.last] = call{conn: conn, reply: reply}
-	return c.last, reply
+	c.pending[c.lastID] = pendingCall{conn: conn, reply: reply}
+	return c.lastID, reply
 }
 
-// broke ends the calls over a link that has ended.
-func (c *calls) broke(conn *link.Conn) {
+// linkClosed fails the calls over a link that has closed.
+func (c *pendingCalls) linkClosed(conn *link.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for number, w := range c.waiting {
+	for callID, w := range c.pending {
 		if w.conn == conn {
 			w.reply <- nil
-			delete(c.waiting, number)
+			delete(c.pending, callID)
 		}
 	}
 }
 
-func (c *calls) end(number int) {
+func (c *pendingCalls) remove(callID int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, number)
+	delete(c.pending, callID)
 }
 
-func (c *calls) reply(r *wire.ClaimReply) {
+func (c *pendingCalls) deliver(r *wire.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w, ok := c.waiting[r.Call]; ok {
+	if w, ok := c.pending[r.Call]; ok {
 		w.reply <- r
-		delete(c.waiting, r.Call)
+		delete(c.pending, r.Call)
 	}
 }
 
-// callClaim calls a VM over the link that this VM opened to it.
+// callClaim sends a claim call to a VM over the link that this VM opened to it.
 func (p *peers) callClaim(ctx context.Context, node string, call *wire.ClaimCall) (*wire.ClaimReply, error) {
 	conn := p.linkTo(ctx, node)
 	if conn == nil {
@@ -253,19 +255,19 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 	defer cancel()
-	number, wait := p.calls.begin(conn)
-	defer p.calls.end(number)
-	call.Call = number
+	callID, replies := p.claimCalls.add(conn)
+	defer p.claimCalls.remove(callID)
+	call.Call = callID
 	if err := conn.Send(ctx, &wire.Message{Traceparent: spans.Inject(ctx), ClaimCall: call}); err != nil {
-		return nil, fmt.Errorf("call %s: %w", node, errors.Join(errLinkBroken, err))
+		return nil, fmt.Errorf("claim call to %s: %w", node, errors.Join(errLinkBroken, err))
 	}
 	select {
-	case reply := <-wait:
+	case reply := <-replies:
 		if reply == nil {
-			return nil, fmt.Errorf("call %s: %w", node, errLinkBroken)
+			return nil, fmt.Errorf("claim call to %s: %w", node, errLinkBroken)
 		}
 		return reply, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("call %s: %w", node, ctx.Err())
+		return nil, fmt.Errorf("claim call to %s: %w", node, ctx.Err())
 	}
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -16,27 +16,29 @@
 )
 
 const (
-	// maxKeptAnswer bounds the answers that are kept with their claims.
-	maxKeptAnswer = 8 << 10
-	// settleTimeout bounds the recording of how a granted request ended.
-	settleTimeout = 10 * time.Second
+	// maxStoredResponseBytes bounds the responses that are stored with their
+	// claims.
+	maxStoredResponseBytes = 8 << 10
+	// resultTimeout bounds the recording of the result of a granted request.
+	resultTimeout = 10 * time.Second
 )
 
-// Claims is how claims of idempotency keys are made; see dedup.
+// Claims holds the functions that make and settle claims of idempotency keys;
+// see dedup.
 type Claims struct {
 	Claim   func(ctx context.Context, now time.Time, r dedup.Request) (dedup.Decision, error)
 	Finish  func(ctx context.Context, now time.Time, r dedup.Request, d dedup.Decision, state wire.ClaimState, answer string) error
 	Release func(ctx context.Context, r dedup.Request, d dedup.Decision) error
 }
 
-// claimStage lets a request that may run once pass only with a claim.
+// claimStage requires a claim for each request that may run only once.
 type claimStage struct {
 	claims Claims
 	now    func() time.Time
 	log    zerolog.Logger
 	meter  *meter.Set
-	// settling counts the claims whose end is being recorded.
-	settling sync.WaitGroup
+	// pendingResults counts the claims whose results are being recorded.
+	pendingResults sync.WaitGroup
 }
 
 func (s *claimStage) run(ctx context.Context, x *Exchange, next Next) error {
@@ -56,25 +58,25 @@
 	defer cancel()
 	r.Grant = d.Grant
 	err = next(ctx, x)
-	s.settling.Add(1)
-	go s.settle(x, r, d, err)
+	s.pendingResults.Add(1)
+	go s.recordResult(x, r, d, err)
 	return err
 }
 
-// detach lets a granted request run to its end when its caller goes away: it
-// can not run again, so its answer is kept for the caller to ask for with the
-// same key.
+// detach lets a granted request run to completion after its caller disconnects.
+// The request can not run again, so its response is stored and the caller can
+// fetch it with the same key.
 func detach(ctx context.Context, x *Exchange) (context.Context, context.CancelFunc) {
-	x.sink = x.sink.ignoringErrors()
+	x.sink = x.sink.discardErrors()
 	return context.WithDeadline(context.WithoutCancel(ctx), x.deadline)
 }
 
 func (s *claimStage) claim(ctx context.Context, r dedup.Request) (dedup.Decision, error) {
 	ctx, span := spans.Start(ctx, "claim")
-	began := s.now()
-	d, err := s.claims.Claim(ctx, began, r)
+	startedAt := s.now()
+	d, err := s.claims.Claim(ctx, startedAt, r)
 	spans.End(span, err)
-	s.meter.Time("claim.time", s.now().Sub(began))
+	s.meter.Time("claim.time", s.now().Sub(startedAt))
 	s.meter.Count("claim."+d.Verdict.String(), 1)
 	return d, err
 }
@@ -100,14 +102,15 @@
 	return f
 }
 
-// replay gives the kept answer of a request that has run, or says that it ran.
+// replay returns the stored response of a request that has run, or a failure
+// when the response was not stored.
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
 	var a hibiscuscart.Answer
 	if d.Answer == "" || json.Unmarshal([]byte(d.Answer), &a) != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
 	}
 	x.replayed = true
-	x.answer = a
+	x.response = a
 	if x.sink.Text != nil {
 		if err := x.sink.Text(a.Text); err != nil {
 			return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller went away").WithError(err)
@@ -119,40 +122,41 @@
 	return nil
 }
 
-// settle records how a granted request ended. When that fails the claim stays
-// granted, which later reads as unknown: the request is never run again.
-func (s *claimStage) settle(x *Exchange, r dedup.Request, d dedup.Decision, ended error) {
-	defer s.settling.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+// recordResult records the result of a granted request. When that fails, the
+// claim stays granted and later reads as unknown, so the request is never run
+// again.
+func (s *claimStage) recordResult(x *Exchange, r dedup.Request, d dedup.Decision, runErr error) {
+	defer s.pendingResults.Done()
+	ctx, cancel := context.WithTimeout(context.Background(), resultTimeout)
 	defer cancel()
 	var err error
 	switch {
-	case ended == nil:
-		err = s.claims.Finish(ctx, s.now(), r, d, wire.ClaimStateDone, keptAnswer(x))
-	case !x.sent:
+	case runErr == nil:
+		err = s.claims.Finish(ctx, s.now(), r, d, wire.ClaimStateDone, storedResponse(x))
+	case !x.maybeSent:
 		err = s.claims.Release(ctx, r, d)
 	default:
 		err = s.claims.Finish(ctx, s.now(), r, d, wire.ClaimStateUnknown, "")
 	}
 	if err != nil {
 		s.meter.Count("claim.not_settled", 1)
-		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("claim not settled")
+		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("failed to record claim result")
 	}
 }
 
-func keptAnswer(x *Exchange) string {
-	data, err := json.Marshal(x.answer)
-	if err != nil || len(data) > maxKeptAnswer {
+func storedResponse(x *Exchange) string {
+	data, err := json.Marshal(x.response)
+	if err != nil || len(data) > maxStoredResponseBytes {
 		return ""
 	}
 	return string(data)
 }
 
-// wait returns when no claim is being settled any more, or ctx ends.
-func (s *claimStage) wait(ctx context.Context) {
+// waitForResults returns when all claim results are recorded, or when ctx ends.
+func (s *claimStage) waitForResults(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.settling.Wait()
+		s.pendingResults.Wait()
 		close(done)
 	}()
 	select {
--- a/entry/config.go
+++ b/entry/config.go
@@ -18,7 +18,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Config is what a Daemon needs to know.
+// Config holds the settings and dependencies of a Daemon.
 type Config struct {
 	Name          string
 	FailureDomain string
@@ -33,48 +33,50 @@
 	Callers      map[string]string
 	Limits       Limits
 	DrainTimeout time.Duration
-	// ClaimShards is how many slices the idempotency keys are divided into; all
-	// VMs must agree. ClaimInterval is the least time between two updates of a
-	// shard.
+	// ClaimShards is the number of shards of the idempotency keys; it must be
+	// the same on all VMs. ClaimInterval is the minimum time between two
+	// updates of a shard.
 	ClaimShards   int
 	ClaimInterval time.Duration
-	// SimpleClaims writes each claim by itself, and Baseline admits every
-	// request at once, sends it to the server with the lowest reported load and
-	// tries again without a budget; both for comparison.
+	// SimpleClaims writes each claim by itself. Baseline admits every request
+	// at once, sends it to the server with the lowest reported load and retries
+	// without a budget. Both serve as comparisons.
 	SimpleClaims bool
 	Baseline     bool
-	// Placement is "" for the planner; "static" and "swap" are its baselines.
+	// Placement is "" for the planner, or "static" or "swap" for its baselines.
 	Placement string
-	// Loads and Adapters bound the loads from the weight store at once, over
-	// all failure domains.
+	// Loads and Adapters limit the concurrent loads of models and adapters from
+	// the weight store, over all failure domains.
 	Loads      int
 	Adapters   int
 	RetryShare float64
 	Heartbeat  time.Duration
 	DeadAfter  time.Duration
 	// Fanout is how many VMs of the failure domain get each round of
-	// heartbeats, and GossipBytes bounds a frame of them; 0 takes the defaults.
+	// heartbeats, and GossipBytes bounds a frame of heartbeats; 0 selects the
+	// defaults.
 	Fanout      int
 	GossipBytes int
-	// Seeds are VMs to try when the platform can not be asked.
+	// Seeds are the VMs to contact when the platform is unreachable.
 	Seeds         []wire.VM
 	MaxFrameBytes int64
 	TLS           *tls.Config
 
 	Log zerolog.Logger
-	// PlatformHTTP and BackendHTTP carry the calls to the platform and to
-	// backend servers; nil uses fresh ones. Tests cut links here.
+	// PlatformHTTP and BackendHTTP are the clients for the platform and for
+	// backend servers; nil creates new ones. Tests inject network failures
+	// here.
 	PlatformHTTP *httpx.Client
 	BackendHTTP  *httpx.Client
 	// PeerDial opens the links to peers; nil uses TCP.
 	PeerDial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Now is the clock; nil takes the system's.
+	// Now is the clock; nil selects the system clock.
 	Now func() time.Time
-	// Seed seeds the random choices; 0 takes one from the clock.
+	// Seed seeds the random choices; 0 selects a random seed.
 	Seed uint64
 }
 
-// ConfigFrom returns the Config of a VM in checked settings.
+// ConfigFrom returns the Config of a VM from validated settings.
 func ConfigFrom(s *conf.Settings, vm conf.VM, log zerolog.Logger) (Config, error) {
 	tlsConfig, err := LoadTLS(s)
 	if err != nil {
@@ -95,14 +97,14 @@
 		ClaimShards: s.Int("claims", "shards"), ClaimInterval: s.Duration("claims", "interval"),
 		Loads: s.Int("weight_store", "loads_at_full_speed"), Adapters: s.Int("weight_store", "adapters_in_transit"),
 		Heartbeat: s.Duration("peers", "heartbeat"), DeadAfter: s.Duration("peers", "dead_after"),
-		Fanout: s.Int("peers", "fanout"), GossipBytes: s.Int("peers", "gossip_bytes"), Seeds: seeds(s, vm),
+		Fanout: s.Int("peers", "fanout"), GossipBytes: s.Int("peers", "gossip_bytes"), Seeds: seedVMs(s, vm),
 		MaxFrameBytes: int64(s.Int("peers", "max_frame_bytes")),
 		TLS:           tlsConfig, Log: log,
 	}, nil
 }
 
-// seeds returns the other VMs of the settings.
-func seeds(s *conf.Settings, own conf.VM) []wire.VM {
+// seedVMs returns all VMs of the settings but the VM itself.
+func seedVMs(s *conf.Settings, own conf.VM) []wire.VM {
 	var vms []wire.VM
 	for _, vm := range s.VMs() {
 		if vm.Name() != own.Name() {
@@ -112,7 +114,7 @@
 	return vms
 }
 
-// LoadTLS returns the TLS configuration of the links, nil when the settings
+// LoadTLS returns the TLS configuration of the links, or nil when the settings
 // name no certificate.
 func LoadTLS(s *conf.Settings) (*tls.Config, error) {
 	certificate, key := s.Text("peers", "certificate_file"), s.Text("peers", "private_key_file")
@@ -130,11 +132,11 @@
 	}
 	pem, err := os.ReadFile(authority)
 	if err != nil {
-		return nil, fmt.Errorf("read authority: %w", err)
+		return nil, fmt.Errorf("read certificate authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, trace.BadParameter("%s holds no certificate", authority)
+		return nil, trace.BadParameter("%s contains no PEM certificate", authority)
 	}
 	c.RootCAs = pool
 	return c, nil
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -15,30 +15,30 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Prefixes of the names of documents.
+// Prefixes of document names.
 const (
 	profilePrefix = profs.Kind + "/"
 	serverPrefix  = KindServer + "/"
 )
 
-// configs is the configuration in force: profiles and backend servers, each
-// document with its version. It only moves forward.
-type configs struct {
+// activeConfig is the configuration in force: profiles and backend servers,
+// each document with its version. Versions only increase.
+type activeConfig struct {
 	profiles *profs.View
 
 	mu      sync.Mutex
 	servers map[string]serverDocument
 }
 
-// serverDocument is a backend server's entry; its text is empty once it was
-// deleted.
+// serverDocument is a backend server's entry. Its document is empty once the
+// entry was deleted.
 type serverDocument struct {
-	version int
-	text    string
+	version  int
+	document string
 }
 
-// adoptServer puts an entry in force when its version is higher.
-func (c *configs) adoptServer(name string, version int, text string) bool {
+// applyServer replaces an entry when the new version is higher.
+func (c *activeConfig) applyServer(name string, version int, text string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version <= c.servers[name].version {
@@ -47,12 +47,13 @@
 	if c.servers == nil {
 		c.servers = make(map[string]serverDocument)
 	}
-	c.servers[name] = serverDocument{version: version, text: text}
+	c.servers[name] = serverDocument{version: version, document: text}
 	return true
 }
 
-// removeServers deletes the entries that a listing at a version does not have.
-func (c *configs) removeServers(version int, listed map[string]bool) {
+// removeServers deletes the entries that are missing from a listing of the
+// given version.
+func (c *activeConfig) removeServers(version int, listed map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, doc := range c.servers {
@@ -62,14 +63,14 @@
 	}
 }
 
-// Servers returns the entries that are not deleted and can be read.
-func (c *configs) Servers() []wire.Server {
+// Servers returns the entries that are not deleted and can be decoded.
+func (c *activeConfig) Servers() []wire.Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var docs []wire.Server
 	for _, d := range c.servers {
 		var doc wire.Server
-		if d.text != "" && json.Unmarshal([]byte(d.text), &doc) == nil {
+		if d.document != "" && json.Unmarshal([]byte(d.document), &doc) == nil {
 			docs = append(docs, doc)
 		}
 	}
@@ -77,7 +78,7 @@
 }
 
 // Versions returns the versions of all documents, sorted by name.
-func (c *configs) Versions() []wire.ProfileVersion {
+func (c *activeConfig) Versions() []wire.ProfileVersion {
 	var all []wire.ProfileVersion
 	for _, v := range c.profiles.Versions() {
 		all = append(all, wire.ProfileVersion{Name: profilePrefix + v.Name, Version: v.Version})
@@ -91,9 +92,9 @@
 	return all
 }
 
-// Hash returns a digest of the versions: two VMs with the same have the same
+// Hash returns a digest of the versions. VMs with equal digests have the same
 // configuration in force.
-func (c *configs) Hash() int {
+func (c *activeConfig) Hash() int {
 	sum := uint64(0)
 	for _, v := range c.Versions() {
 		sum += xxhash.Sum64String(v.Name + "@" + strconv.Itoa(v.Version))
@@ -101,30 +102,30 @@
 	return int(sum >> 1)
 }
 
-// Compare returns the names that are newer here than in a list of versions, and
-// those that are older.
-func (c *configs) Compare(versions []wire.ProfileVersion) (newer, older []string) {
-	theirs := make(map[string]int, len(versions))
+// Compare returns the names whose local version is higher than in a list of
+// versions, and those whose local version is lower.
+func (c *activeConfig) Compare(versions []wire.ProfileVersion) (newer, older []string) {
+	peerVersions := make(map[string]int, len(versions))
 	for _, v := range versions {
-		theirs[v.Name] = v.Version
+		peerVersions[v.Name] = v.Version
 	}
 	for _, v := range c.Versions() {
-		if v.Version > theirs[v.Name] {
+		if v.Version > peerVersions[v.Name] {
 			newer = append(newer, v.Name)
 		}
-		if v.Version >= theirs[v.Name] {
-			delete(theirs, v.Name)
+		if v.Version >= peerVersions[v.Name] {
+			delete(peerVersions, v.Name)
 		}
 	}
-	for name := range theirs {
+	for name := range peerVersions {
 		older = append(older, name)
 	}
 	slices.Sort(older)
 	return newer, older
 }
 
-// Document returns a document for a peer.
-func (c *configs) Document(name string) (*wire.Push, bool) {
+// Document returns a document as a message to a peer.
+func (c *activeConfig) Document(name string) (*wire.Push, bool) {
 	if profile, ok := strings.CutPrefix(name, profilePrefix); ok {
 		p, known := c.profiles.Get(profile)
 		if !known {
@@ -139,51 +140,51 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, known := c.servers[strings.TrimPrefix(name, serverPrefix)]
-	return &wire.Push{Name: name, Version: d.version, Document: d.text}, known
+	return &wire.Push{Name: name, Version: d.version, Document: d.document}, known
 }
 
-// adopt takes in a document from the platform or a peer; a newer one is passed
-// on.
-func (d *Daemon) adopt(name string, version int, text string) {
-	adopted := false
+// applyDocument applies a document from the platform or a peer. A newer
+// document is forwarded to peers.
+func (d *Daemon) applyDocument(name string, version int, text string) {
+	applied := false
 	if profile, ok := strings.CutPrefix(name, profilePrefix); ok {
-		adopted = d.adoptProfile(profile, version, json.RawMessage(text))
+		applied = d.applyProfile(profile, version, json.RawMessage(text))
 	} else if server, ok := strings.CutPrefix(name, serverPrefix); ok {
-		adopted = d.configs.adoptServer(server, version, text)
-		if adopted {
-			d.fleet.SetServers(d.configs.Servers())
+		applied = d.activeConfig.applyServer(server, version, text)
+		if applied {
+			d.fleet.SetServers(d.activeConfig.Servers())
 		}
 	}
-	if adopted {
-		d.peers.spread(d.base, name)
+	if applied {
+		d.peers.broadcast(d.baseCtx, name)
 	}
 }
 
-// caughtUp notes that a peer has the same configuration as this VM, which then
-// may serve though it has not reached the platform.
-func (d *Daemon) caughtUp(same bool) {
-	if same && len(d.configs.Versions()) > 0 {
-		d.caughtProfiles.Store(true)
-		d.caughtServers.Store(true)
+// markSynced records that a peer has the same configuration as this VM, which
+// may then serve without having reached the platform.
+func (d *Daemon) markSynced(sameConfig bool) {
+	if sameConfig && len(d.activeConfig.Versions()) > 0 {
+		d.profilesSynced.Store(true)
+		d.serversSynced.Store(true)
 	}
 }
 
-// whileWatching runs a watch while this VM is one of the few of its domain that
-// hold it, and until it has caught up.
-func (d *Daemon) whileWatching(ctx context.Context, job string, caught func() bool, watch func(context.Context)) {
+// watchWhileElected runs a watch until this VM is synced, and after that while
+// it is one of the elected VMs of its failure domain.
+func (d *Daemon) watchWhileElected(ctx context.Context, job string, synced func() bool, watch func(context.Context)) {
 	for ctx.Err() == nil {
-		if caught() && !d.peers.elected(job, watchers) {
-			pause.For(ctx, watchCheck)
+		if synced() && !d.peers.elected(job, platformWatchers) {
+			pause.For(ctx, watchElectionInterval)
 			continue
 		}
-		watching, cancel := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			watch(watching)
+			watch(watchCtx)
 		}()
-		for watching.Err() == nil && (!caught() || d.peers.elected(job, watchers)) {
-			pause.For(watching, watchCheck)
+		for watchCtx.Err() == nil && (!synced() || d.peers.elected(job, platformWatchers)) {
+			pause.For(watchCtx, watchElectionInterval)
 		}
 		cancel()
 		<-done
--- a/entry/control.go
+++ b/entry/control.go
@@ -27,178 +27,178 @@
 	controlInterval = 200 * time.Millisecond
 	leaseDuration   = 3 * time.Second
 	leaseTimeout    = time.Second
-	// standbys is how many VMs of a failure domain compete for the lease, and
-	// lookInterval the time between two looks at it.
-	standbys     = 2
-	lookInterval = time.Second
-	stepTimeout  = leaseDuration / 3
-	orderTimeout = time.Second
-	// orderLateness is how late an order can arrive where the server's entry
-	// does not say.
-	orderLateness = 30 * time.Second
-	// reportLag is how old a load report can be.
-	reportLag = time.Second
+	// maxLeaseCandidates is how many VMs of a failure domain compete for the
+	// lease, and leasePollInterval is the time between two reads of it.
+	maxLeaseCandidates = 2
+	leasePollInterval  = time.Second
+	stepTimeout        = leaseDuration / 3
+	orderTimeout       = time.Second
+	// defaultMaxOrderDelay is the longest delay of an order in transit when the
+	// server's entry does not give one.
+	defaultMaxOrderDelay = 30 * time.Second
+	// maxReportAge is the maximum age of a usable load report.
+	maxReportAge = time.Second
 )
 
-// controller is the job of the VM that holds the lease of its failure domain:
-// it alone orders the domain's servers to load and unload.
+// controller runs on the VM that holds the lease of its failure domain. Only
+// this VM orders the domain's servers to load and unload.
 type controller struct {
-	d      *Daemon
-	keeper lease.Keeper
-	looked time.Time
-	// term is what holds while the lease is held without a break.
+	d           *Daemon
+	leaseKeeper lease.Keeper
+	leaseReadAt time.Time
+	// term is nil while the lease is not held.
 	term *term
-	// demand and swap outlive a term: every VM follows the demand.
-	demand plan.Demand
-	swap   naive.Swap
+	// demand and swapPlanner outlive a term: every VM tracks the demand.
+	demand      plan.Demand
+	swapPlanner naive.Swap
 }
 
-// term is the state of one holding of the lease. A new one begins by reading
-// everything anew and by writing every ledger, which fences off the controller
-// before it.
+// term is the state of one uninterrupted holding of the lease. A new term
+// starts by reading all objects again and by writing every ledger, which fences
+// off the previous controller.
 type term struct {
-	books   map[string]*ctrl.Book
-	keepers ctrl.Keepers
-	budget  ctrl.Budget
-	newID   func() string
-	// bound and shared tell that keepers and budget are as the platform has
-	// them.
-	bound, shared bool
+	ledgers    map[string]*ctrl.Book
+	keepers    ctrl.Keepers
+	budget     ctrl.Budget
+	newOrderID func() string
+	// keepersLoaded and budgetLoaded are set while keepers and budget match the
+	// objects in the platform.
+	keepersLoaded, budgetLoaded bool
 }
 
 func (c *controller) newTerm() *term {
 	id := uuid.NewString()
 	domain := c.d.config.FailureDomain
 	return &term{
-		books:   make(map[string]*ctrl.Book),
-		keepers: ctrl.Keepers{Domain: domain, Controller: id},
-		budget:  ctrl.Budget{Domain: domain, Loads: c.d.config.Loads, Adapters: c.d.config.Adapters},
-		newID:   ctrl.NewOrderID(id),
+		ledgers:    make(map[string]*ctrl.Book),
+		keepers:    ctrl.Keepers{Domain: domain, Controller: id},
+		budget:     ctrl.Budget{Domain: domain, Loads: c.d.config.Loads, Adapters: c.d.config.Adapters},
+		newOrderID: ctrl.NewOrderID(id),
 	}
 }
 
-// control runs the controller's loop.
-func (d *Daemon) control(ctx context.Context) {
-	c := &controller{d: d, keeper: lease.Keeper{Name: d.config.Name, BootID: d.boot, Duration: leaseDuration}}
+// runController runs the control loop until ctx ends.
+func (d *Daemon) runController(ctx context.Context) {
+	c := &controller{d: d, leaseKeeper: lease.Keeper{Name: d.config.Name, BootID: d.bootID, Duration: leaseDuration}}
 	for pause.For(ctx, controlInterval) {
 		c.observeDemand()
 		c.step(ctx)
 	}
-	c.release()
+	c.releaseLease()
 }
 
 func (c *controller) leaseName() string { return "controller-" + c.d.config.FailureDomain }
 
-// step renews the lease and takes each server a step towards what it should
-// hold.
+// step renews the lease and reconciles the domain's servers with the plan.
 func (c *controller) step(ctx context.Context) {
-	// Few of the domain's VMs stand by for the lease: each looks at it again and
-	// again, and the platform counts every call.
-	standsBy := c.term != nil || c.d.peers.elected("controller", standbys)
-	if !c.d.Ready() || !standsBy {
+	// Only a few VMs of the domain compete for the lease: each polls it, and
+	// the platform counts every call.
+	isCandidate := c.term != nil || c.d.peers.elected("controller", maxLeaseCandidates)
+	if !c.d.Ready() || !isCandidate {
 		return
 	}
-	if err := c.keepLease(ctx); err != nil {
+	if err := c.maintainLease(ctx); err != nil {
 		c.d.meter.Count("control.lease_failed", 1)
 	}
-	if !c.keeper.Held(c.d.now()) {
+	if !c.leaseKeeper.Held(c.d.now()) {
 		c.term = nil
 		return
 	}
 	if c.term == nil {
 		c.term = c.newTerm()
-		c.d.log.Info().Msg("controller of the failure domain")
+		c.d.log.Info().Msg("became controller of the failure domain")
 	}
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	if err := c.work(ctx); err != nil {
+	if err := c.reconcile(ctx); err != nil {
 		c.d.meter.Count("control.failed", 1)
 		c.d.log.Warn().Err(err).Msg("control step failed")
 	}
 }
 
-// work is the pipe of control: view, plan, intents, orders.
-func (c *controller) work(ctx context.Context) error {
-	books, err := c.openBooks(ctx)
+// reconcile runs one control cycle: read the ledgers, plan, record intents,
+// send orders.
+func (c *controller) reconcile(ctx context.Context) error {
+	ledgers, err := c.loadLedgers(ctx)
 	if err != nil {
 		return err
 	}
-	planned := c.plan(books)
-	if err := c.bind(ctx, books, planned); err != nil {
+	result := c.plan(ledgers)
+	if err := c.updateKeepers(ctx, ledgers, result); err != nil {
 		return err
 	}
-	allow, err := c.shareBudget(ctx, books, planned)
+	allowance, err := c.allocateBudget(ctx, ledgers, result)
 	if err != nil {
 		return err
 	}
-	return c.carryOut(ctx, books, planned, allow)
+	return c.applyPlan(ctx, ledgers, result, allowance)
 }
 
-// openBooks returns the books of the domain's servers that are alive, with
-// their ledgers read.
-func (c *controller) openBooks(ctx context.Context) ([]*ctrl.Book, error) {
-	var books []*ctrl.Book
+// loadLedgers returns the domain's servers that are alive, with their ledgers
+// read.
+func (c *controller) loadLedgers(ctx context.Context) ([]*ctrl.Book, error) {
+	var ledgers []*ctrl.Book
 	now := c.d.now()
 	for _, server := range c.d.fleet.Servers() {
 		if server.Backend != wire.ServerBackendEngine || server.FailureDomain != c.d.config.FailureDomain {
 			continue
 		}
-		if _, at := c.d.fleet.Report(server.Name); at.IsZero() || now.Sub(at) > reportLag {
+		if _, at := c.d.fleet.Report(server.Name); at.IsZero() || now.Sub(at) > maxReportAge {
 			continue
 		}
-		book := c.term.books[server.Name]
-		if book == nil {
-			book = &ctrl.Book{ReportLag: reportLag}
-			c.term.books[server.Name] = book
+		ledger := c.term.ledgers[server.Name]
+		if ledger == nil {
+			ledger = &ctrl.Book{ReportLag: maxReportAge}
+			c.term.ledgers[server.Name] = ledger
 		}
-		book.Server, book.Lateness = server, lateness(server)
-		if book.Fence() == 0 {
-			if err := c.loadLedger(ctx, book); err != nil {
+		ledger.Server, ledger.Lateness = server, maxOrderDelay(server)
+		if ledger.Fence() == 0 {
+			if err := c.loadLedger(ctx, ledger); err != nil {
 				return nil, err
 			}
 		}
-		books = append(books, book)
+		ledgers = append(ledgers, ledger)
 	}
-	return books, nil
+	return ledgers, nil
 }
 
-func lateness(server wire.Server) time.Duration {
+func maxOrderDelay(server wire.Server) time.Duration {
 	if ms := server.OrderLatenessMs; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
-	return orderLateness
+	return defaultMaxOrderDelay
 }
 
-// keepLease takes, renews or observes the lease.
-func (c *controller) keepLease(ctx context.Context) error {
+// maintainLease acquires, renews or reads the lease.
+func (c *controller) maintainLease(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	now := c.d.now()
-	action := c.keeper.Next(now)
-	if action == lease.Wait && !c.keeper.Held(now) {
-		if now.Sub(c.looked) < lookInterval {
+	action := c.leaseKeeper.Next(now)
+	if action == lease.Wait && !c.leaseKeeper.Held(now) {
+		if now.Sub(c.leaseReadAt) < leasePollInterval {
 			return nil
 		}
-		c.looked = now
-		return c.observeLease(ctx)
+		c.leaseReadAt = now
+		return c.readLease(ctx)
 	}
 	if action == lease.Wait {
 		return nil
 	}
-	record, version := c.keeper.NextRecord()
+	record, version := c.leaseKeeper.NextRecord()
 	next, err := c.d.store.Put(ctx, kindLease, c.leaseName(), version, record)
 	if err != nil {
-		c.keeper.UpdateFailed()
+		c.leaseKeeper.UpdateFailed()
 		return fmt.Errorf("write lease: %w", err)
 	}
-	c.keeper.UpdateSucceeded(now, next, record)
+	c.leaseKeeper.UpdateSucceeded(now, next, record)
 	return nil
 }
 
-func (c *controller) observeLease(ctx context.Context) error {
+func (c *controller) readLease(ctx context.Context) error {
 	obj, err := c.d.store.Get(ctx, kindLease, c.leaseName())
 	if trace.IsNotFound(err) {
-		c.keeper.Observe(c.d.now(), 0, lease.Record{})
+		c.leaseKeeper.Observe(c.d.now(), 0, lease.Record{})
 		return nil
 	}
 	if err != nil {
@@ -208,27 +208,28 @@
 	if err := json.Unmarshal(obj.Value, &r); err != nil {
 		return fmt.Errorf("decode lease: %w", err)
 	}
-	c.keeper.Observe(c.d.now(), obj.Version, r)
+	c.leaseKeeper.Observe(c.d.now(), obj.Version, r)
 	return nil
 }
 
-// release gives the lease up, so that a successor need not wait.
-func (c *controller) release() {
-	if !c.keeper.Held(c.d.now()) {
+// releaseLease releases the lease, so that a successor need not wait for its
+// expiry.
+func (c *controller) releaseLease() {
+	if !c.leaseKeeper.Held(c.d.now()) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
-	record, version := c.keeper.ReleaseRecord()
+	record, version := c.leaseKeeper.ReleaseRecord()
 	if _, err := c.d.store.Put(ctx, kindLease, c.leaseName(), version, record); err != nil {
-		c.d.log.Warn().Err(err).Msg("lease not given up")
+		c.d.log.Warn().Err(err).Msg("failed to release lease")
 	}
 }
 
 // loadLedger reads a server's ledger.
 func (c *controller) loadLedger(ctx context.Context, b *ctrl.Book) error {
 	var l wire.Ledger
-	version, err := c.read(ctx, kindLedger, b.Server.Name, &l)
+	version, err := c.readObject(ctx, kindLedger, b.Server.Name, &l)
 	if err != nil {
 		return fmt.Errorf("read ledger: %w", err)
 	}
@@ -236,8 +237,9 @@
 	return nil
 }
 
-// read reads an object into v; an object that does not exist has version 0.
-func (c *controller) read(ctx context.Context, kind, name string, v any) (int, error) {
+// readObject reads an object into v. An object that does not exist has version
+// 0.
+func (c *controller) readObject(ctx context.Context, kind, name string, v any) (int, error) {
 	obj, err := c.d.store.Get(ctx, kind, name)
 	if trace.IsNotFound(err) {
 		return 0, nil
@@ -251,17 +253,17 @@
 	return obj.Version, nil
 }
 
-// carryOut records the intents that follow from the plan and sends the orders.
-// The intents are drawn up one server after the other, as they share the
-// allowance; the calls are made at once.
-func (c *controller) carryOut(ctx context.Context, books []*ctrl.Book, planned planned, allow *ctrl.Allowance) error {
+// applyPlan records the intents that follow from the plan and sends the orders.
+// The intents are computed for one server after the other, as they share the
+// allowance. The calls are made concurrently.
+func (c *controller) applyPlan(ctx context.Context, ledgers []*ctrl.Book, result planResult, allowance *ctrl.Allowance) error {
 	var calls sync.WaitGroup
-	errs := make(chan error, len(books))
-	for _, b := range books {
+	errs := make(chan error, len(ledgers))
+	for _, b := range ledgers {
 		report, _ := c.d.fleet.Report(b.Server.Name)
-		wanted := planned.Artifacts(planned.models, b.Server.Name)
-		next, changed := b.Revise(c.d.now(), report, wanted, c.mayRemove(b, planned), allow, c.term.newID)
-		calls.Go(func() { errs <- c.writeAndSend(ctx, b, next, changed) })
+		wanted := result.Artifacts(result.models, b.Server.Name)
+		next, changed := b.Revise(c.d.now(), report, wanted, c.mayRemove(b, result), allowance, c.term.newOrderID)
+		calls.Go(func() { errs <- c.updateServer(ctx, b, next, changed) })
 	}
 	calls.Wait()
 	close(errs)
@@ -272,32 +274,33 @@
 	return errors.Join(all...)
 }
 
-func (c *controller) writeAndSend(ctx context.Context, b *ctrl.Book, next wire.Ledger, changed bool) error {
+func (c *controller) updateServer(ctx context.Context, b *ctrl.Book, next wire.Ledger, changed bool) error {
 	if changed {
 		version, err := c.d.store.Put(ctx, kindLedger, b.Server.Name, b.Version(), next)
 		if err != nil {
-			// Whether the update lost or its answer did, the ledger is read
-			// anew before anything else is ordered.
+			// The update may have failed, or only its response may have been
+			// lost. The ledger is read again before anything else is ordered.
 			b.Load(0, wire.Ledger{})
 			return fmt.Errorf("write ledger of %s: %w", b.Server.Name, err)
 		}
 		b.Written(version)
 	}
-	return c.send(ctx, b)
+	return c.sendOrders(ctx, b)
 }
 
-// send sends the orders that are due.
-func (c *controller) send(ctx context.Context, b *ctrl.Book) error {
+// sendOrders sends the due orders of a server.
+func (c *controller) sendOrders(ctx context.Context, b *ctrl.Book) error {
 	for _, order := range b.Orders(c.d.now()) {
-		// On servers that ignore fencing numbers an order from an ex-controller
-		// is stopped by nothing but this check; what it misses, a pause right
-		// after it, must be shorter than the lateness that is waited for.
-		if !c.keeper.Held(c.d.now()) {
+		// For servers that ignore fencing numbers, this check alone stops
+		// orders of a former controller. It misses a pause right after the
+		// check, which must be shorter than the maximum order delay that the
+		// next controller waits for.
+		if !c.leaseKeeper.Held(c.d.now()) {
 			return nil
 		}
 		err := c.order(ctx, b, order)
-		var old *engine.OldFenceError
-		if errors.As(err, &old) {
+		var oldFence *engine.OldFenceError
+		if errors.As(err, &oldFence) {
 			b.Load(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
 		}
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -31,18 +31,18 @@
 )
 
 const (
-	retryFirst        = 10 * time.Millisecond
-	retryMax          = 500 * time.Millisecond
-	readHeaderTimeout = 5 * time.Second
-	// drainNotice is how long readiness is off before connections are closed,
-	// so that the balancer has stopped sending and the peers have heard of it.
-	drainNotice = time.Second
+	retryInitialBackoff = 10 * time.Millisecond
+	retryMaxBackoff     = 500 * time.Millisecond
+	readHeaderTimeout   = 5 * time.Second
+	// drainDelay is how long readiness is off before connections are closed, so
+	// that the load balancer stops sending and the peers are informed.
+	drainDelay = time.Second
 )
 
 // Daemon is the process of one entry VM.
 type Daemon struct {
 	config  Config
-	boot    string
+	bootID  string
 	log     zerolog.Logger
 	now     func() time.Time
 	meter   *meter.Set
@@ -50,31 +50,32 @@
 	engines *engine.Client
 	plain   *plain.Client
 
-	profiles *profs.View
-	configs  *configs
-	base     context.Context
-	fleet    *fleet.View
-	usage    *modelUsage
-	admit    *admitStage
-	claims   *claimStage
-	claimer  *claimer
-	handle   Next
-	peers    *peers
+	profiles     *profs.View
+	activeConfig *activeConfig
+	baseCtx      context.Context
+	fleet        *fleet.View
+	modelLoads   *modelLoads
+	admission    *admissionStage
+	claims       *claimStage
+	claimer      *claimer
+	pipeline     Next
+	peers        *peers
 
-	// These are set once the profiles and servers in force are known.
-	caughtProfiles, caughtServers atomic.Bool
-	// stopping turns readiness off; refusing turns requests away.
+	// profilesSynced and serversSynced are set once the profiles and servers in
+	// force are read.
+	profilesSynced, serversSynced atomic.Bool
+	// stopping turns readiness off; refusing refuses new requests.
 	stopping, refusing atomic.Bool
 	jobs               sync.WaitGroup
 	cancel             context.CancelFunc
 
-	callers    *http.Server
-	operators  *http.Server
-	listenAddr string
-	peerAddr   string
+	callerServer *http.Server
+	peerServer   *http.Server
+	listenAddr   string
+	peerAddr     string
 }
 
-// New returns a Daemon that has not started yet.
+// New returns a Daemon that is not started.
 func New(c Config) *Daemon {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -89,114 +90,116 @@
 		c.Seed = rand.Uint64()
 	}
 	d := &Daemon{
-		config: c, boot: uuid.NewString(), now: c.Now, meter: meter.New(),
+		config: c, bootID: uuid.NewString(), now: c.Now, meter: meter.New(),
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
 		store:   &store.Client{Base: c.Platform, Key: c.PlatformKey, Node: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
 		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.AnswerBytes},
-		profiles: &profs.View{}, fleet: &fleet.View{}, usage: &modelUsage{},
+		profiles: &profs.View{}, fleet: &fleet.View{}, modelLoads: &modelLoads{},
 	}
-	d.configs = &configs{profiles: d.profiles}
-	d.base = context.Background()
+	d.activeConfig = &activeConfig{profiles: d.profiles}
+	d.baseCtx = context.Background()
 	d.peers = newPeers(d)
-	d.admit = newAdmitStage(d)
+	d.admission = newAdmissionStage(d)
 	d.claimer = newClaimer(d)
 	d.claims = &claimStage{claims: d.claimer.claims(), now: d.now, log: d.log, meter: d.meter}
 	if c.SimpleClaims {
-		d.claims.claims = storeClaims(d.store)
+		d.claims.claims = unbatchedClaims(d.store)
 	}
-	d.handle = d.pipe()
+	d.pipeline = d.newPipeline()
 	return d
 }
 
-// storeClaims makes each claim with a conditional update of its own.
-func storeClaims(c *store.Client) Claims {
+// unbatchedClaims makes each claim with its own conditional update.
+func unbatchedClaims(c *store.Client) Claims {
 	n := naive.NewClaims(c)
 	return Claims{Claim: n.Claim, Finish: n.Finish, Release: n.Release}
 }
 
-// pipe joins the stages that a request passes.
-func (d *Daemon) pipe() Next {
-	account := &accountStage{now: d.now, log: d.log, meter: d.meter}
-	profile := &profileStage{view: d.profiles, usage: d.usage}
+// newPipeline joins the stages that handle a request.
+func (d *Daemon) newPipeline() Next {
+	account := &accountingStage{now: d.now, log: d.log, meter: d.meter}
+	profile := &profileStage{view: d.profiles, modelLoads: d.modelLoads}
 	policy := route.Policy{Domain: d.config.FailureDomain}
 	rng := rand.New(rand.NewPCG(d.config.Seed, 1))
 	relay := &relayStage{
-		fleet: d.fleet, resumes: resumesAllowed,
-		choosePolicy: func(c []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool) {
+		fleet: d.fleet, maxResumes: maxResumesPerRun,
+		selectCandidate: func(c []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool) {
 			return policy.Choose(rng, c, prefix, tried)
 		},
-		budget: &retry.Budget{Share: d.config.RetryShare}, backoff: retry.Backoff{First: retryFirst, Max: retryMax},
-		engines: d.engines, plain: d.plain, now: d.now, meter: d.meter, usage: d.usage,
+		budget: &retry.Budget{Share: d.config.RetryShare}, backoff: retry.Backoff{First: retryInitialBackoff, Max: retryMaxBackoff},
+		engines: d.engines, plain: d.plain, now: d.now, meter: d.meter, modelLoads: d.modelLoads,
 		rng: rng,
 	}
 	if d.config.Baseline {
-		relay.choosePolicy = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.Choose(c) }
+		relay.selectCandidate = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.Choose(c) }
 		relay.budget = &retry.Budget{Reserve: math.MaxInt32}
 		relay.backoff = retry.Backoff{}
-		relay.resumes = 0
+		relay.maxResumes = 0
 		return Chain(account.run, profile.run, d.claims.run, relay.run)
 	}
-	return Chain(account.run, profile.run, d.admit.run, d.claims.run, relay.run)
+	return Chain(account.run, profile.run, d.admission.run, d.claims.run, relay.run)
 }
 
-// freeSlots returns this VM's part of the free slots of the servers that hold a
-// model.
+// freeSlots returns this VM's share of the free slots of the servers that hold
+// a model, and whether the number is known.
 func (d *Daemon) freeSlots(p hibiscuscart.Profile, model string) (int, bool) {
 	if p.IsService() {
 		return 0, false
 	}
 	free, known := d.fleet.FreeSlots(d.now(), fleet.Requirements{Pool: p.Pool(), Model: model})
-	vms := d.peers.others.Load().vms + 1
+	vms := d.peers.remoteDemand.Load().vms + 1
 	return (free + vms - 1) / vms, known
 }
 
 // Metrics returns the VM's metrics.
 func (d *Daemon) Metrics() *meter.Set { return d.meter }
 
-// FailureDomain returns where the VM is.
+// FailureDomain returns the failure domain of the VM.
 func (d *Daemon) FailureDomain() string { return d.config.FailureDomain }
 
-// ProfileVersion returns the version in force of a profile, 0 for none.
+// ProfileVersion returns the version of a profile in force, or 0 when there is
+// none.
 func (d *Daemon) ProfileVersion(name string) int {
 	p, _ := d.profiles.Get(name)
 	return p.Version()
 }
 
-// LiveNodes returns the names of the VMs that this one takes for alive and
-// staying, its own too.
-func (d *Daemon) LiveNodes() []string { return d.peers.liveNodes() }
+// LiveNodes returns the names of the VMs, including this one, that this VM
+// considers alive and not leaving.
+func (d *Daemon) LiveNodes() []string { return d.peers.activeVMs() }
 
-// Address returns the address for callers, once started.
+// Address returns the listen address for callers. It is empty before Start.
 func (d *Daemon) Address() string { return d.listenAddr }
 
-// PeerAddress returns the address for peers and operators, once started.
+// PeerAddress returns the listen address for peers and operators. It is empty
+// before Start.
 func (d *Daemon) PeerAddress() string { return d.peerAddr }
 
-// Start listens and begins to serve. Stop ends it.
+// Start opens the listeners and starts the background jobs. Stop ends both.
 func (d *Daemon) Start(ctx context.Context) error {
-	callers, err := net.Listen("tcp", d.config.Listen)
+	callerListener, err := net.Listen("tcp", d.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	operators, err := net.Listen("tcp", d.config.PeerListen)
+	peerListener, err := net.Listen("tcp", d.config.PeerListen)
 	if err != nil {
-		_ = callers.Close()
+		_ = callerListener.Close()
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	d.listenAddr, d.peerAddr = callers.Addr().String(), operators.Addr().String()
+	d.listenAddr, d.peerAddr = callerListener.Addr().String(), peerListener.Addr().String()
 	ctx, d.cancel = context.WithCancel(ctx)
-	d.claimer.base, d.base = ctx, ctx
-	d.callers = d.server(d.callerHandler())
-	d.operators = d.server(d.operatorHandler())
-	d.operators.TLSConfig = d.config.TLS
-	d.serve("callers", d.callers, callers, false)
-	d.serve("peers", d.operators, operators, d.config.TLS != nil)
+	d.claimer.baseCtx, d.baseCtx = ctx, ctx
+	d.callerServer = d.newServer(d.callerHandler())
+	d.peerServer = d.newServer(d.peerHandler())
+	d.peerServer.TLSConfig = d.config.TLS
+	d.serve("callers", d.callerServer, callerListener, false)
+	d.serve("peers", d.peerServer, peerListener, d.config.TLS != nil)
 	d.startJobs(ctx)
 	d.log.Info().Str("listen", d.listenAddr).Str("peer_listen", d.peerAddr).Msg("started")
 	return nil
 }
 
-func (d *Daemon) server(h http.Handler) *http.Server {
+func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: d.config.Limits.ReadTimeout,
 		MaxHeaderBytes: d.config.Limits.HeaderBytes,
@@ -212,26 +215,25 @@
 			err = s.Serve(l)
 		}
 		if !errors.Is(err, http.ErrServerClosed) {
-			d.log.Error().Err(err).Str("listener", name).Msg("listener ended")
+			d.log.Error().Err(err).Str("listener", name).Msg("listener failed")
 		}
 	})
 }
 
 func (d *Daemon) startJobs(ctx context.Context) {
 	for _, job := range []func(context.Context){
-		d.followProfiles, d.followServers, d.pollServers, d.peers.run, d.control, d.admit.expire,
+		d.watchProfiles, d.watchServers, d.pollServers, d.peers.run, d.runController, d.admission.runExpiry,
 	} {
 		d.jobs.Go(func() { job(ctx) })
 	}
 }
 
-// Ready reports whether the VM may get requests.
+// Ready reports whether the VM may receive requests.
 func (d *Daemon) Ready() bool {
-	return d.caughtProfiles.Load() && d.caughtServers.Load() && !d.stopping.Load()
+	return d.profilesSynced.Load() && d.serversSynced.Load() && !d.stopping.Load()
 }
 
-// SeesServers reports whether the VM has had a load report of every backend
-// server.
+// SeesServers reports whether the VM has load reports of all backend servers.
 func (d *Daemon) SeesServers() bool {
 	for _, s := range d.fleet.Status(d.now()) {
 		if s.State == wire.ServerStatusStateSilent {
@@ -241,17 +243,17 @@
 	return true
 }
 
-// Stop ends the VM in peace: it takes no new requests, waits for those in
-// progress until ctx ends, then stops the jobs. It returns an error when
+// Stop shuts the VM down gracefully: it refuses new requests, waits for those
+// in progress until ctx ends, then stops the jobs. It returns an error when
 // requests were cut off.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.stopping.Store(true)
 	d.log.Info().Msg("stopping")
-	d.peers.announce(ctx)
-	pause.For(ctx, drainNotice)
+	d.peers.announceLeaving(ctx)
+	pause.For(ctx, drainDelay)
 	d.refusing.Store(true)
-	err := d.callers.Shutdown(ctx)
-	d.claims.wait(ctx)
+	err := d.callerServer.Shutdown(ctx)
+	d.claims.waitForResults(ctx)
 	d.cancel()
 	d.Kill()
 	d.jobs.Wait()
@@ -262,11 +264,11 @@
 	return nil
 }
 
-// Kill ends the VM at once, as when its process dies.
+// Kill stops the VM at once, as in a process crash.
 func (d *Daemon) Kill() {
 	d.cancel()
-	_ = d.callers.Close()
-	_ = d.operators.Close()
+	_ = d.callerServer.Close()
+	_ = d.peerServer.Close()
 	d.config.PlatformHTTP.CloseIdle()
 	d.config.BackendHTTP.CloseIdle()
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -1,7 +1,8 @@
-// Package entry is the daemon of an entry VM. A caller's request passes a pipe
-// of stages: account, profile, admission, claim, relay. Beside the pipe run
-// the jobs that keep the VM's view: watching the platform, polling backend
-// servers, heartbeats to peers and, under a lease, orders to backend servers.
+// Package entry is the daemon of an entry VM. A caller's request passes a
+// pipeline of stages: accounting, profile, admission, claim, relay. Background
+// jobs keep the state of the VM up to date: they watch the platform, poll
+// backend servers, exchange heartbeats with peers and, under a lease, send
+// orders to backend servers.
 package entry
 
 import (
@@ -11,58 +12,57 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Exchange is one request on its way through the pipe, with what the stages
-// learn about it.
+// Exchange is one request in the pipeline, with the state that the stages
+// record.
 type Exchange struct {
 	request *hibiscuscart.Request
 	profile hibiscuscart.Profile
 	sink    Sink
-	// deadline is when the request is given up.
+	// deadline is when the request is canceled.
 	deadline time.Time
-	// sent is false while the request provably reached no back end.
-	sent bool
-	// runs counts the attempts that may have run.
-	runs     int
-	attempt  string
-	server   string
-	sentAt   time.Time
-	model    string
-	firstAt  time.Time
-	lastAt   time.Time
-	maxGap   time.Duration
-	tokens   int
-	replayed bool
-	answer   hibiscuscart.Answer
+	// maybeSent is false while the request certainly reached no backend server.
+	maybeSent bool
+	// possibleRuns counts the attempts that may have run.
+	possibleRuns int
+	attemptID    string
+	serverName   string
+	sentAt       time.Time
+	modelName    string
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	maxTokenGap  time.Duration
+	tokenCount   int
+	replayed     bool
+	response     hibiscuscart.Answer
 }
 
-// Sink takes an answer to the caller. Text is called for each piece of a
+// Sink writes a response to the caller. Text is called for each part of a
 // stream, Whole once at the end.
 type Sink struct {
 	Text  func(text string) error
 	Whole func(a hibiscuscart.Answer) error
 }
 
-// ignoringErrors returns a Sink that goes on when the caller takes in nothing
-// any more.
-func (s Sink) ignoringErrors() Sink {
-	quiet := Sink{Whole: func(a hibiscuscart.Answer) error {
+// discardErrors returns a Sink that ignores failed writes to the caller.
+func (s Sink) discardErrors() Sink {
+	sink := Sink{Whole: func(a hibiscuscart.Answer) error {
 		_ = s.Whole(a)
 		return nil
 	}}
 	if s.Text != nil {
-		quiet.Text = func(text string) error {
+		sink.Text = func(text string) error {
 			_ = s.Text(text)
 			return nil
 		}
 	}
-	return quiet
+	return sink
 }
 
-// Next continues with the rest of the pipe.
+// Next runs the rest of the pipeline.
 type Next func(ctx context.Context, x *Exchange) error
 
-// Stage is one step of the pipe: it may act before and after next, or end the
-// request without calling it.
+// Stage is one step of the pipeline. It may act before and after next, or end
+// the request without calling it.
 type Stage func(ctx context.Context, x *Exchange, next Next) error
 
 // Chain joins stages into one Next.
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -30,11 +30,11 @@
 	return all
 }
 
-// The caller sees its whole answer, each token once, though the engine's
-// connection breaks before a frame: at each position in turn, the end frame
-// too. The gateway resumes the run on its engine, so that it runs once.
+// The connection to the engine breaks before a frame, at each position in turn,
+// including the end frame. The gateway resumes the run on its engine: the
+// caller gets each token once and the request runs once.
 func TestStreamCutAtEachFrame(t *testing.T) {
-	w := world(t, nil)
+	w := startDeployment(t, nil)
 	const tokens = 8
 	id := func(cut int) string { return fmt.Sprint("cut", cut) }
 	for cut := 1; cut <= tokens+1; cut++ {
@@ -46,33 +46,33 @@
 		r := post(t, w, "one-1", "/v1/completions", body, entry.HeaderKey, id(cut))
 		text, whole := r.streamText()
 		require.True(t, whole, r.body)
-		require.Equal(t, wanted("n", id(cut), tokens), text)
+		require.Equal(t, expectedText("n", id(cut), tokens), text)
 		require.Equal(t, 1, w.Runs.Of(id(cut)))
 	}
 }
 
-// Frames of other attempts and repeated frames come with the caller's own. The
-// caller sees only its own answer, once.
-func TestCrossedAndRepeatedFrames(t *testing.T) {
-	w := world(t, nil)
+// Frames of other attempts and repeated frames arrive among the frames of an
+// attempt. The caller must get only its own response, once.
+func TestForeignAndRepeatedFrames(t *testing.T) {
+	w := startDeployment(t, nil)
 	for _, e := range engines(w) {
 		e.SetFaults(stand.EngineFaults{CrossShare: 0.5, RepeatShare: 0.5})
 	}
 	for i := range 20 {
 		id := fmt.Sprint("crossed", i)
 		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", id, 16))
-		require.Equal(t, wanted("m", id, 16), r.text(t))
+		require.Equal(t, expectedText("m", id, 16), r.text(t))
 	}
 	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_foreign"))
 	require.Positive(t, w.VMs()["one-1"].Metrics().Counter("relay.frames_repeated"))
 }
 
-// The server that runs an idempotent request dies in the middle of its stream.
-// The run can not be resumed; it starts again elsewhere, hidden from the
-// caller, who gets each token once.
-func TestServerDiesInStream(t *testing.T) {
-	w := world(t, nil)
-	waitCopies(t, w, "m", 2)
+// The server that runs an idempotent request crashes in the middle of the
+// stream. The run can not be resumed. It starts again on another server,
+// transparently: the caller gets each token once.
+func TestServerCrashInStream(t *testing.T) {
+	w := startDeployment(t, nil)
+	waitReplicas(t, w, "m", 2)
 	const tokens = 200
 	var killed atomic.Bool
 	for _, s := range w.Servers() {
@@ -90,11 +90,11 @@
 	r := post(t, w, "one-1", "/v1/completions", body)
 	text, whole := r.streamText()
 	require.True(t, whole, r.body)
-	require.Equal(t, wanted("m", "dies", tokens), text)
+	require.Equal(t, expectedText("m", "dies", tokens), text)
 	require.Equal(t, 2, w.Runs.Of("dies"))
 }
 
-func waitCopies(t *testing.T, w *demo.World, model string, copies int) {
+func waitReplicas(t *testing.T, w *demo.World, model string, replicas int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		n := 0
@@ -103,57 +103,57 @@
 				n++
 			}
 		}
-		return n >= copies && w.Overcommits() == 0
-	}, longestTest, 20*time.Millisecond)
-	time.Sleep(500 * time.Millisecond) // until the VMs have polled it
+		return n >= replicas && w.Overcommits() == 0
+	}, testTimeout, 20*time.Millisecond)
+	time.Sleep(500 * time.Millisecond) // until the VMs have polled the engines
 }
 
-// The service runs a call and its answer is lost. The caller is told "unknown";
-// when it asks again with the same key it is told so again, and the call has
-// run once. Its own retry by the gateway would run it twice.
-func TestLostAnswerOfOnceOnlyCall(t *testing.T) {
-	w := world(t, nil)
+// The service runs a call and its response is lost. The caller gets the outcome
+// "unknown", also when it repeats the key, and the call has run once. A retry
+// by the gateway would run it twice.
+func TestLostResponseOfOnceOnlyCall(t *testing.T) {
+	w := startDeployment(t, nil)
 	desk := w.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{LoseAnswers: 1})
-	first := post(t, w, "one-1", "/services/desk/loans", entryCall("lost"), entry.HeaderKey, "k")
+	first := post(t, w, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
 	for _, vm := range []string{"one-1", "two-1"} {
 		require.Eventually(t, func() bool {
-			again := post(t, w, vm, "/services/desk/loans", entryCall("lost"), entry.HeaderKey, "k")
+			again := post(t, w, vm, "/services/desk/loans", loanCall("lost"), entry.HeaderKey, "k")
 			return again.problem.Title == "claim_unknown" && again.problem.Outcome == "unknown"
-		}, longestTest, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 	require.Equal(t, 1, w.Runs.Of("lost"))
 }
 
-// A request with a key that was used is answered from the kept answer, through
-// any VM, and does not run again; the key with another body is an error.
-func TestRepeatedKey(t *testing.T) {
-	w := world(t, nil)
-	first := post(t, w, "one-1", "/services/desk/loans", entryCall("rep"), entry.HeaderKey, "k")
+// A request with a used key gets the stored response, through any VM, and does
+// not run again. The key with another body is an error.
+func TestRepeatedIdempotencyKey(t *testing.T) {
+	w := startDeployment(t, nil)
+	first := post(t, w, "one-1", "/services/desk/loans", loanCall("rep"), entry.HeaderKey, "k")
 	require.Equal(t, 200, first.status, first.body)
 	var second reply
 	require.Eventually(t, func() bool {
-		second = post(t, w, "two-1", "/services/desk/loans", entryCall("rep"), entry.HeaderKey, "k")
+		second = post(t, w, "two-1", "/services/desk/loans", loanCall("rep"), entry.HeaderKey, "k")
 		return second.problem.Title != "claim_in_progress"
-	}, longestTest, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	require.Equal(t, first.body, second.body)
-	other := post(t, w, "two-1", "/services/desk/loans", entryCall("other"), entry.HeaderKey, "k")
+	other := post(t, w, "two-1", "/services/desk/loans", loanCall("other"), entry.HeaderKey, "k")
 	require.Equal(t, 422, other.status)
 	require.Equal(t, "not_run", other.problem.Outcome)
 	require.Equal(t, 1, w.Runs.Of("rep"))
 	require.Equal(t, 0, w.Runs.Of("other"))
 }
 
-// The store carries out the claim and its answer is lost. The gateway reads the
-// claim back, finds its own grant and sends the request, once.
-func TestClaimAnswerLost(t *testing.T) {
-	w := world(t, nil)
+// The store applies the claim and its response is lost. The gateway reads the
+// claim, finds its own grant and sends the request, once.
+func TestLostClaimResponse(t *testing.T) {
+	w := startDeployment(t, nil)
 	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
-		r := post(t, w, "one-1", "/services/desk/loans", entryCall(id), entry.HeaderKey, id)
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderKey, id)
 		if r.status == 200 {
 			require.Equal(t, 1, w.Runs.Of(id))
 			continue
@@ -163,14 +163,14 @@
 	}
 }
 
-// The platform is away. Requests that may run once are refused at once with
-// "not_run" and a time to come back; the others are served as before. When the
-// platform is back the refused key can be used.
-func TestPlatformAway(t *testing.T) {
-	w := world(t, nil)
+// During an outage of the platform, requests that may run only once are refused
+// at once with "not_run" and a Retry-After header; other requests are served.
+// After the outage the refused key can be used.
+func TestPlatformOutage(t *testing.T) {
+	w := startDeployment(t, nil)
 	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	for range 3 {
-		r := post(t, w, "one-1", "/services/desk/loans", entryCall("away"), entry.HeaderKey, "k")
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderKey, "k")
 		require.Equal(t, 503, r.status, r.body)
 		require.Equal(t, "not_run", r.problem.Outcome)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
@@ -179,17 +179,18 @@
 	require.Equal(t, 200, served.status, served.body)
 	w.Platform.SetFaults(stand.PlatformFaults{})
 	require.Eventually(t, func() bool {
-		return post(t, w, "one-1", "/services/desk/loans", entryCall("away"), entry.HeaderKey, "k").status == 200
-	}, longestTest, 50*time.Millisecond)
+		return post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderKey, "k").status == 200
+	}, testTimeout, 50*time.Millisecond)
 	require.Equal(t, 1, w.Runs.Of("away"))
 }
 
-// A caller goes away in the middle of a stream. The engine is told to stop, so
-// that nobody's tokens are generated; a once-only request goes on instead, and
-// its answer is there when the caller asks again.
-func TestCallerGoesAway(t *testing.T) {
-	w := world(t, nil)
-	leave := func(body string, headers ...string) {
+// A caller disconnects in the middle of a stream. The gateway cancels the run
+// on the engine, so that no unused tokens are generated. A once-only request
+// continues instead, and its response is returned when the caller repeats the
+// key.
+func TestCallerDisconnect(t *testing.T) {
+	w := startDeployment(t, nil)
+	disconnect := func(body string, headers ...string) {
 		ctx, cancel := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.VMs()["one-1"].Address()+"/v1/completions", strings.NewReader(body))
 		require.NoError(t, err)
@@ -209,24 +210,24 @@
 		}
 		return n
 	}
-	leave(strings.Replace(completion("draft/m", "gone", 500), "{", `{"stream":true,`, 1))
-	require.Eventually(t, func() bool { return canceled() == 1 }, longestTest, 10*time.Millisecond)
+	disconnect(strings.Replace(completion("draft/m", "gone", 500), "{", `{"stream":true,`, 1))
+	require.Eventually(t, func() bool { return canceled() == 1 }, testTimeout, 10*time.Millisecond)
 
 	body := strings.Replace(completion("issue/n", "gone-once", 100), "{", `{"stream":true,`, 1)
-	leave(body, entry.HeaderKey, "k")
+	disconnect(body, entry.HeaderKey, "k")
 	require.Eventually(t, func() bool {
 		again := post(t, w, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderKey, "k")
-		return again.status == 200 && again.text(t) == wanted("n", "gone-once", 100)
-	}, longestTest, 50*time.Millisecond)
+		return again.status == 200 && again.text(t) == expectedText("n", "gone-once", 100)
+	}, testTimeout, 50*time.Millisecond)
 	require.Equal(t, 1, w.Runs.Of("gone-once"))
 	require.Equal(t, int64(1), canceled())
 }
 
-// A server is leaving: its first refusal is the sign. The request goes
-// elsewhere and nothing new is sent to the server.
-func TestLeavingServer(t *testing.T) {
-	w := world(t, nil)
-	waitCopies(t, w, "m", 2)
+// A draining server refuses its first request. The request goes to another
+// server, and no further request is sent to the draining one.
+func TestDrainingServer(t *testing.T) {
+	w := startDeployment(t, nil)
+	waitReplicas(t, w, "m", 2)
 	w.Engine("llm-1").SetFaults(stand.EngineFaults{Draining: true})
 	for i := range 20 {
 		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", fmt.Sprint("leave", i), 4))
@@ -236,10 +237,10 @@
 	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().Counter("relay.failed.refused"), int64(1))
 }
 
-// A VM is stopped while it streams. Every request in progress ends whole, new
+// A VM is stopped while it streams. Every request in progress completes, new
 // ones are refused with "not_run", and then the process ends.
-func TestStopCutsOffNothing(t *testing.T) {
-	w := world(t, nil)
+func TestGracefulStop(t *testing.T) {
+	w := startDeployment(t, nil)
 	address := w.VMs()["one-1"].Address()
 	const streams = 20
 	results := make(chan reply, streams)
@@ -263,8 +264,8 @@
 			n += e.Counts().Started
 		}
 		return n == streams
-	}, longestTest, time.Millisecond)
-	ctx, cancel := context.WithTimeout(context.Background(), longestTest)
+	}, testTimeout, time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, w.StopVM(ctx, "one-1"))
 	for range streams {
@@ -273,14 +274,14 @@
 		require.True(t, whole, r.body)
 	}
 	_, err := http.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader("{}"))
-	require.Error(t, err, "the VM has ended")
+	require.Error(t, err, "the VM still accepts connections after StopVM")
 }
 
-// A VM can not reach the platform while a profile is changed and another is
-// retired. It learns both from its peer, and a late copy of the old document
-// does not bring the retired one back.
-func TestProfilesSpreadPastThePlatform(t *testing.T) {
-	w := world(t, nil)
+// A VM can not reach the platform while one profile is changed and another is
+// retired. It gets both changes from its peer, and a delayed copy of the old
+// document does not reactivate the retired profile.
+func TestProfileUpdateThroughPeers(t *testing.T) {
+	w := startDeployment(t, nil)
 	w.Platform.SetFaults(stand.PlatformFaults{CutNodes: []string{"two-1"}})
 	docs := smallProfiles()
 	docs[0].MaxTokens = 5
@@ -291,13 +292,13 @@
 		changed := post(t, w, "two-1", "/v1/completions", completion("draft/m", "spread", 8))
 		retired := post(t, w, "two-1", "/v1/completions", completion("issue/n", "spread", 8), entry.HeaderKey, "k")
 		return changed.status == 400 && retired.status == 410
-	}, longestTest, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 }
 
-// Two operators change one profile at once. One is accepted; the other gets a
-// conflict with the version that is there now.
-func TestOperatorsRace(t *testing.T) {
-	w := world(t, nil)
+// Two operators change one profile at the same time. One change is accepted;
+// the other gets a conflict with the current version.
+func TestConcurrentProfileUpdates(t *testing.T) {
+	w := startDeployment(t, nil)
 	obj, ok := w.Platform.Get(profs.Kind, "draft")
 	require.True(t, ok)
 	doc, err := profs.Parse(obj.Value)
@@ -320,9 +321,10 @@
 	require.ErrorContains(t, first, "the current version is")
 }
 
-// A profile that could not be placed is refused with the arithmetic.
-func TestProfileThatDoesNotFit(t *testing.T) {
-	w := world(t, nil)
+// A profile that does not fit on any server is refused with the required and
+// available sizes.
+func TestOversizedProfile(t *testing.T) {
+	w := startDeployment(t, nil)
 	operator := profs.NewOperator(w.StoreClient("operator"))
 	operator.Fits = profs.FitsIn(w.StoreClient("operator").List)
 	doc := smallProfiles()[0]
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -12,15 +12,15 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-const anonymous = "anonymous"
+const anonymousCaller = "anonymous"
 
-// callerHandler serves the interfaces of callers.
+// callerHandler serves the HTTP interfaces for callers.
 func (d *Daemon) callerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", d.completions(hibiscuscart.KindCompletion))
-	mux.HandleFunc("POST /v1/chat/completions", d.completions(hibiscuscart.KindChat))
+	mux.HandleFunc("POST /v1/completions", d.completionHandler(hibiscuscart.KindCompletion))
+	mux.HandleFunc("POST /v1/chat/completions", d.completionHandler(hibiscuscart.KindChat))
 	mux.HandleFunc("GET /v1/models", d.listModels)
-	mux.HandleFunc("/services/{profile}/{path...}", d.pass)
+	mux.HandleFunc("/services/{profile}/{path...}", d.handleService)
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", d.readyz)
 	return mux
@@ -34,10 +34,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// caller returns the caller's name by its key.
-func (d *Daemon) caller(r *http.Request) (string, error) {
+// authenticate returns the caller's name for the key of a request.
+func (d *Daemon) authenticate(r *http.Request) (string, error) {
 	if len(d.config.Callers) == 0 {
-		return anonymous, nil
+		return anonymousCaller, nil
 	}
 	key := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	name, ok := d.config.Callers[key]
@@ -48,27 +48,28 @@
 	return name, nil
 }
 
-func (d *Daemon) completions(kind hibiscuscart.Kind) http.HandlerFunc {
+func (d *Daemon) completionHandler(kind hibiscuscart.Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		d.exchange(w, r, func(body []byte) (*hibiscuscart.Request, error) {
+		d.serveRequest(w, r, func(body []byte) (*hibiscuscart.Request, error) {
 			return parseCompletion(body, r.Header, kind, d.config.Limits)
 		})
 	}
 }
 
-func (d *Daemon) pass(w http.ResponseWriter, r *http.Request) {
-	d.exchange(w, r, func(body []byte) (*hibiscuscart.Request, error) { return parsePass(r, body) })
+func (d *Daemon) handleService(w http.ResponseWriter, r *http.Request) {
+	d.serveRequest(w, r, func(body []byte) (*hibiscuscart.Request, error) { return parseServiceCall(r, body) })
 }
 
-// exchange parses a request, sends it through the pipe and answers it.
-func (d *Daemon) exchange(w http.ResponseWriter, r *http.Request, parse func([]byte) (*hibiscuscart.Request, error)) {
+// serveRequest parses a request, runs it through the pipeline and writes the
+// response.
+func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request, parse func([]byte) (*hibiscuscart.Request, error)) {
 	arrived := d.now()
 	if d.stopping.Load() {
-		// The caller's next request then goes through the balancer to a VM
-		// that stays.
+		// The caller's next request then opens a new connection, which the load
+		// balancer sends to a VM that is not stopping.
 		w.Header().Set("Connection", "close")
 	}
-	req, err := d.accept(w, r, parse)
+	req, err := d.readRequest(w, r, parse)
 	if err != nil {
 		f := hibiscuscart.AsFailure(err)
 		d.meter.Count("request.refused."+f.Cause().String(), 1)
@@ -77,23 +78,23 @@
 		return
 	}
 	req.Arrived = arrived
-	out := newWriter(w, req, d.config.Limits.WriteTimeout)
+	out := newResponseWriter(w, req, d.config.Limits.WriteTimeout)
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	if err := d.Exchange(ctx, req, out.sink()); err != nil {
-		out.fail(hibiscuscart.AsFailure(err))
+		out.writeFailure(hibiscuscart.AsFailure(err))
 	}
 }
 
-// Exchange sends a parsed request through the pipe.
+// Exchange runs a parsed request through the pipeline.
 func (d *Daemon) Exchange(ctx context.Context, req *hibiscuscart.Request, sink Sink) error {
-	return d.handle(ctx, &Exchange{request: req, sink: sink})
+	return d.pipeline(ctx, &Exchange{request: req, sink: sink})
 }
 
-func (d *Daemon) accept(w http.ResponseWriter, r *http.Request, parse func([]byte) (*hibiscuscart.Request, error)) (*hibiscuscart.Request, error) {
+func (d *Daemon) readRequest(w http.ResponseWriter, r *http.Request, parse func([]byte) (*hibiscuscart.Request, error)) (*hibiscuscart.Request, error) {
 	if d.refusing.Load() {
-		return nil, hibiscuscart.Fail(hibiscuscart.CauseStopping, "this VM is stopping; another will answer").WithRetryAfter(shortestRetryHint)
+		return nil, hibiscuscart.Fail(hibiscuscart.CauseStopping, "this VM is stopping; another will answer").WithRetryAfter(minRetryAfter)
 	}
-	caller, err := d.caller(r)
+	caller, err := d.authenticate(r)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +118,7 @@
 }
 
 func (d *Daemon) listModels(w http.ResponseWriter, r *http.Request) {
-	if _, err := d.caller(r); err != nil {
+	if _, err := d.authenticate(r); err != nil {
 		writeFailure(w, hibiscuscart.AsFailure(err), "")
 		return
 	}
--- a/entry/links.go
+++ b/entry/links.go
@@ -8,9 +8,9 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// sendTo sends a frame to the VM at an address, over the link that is open or
-// over a new one.
-func (p *peers) sendTo(ctx context.Context, address string, m *wire.Message) {
+// sendMessage sends a frame to the VM at an address, over the open link or a
+// new one.
+func (p *peers) sendMessage(ctx context.Context, address string, m *wire.Message) {
 	conn, err := p.connect(ctx, address)
 	if err != nil {
 		p.d.meter.Count("peers.dial_failed", 1)
@@ -22,24 +22,24 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := conn.Send(ctx, m); err != nil {
-		p.drop(address, conn)
+		p.closeLink(address, conn)
 		return
 	}
 	p.d.meter.Count("peers.frames_sent", 1)
 }
 
-// connect returns the link to an address, opened when there is none. It
-// returns nil while another call is opening it.
+// connect returns the link to an address and opens it when there is none. It
+// returns nil while another call opens the link.
 func (p *peers) connect(ctx context.Context, address string) (*link.Conn, error) {
 	p.mu.Lock()
-	if k := p.links[address]; k != nil {
-		k.used = p.d.now()
-		conn := k.conn
+	if l := p.links[address]; l != nil {
+		l.lastUsedAt = p.d.now()
+		conn := l.conn
 		p.mu.Unlock()
 		return conn, nil
 	}
-	k := &peerLink{used: p.d.now()}
-	p.links[address] = k
+	l := &peerLink{lastUsedAt: p.d.now()}
+	p.links[address] = l
 	p.mu.Unlock()
 	conn, err := p.dialer.Dial(ctx, address)
 	p.mu.Lock()
@@ -49,32 +49,33 @@
 		return nil, err
 	}
 	receiving, cancel := context.WithCancel(ctx)
-	k.conn, k.cancel = conn, cancel
+	l.conn, l.cancel = conn, cancel
 	go func() {
 		p.receive(receiving, conn)
-		p.drop(address, conn)
+		p.closeLink(address, conn)
 	}()
 	return conn, nil
 }
 
-// drop closes a link and ends the calls over it.
-func (p *peers) drop(address string, conn *link.Conn) {
+// closeLink closes a link and fails the calls over it.
+func (p *peers) closeLink(address string, conn *link.Conn) {
 	p.mu.Lock()
-	if k := p.links[address]; k != nil && k.conn == conn {
-		k.cancel()
+	if l := p.links[address]; l != nil && l.conn == conn {
+		l.cancel()
 		delete(p.links, address)
 	}
 	p.mu.Unlock()
 	conn.Close()
-	p.calls.broke(conn)
+	p.claimCalls.linkClosed(conn)
 }
 
-// closeIdle closes links that are not used any more. The caller holds p.mu.
+// closeIdle closes the links that were unused for linkIdleTimeout. The caller
+// holds p.mu.
 func (p *peers) closeIdle(now time.Time) {
-	for address, k := range p.links {
-		if k.conn != nil && now.Sub(k.used) > idleLimit {
-			k.cancel()
-			k.conn.Close()
+	for address, l := range p.links {
+		if l.conn != nil && now.Sub(l.lastUsedAt) > linkIdleTimeout {
+			l.cancel()
+			l.conn.Close()
 			delete(p.links, address)
 		}
 	}
@@ -83,16 +84,16 @@
 func (p *peers) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.links {
-		if k.conn != nil {
-			k.cancel()
-			k.conn.Close()
+	for _, l := range p.links {
+		if l.conn != nil {
+			l.cancel()
+			l.conn.Close()
 		}
 	}
 }
 
-// linkTo returns the link to a VM by name, opened when there is none; nil when
-// it can not be had now.
+// linkTo returns the link to a VM by name and opens it when there is none. It
+// returns nil when no link is available.
 func (p *peers) linkTo(ctx context.Context, node string) *link.Conn {
 	address := ""
 	p.mu.Lock()
@@ -105,8 +106,9 @@
 	if address == "" {
 		return nil
 	}
-	// A link that is cut is noticed late; a claim must not wait for its dial.
-	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
+	// A network partition is detected late; a claim must not wait for a dial to
+	// time out.
+	ctx, cancel := context.WithTimeout(ctx, linkDialTimeout)
 	defer cancel()
 	conn, err := p.connect(ctx, address)
 	if err != nil {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -7,13 +7,13 @@
 	"github.com/hibiscuscart/hibiscuscart/link"
 )
 
-// operatorHandler serves the links of peers and operators, and the metrics.
-func (d *Daemon) operatorHandler() http.Handler {
+// peerHandler serves the links of peers and operators, and the metrics.
+func (d *Daemon) peerHandler() http.Handler {
 	acceptor := &link.Acceptor{
 		Hello: d.peers.hello, Keys: d.config.Keys, MaxFrameBytes: d.config.MaxFrameBytes, Serve: d.peers.serve, CountBytes: d.peers.countBytes,
 		OnRefused: func(err error) {
 			d.meter.Count("peers.links_refused", 1)
-			d.log.Warn().Err(err).Msg("link refused")
+			d.log.Warn().Err(err).Msg("refused link of peer or operator")
 		},
 	}
 	mux := http.NewServeMux()
@@ -24,10 +24,10 @@
 	return mux
 }
 
-// metricsHandler brings the gauges up to date before it serves the metrics.
+// metricsHandler updates the gauges before it serves the metrics.
 func (d *Daemon) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		running, waiting := d.admit.depth()
+		running, waiting := d.admission.requestCounts()
 		d.meter.Gauge("admit.running", int64(running))
 		d.meter.Gauge("admit.waiting", int64(waiting))
 		d.meter.ServeHTTP(w, r)
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -14,22 +14,23 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Headers of callers.
+// Request and response headers of the caller interfaces.
 const (
-	// HeaderKey holds the idempotency key of a request that may run once.
+	// HeaderKey holds the idempotency key of a request that may run only once.
 	HeaderKey = "Idempotency-Key"
-	// HeaderProfile picks the profile when the model's name does not.
+	// HeaderProfile selects the profile when the model name does not include
+	// it.
 	HeaderProfile = "Hibiscuscart-Profile"
-	// HeaderRequest names the request in answers.
+	// HeaderRequest holds the request ID in responses.
 	HeaderRequest = "X-Request-Id"
 )
 
 const (
-	maxKeyBytes     = 255
-	maxMessageCount = 1024
+	maxIdempotencyKeyBytes = 255
+	maxMessages            = 1024
 )
 
-// Limits bound what a caller may send.
+// Limits bounds the size and the transfer time of requests and responses.
 type Limits struct {
 	HeaderBytes  int
 	BodyBytes    int64
@@ -39,8 +40,8 @@
 	WriteTimeout time.Duration
 }
 
-// completionBody is the JSON of both completion interfaces. Members that it
-// does not name are let through unread, as client libraries send many.
+// completionBody is the JSON body of both completion interfaces. Unknown
+// members are ignored, as client libraries send many.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -60,7 +61,7 @@
 	return hibiscuscart.Fail(hibiscuscart.CauseBadInput, format, args...).WithField(field)
 }
 
-// readBody reads a body within its limit.
+// readBody reads a body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -77,16 +78,16 @@
 func parseCompletion(body []byte, h http.Header, kind hibiscuscart.Kind, limits Limits) (*hibiscuscart.Request, error) {
 	var c completionBody
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, jsonFault(err)
+		return nil, jsonError(err)
 	}
 	req := &hibiscuscart.Request{ID: uuid.NewString(), Kind: kind, Stream: c.Stream}
 	if err := parseModel(req, c.Model, h.Get(HeaderProfile)); err != nil {
 		return nil, err
 	}
-	if err := parseText(req, &c); err != nil {
+	if err := parsePrompt(req, &c); err != nil {
 		return nil, err
 	}
-	if err := parseNumbers(req, &c); err != nil {
+	if err := parseOptions(req, &c); err != nil {
 		return nil, err
 	}
 	if n := promptBytes(req); n > limits.PromptBytes {
@@ -98,7 +99,7 @@
 	return req, nil
 }
 
-func jsonFault(err error) error {
+func jsonError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		return badInput(wrongType.Field, "a %s can not stand here", wrongType.Value)
@@ -106,8 +107,8 @@
 	return hibiscuscart.Fail(hibiscuscart.CauseBadInput, "the body is not JSON: %v", err).WithField("body")
 }
 
-// parseModel splits the model's name: "PROFILE/MODEL:ADAPTER", where the
-// profile may stand in a header instead, and the adapter may be missing.
+// parseModel splits a model name, "PROFILE/MODEL:ADAPTER". The profile may be
+// given in a header instead, and the adapter is optional.
 func parseModel(req *hibiscuscart.Request, name, headerProfile string) error {
 	if name == "" {
 		return badInput("model", "a model must be named, as PROFILE/MODEL or PROFILE/MODEL:ADAPTER")
@@ -125,7 +126,7 @@
 	return nil
 }
 
-func parseText(req *hibiscuscart.Request, c *completionBody) error {
+func parsePrompt(req *hibiscuscart.Request, c *completionBody) error {
 	if req.Kind == hibiscuscart.KindChat {
 		return parseMessages(req, c.Messages)
 	}
@@ -135,11 +136,11 @@
 	if json.Unmarshal(c.Prompt, &req.Prompt) == nil {
 		return nil
 	}
-	var many []string
-	if json.Unmarshal(c.Prompt, &many) != nil || len(many) != 1 {
+	var prompts []string
+	if json.Unmarshal(c.Prompt, &prompts) != nil || len(prompts) != 1 {
 		return badInput("prompt", "the prompt must be a string or a list of one string")
 	}
-	req.Prompt = many[0]
+	req.Prompt = prompts[0]
 	return nil
 }
 
@@ -147,8 +148,8 @@
 	if len(messages) == 0 {
 		return badInput("messages", "at least one message must be given")
 	}
-	if len(messages) > maxMessageCount {
-		return badInput("messages", "at most %d messages may be given", maxMessageCount)
+	if len(messages) > maxMessages {
+		return badInput("messages", "at most %d messages may be given", maxMessages)
 	}
 	for i, m := range messages {
 		field := fmt.Sprintf("messages[%d]", i)
@@ -192,7 +193,7 @@
 	return text, nil
 }
 
-func parseNumbers(req *hibiscuscart.Request, c *completionBody) error {
+func parseOptions(req *hibiscuscart.Request, c *completionBody) error {
 	if c.N != nil && *c.N != 1 {
 		return badInput("n", "only one answer is given for a request")
 	}
@@ -224,14 +225,14 @@
 		return badInput(HeaderKey, "the header stands more than once")
 	}
 	req.Key = h.Get(HeaderKey)
-	if len(req.Key) > maxKeyBytes {
-		return badInput(HeaderKey, "the key has more than %d bytes", maxKeyBytes)
+	if len(req.Key) > maxIdempotencyKeyBytes {
+		return badInput(HeaderKey, "the key has more than %d bytes", maxIdempotencyKeyBytes)
 	}
 	return nil
 }
 
-// parsePass parses a call to a plain service, /services/PROFILE/PATH.
-func parsePass(r *http.Request, body []byte) (*hibiscuscart.Request, error) {
+// parseServiceCall parses a call to a plain service, /services/PROFILE/PATH.
+func parseServiceCall(r *http.Request, body []byte) (*hibiscuscart.Request, error) {
 	req := &hibiscuscart.Request{
 		ID: uuid.NewString(), Kind: hibiscuscart.KindPass, Profile: r.PathValue("profile"),
 		Method: r.Method, Path: "/" + r.PathValue("path"), ContentType: r.Header.Get("Content-Type"), Body: body,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -23,53 +23,56 @@
 	listInterval = 2 * time.Second
 	listTimeout  = 2 * time.Second
 	sendTimeout  = 2 * time.Second
-	// listers is how many VMs of a failure domain ask the platform for its list
-	// of VMs, and watchers how many hold its watches.
-	listers  = 2
-	watchers = 2
+	// platformListers is how many VMs of a failure domain poll the platform for
+	// its list of VMs, and platformWatchers is how many hold its watches.
+	platformListers  = 2
+	platformWatchers = 2
 )
 
-// peers keeps the list of VMs by passing heartbeats on, and carries what VMs
-// tell each other. Links are opened when they are needed and kept.
+// peers maintains the list of VMs by gossiping heartbeats and exchanges
+// messages with other VMs. Links are opened on demand and stay open until they
+// are idle.
 type peers struct {
-	d      *Daemon
-	dialer *link.Dialer
-	calls  calls
-	// others is read with each request, and so not under mu.
-	others atomic.Pointer[otherDemand]
-	// started is the incarnation of this run.
-	started int
-
-	mu      sync.Mutex
-	list    member.List
-	rng     *rand.Rand
-	links   map[string]*peerLink // by address
-	offered map[string]time.Time // by address
+	d          *Daemon
+	dialer     *link.Dialer
+	claimCalls pendingCalls
+	// remoteDemand is read for each request and therefore not guarded by mu.
+	remoteDemand atomic.Pointer[remoteDemand]
+	// incarnation identifies this run of the process: its start time in
+	// milliseconds.
+	incarnation int
+
+	mu          sync.Mutex
+	list        member.List
+	rng         *rand.Rand
+	links       map[string]*peerLink // by address
+	lastOfferAt map[string]time.Time // by VM name
 }
 
-// peerLink is a link that this VM opened, or is opening while conn is nil.
+// peerLink is a link that this VM opened. Its conn is nil while the link is
+// being opened.
 type peerLink struct {
-	conn   *link.Conn
-	cancel context.CancelFunc
-	used   time.Time
+	conn       *link.Conn
+	cancel     context.CancelFunc
+	lastUsedAt time.Time
 }
 
-// idleLimit is how long a link stays open without being used.
-const idleLimit = 20 * time.Second
+// linkIdleTimeout is how long an unused link stays open.
+const linkIdleTimeout = 20 * time.Second
 
 func newPeers(d *Daemon) *peers {
 	p := &peers{
-		d: d, started: int(d.now().UnixMilli()), rng: rand.New(rand.NewPCG(d.config.Seed, 2)),
-		links: make(map[string]*peerLink), offered: make(map[string]time.Time),
+		d: d, incarnation: int(d.now().UnixMilli()), rng: rand.New(rand.NewPCG(d.config.Seed, 2)),
+		links: make(map[string]*peerLink), lastOfferAt: make(map[string]time.Time),
 		list: member.List{Name: d.config.Name, Domain: d.config.FailureDomain, DeadAfter: d.config.DeadAfter, Fanout: d.config.Fanout},
 	}
-	p.others.Store(&otherDemand{})
+	p.remoteDemand.Store(&remoteDemand{})
 	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.Keys.Peer, TLS: d.config.TLS, MaxFrameBytes: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, CountBytes: p.countBytes}
 	return p
 }
 
 func (p *peers) hello() wire.Hello {
-	return wire.Hello{Protocol: link.Protocol, Node: p.d.config.Name, FailureDomain: p.d.config.FailureDomain, Boot: p.d.boot}
+	return wire.Hello{Protocol: link.Protocol, Node: p.d.config.Name, FailureDomain: p.d.config.FailureDomain, Boot: p.d.bootID}
 }
 
 func (p *peers) countBytes(sent, received int) {
@@ -77,18 +80,18 @@
 	p.d.meter.Count("peers.bytes_received", int64(received))
 }
 
-// run passes heartbeats on until ctx ends.
+// run gossips heartbeats until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	p.mu.Lock()
 	p.list.MergePlatformList(p.d.now(), p.d.config.Seeds)
 	p.mu.Unlock()
-	var listed time.Time
+	var listedAt time.Time
 	for {
-		if now := p.d.now(); now.Sub(listed) >= listInterval && p.asksPlatform(now) {
-			listed = now
-			go p.refresh(ctx)
+		if now := p.d.now(); now.Sub(listedAt) >= listInterval && p.shouldListVMs(now) {
+			listedAt = now
+			go p.refreshVMList(ctx)
 		}
-		p.round(ctx)
+		p.gossipRound(ctx)
 		if !pause.For(ctx, p.d.config.Heartbeat) {
 			break
 		}
@@ -96,16 +99,16 @@
 	p.closeAll()
 }
 
-// asksPlatform reports whether this VM is to ask the platform for the list of
-// VMs: as one of the few of its domain, or when it knows nobody.
-func (p *peers) asksPlatform(now time.Time) bool {
+// shouldListVMs reports whether this VM polls the platform for the list of VMs:
+// as one of the elected VMs of its domain, or when it has no live peers.
+func (p *peers) shouldListVMs(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.Elected(now, "list", listers) || len(p.list.ActiveVMs(now, "")) <= 1
+	return p.list.Elected(now, "list", platformListers) || len(p.list.ActiveVMs(now, "")) <= 1
 }
 
-// refresh takes in the platform's list.
-func (p *peers) refresh(ctx context.Context) {
+// refreshVMList merges the platform's list of VMs.
+func (p *peers) refreshVMList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	vms, err := p.d.store.VMs(ctx)
@@ -118,9 +121,9 @@
 	p.list.MergePlatformList(p.d.now(), vms)
 }
 
-// round sends one round of heartbeats.
-func (p *peers) round(ctx context.Context) {
-	demand, models, hash := p.d.admit.demand(), p.d.usage.demand(p.d.now()), p.d.configs.Hash()
+// gossipRound sends one round of heartbeats.
+func (p *peers) gossipRound(ctx context.Context) {
+	demand, models, hash := p.d.admission.demand(), p.d.modelLoads.snapshot(p.d.now()), p.d.activeConfig.Hash()
 	now := p.d.now()
 	state := wire.HeartbeatStateAlive
 	if p.d.stopping.Load() {
@@ -129,15 +132,15 @@
 	p.mu.Lock()
 	p.list.BeginRound(now, wire.Heartbeat{
 		Node: p.d.config.Name, FailureDomain: p.d.config.FailureDomain, PeerAddress: p.d.peerAddr,
-		Incarnation: p.started, State: state, ConfigHash: hash, Demand: demand, Models: models,
+		Incarnation: p.incarnation, State: state, ConfigHash: hash, Demand: demand, Models: models,
 	})
 	targets := p.list.GossipTargets(now, p.rng)
-	message := &wire.Message{Gossip: &wire.Gossip{Heartbeats: p.list.Batch(p.gossipBytes(), beatBytes)}}
-	p.others.Store(p.sumDemand(now))
+	message := &wire.Message{Gossip: &wire.Gossip{Heartbeats: p.list.Batch(p.gossipBytes(), heartbeatBytes)}}
+	p.remoteDemand.Store(p.sumRemoteDemand(now))
 	p.closeIdle(now)
 	p.mu.Unlock()
 	for _, address := range targets {
-		go p.sendTo(ctx, address, message)
+		go p.sendMessage(ctx, address, message)
 	}
 }
 
@@ -151,10 +154,11 @@
 	return defaultGossipBytes
 }
 
-// beatBytes is the size of a heartbeat in a frame, within a few bytes.
-func beatBytes(b wire.Heartbeat) int {
-	const fields = 40
-	n := fields + len(b.Node) + len(b.FailureDomain) + len(b.PeerAddress)
+// heartbeatBytes estimates the encoded size of a heartbeat to within a few
+// bytes.
+func heartbeatBytes(b wire.Heartbeat) int {
+	const fixedFieldBytes = 40
+	n := fixedFieldBytes + len(b.Node) + len(b.FailureDomain) + len(b.PeerAddress)
 	for _, d := range b.Demand {
 		n += 6 + len(d.Name)
 	}
@@ -164,25 +168,25 @@
 	return n
 }
 
-// announce tells other VMs at once that this one is leaving.
-func (p *peers) announce(ctx context.Context) { p.round(ctx) }
+// announceLeaving notifies other VMs at once that this VM is leaving.
+func (p *peers) announceLeaving(ctx context.Context) { p.gossipRound(ctx) }
 
-// share returns this VM's part of a profile's fleet-wide limit.
-func (p *peers) share(profile hibiscuscart.Profile, own int) int {
-	others := p.others.Load()
-	return admit.Share(profile.ConcurrencyLimit(), others.vms+1, own, []int{others.requests[profile.Name()]})
+// concurrencyShare returns this VM's share of a profile's fleet-wide limit.
+func (p *peers) concurrencyShare(profile hibiscuscart.Profile, localDemand int) int {
+	others := p.remoteDemand.Load()
+	return admit.Share(profile.ConcurrencyLimit(), others.vms+1, localDemand, []int{others.requests[profile.Name()]})
 }
 
-// otherDemand is the demand at the other VMs, as of the last round.
-type otherDemand struct {
+// remoteDemand is the demand at the other VMs, as of the last gossip round.
+type remoteDemand struct {
 	vms      int
 	requests map[string]int
 }
 
-// sumDemand adds up the demand at the other VMs. One that is silent counts as a
+// sumRemoteDemand adds up the demand at the other VMs. A silent VM counts as a
 // VM, as it may still be serving. The caller holds p.mu.
-func (p *peers) sumDemand(now time.Time) *otherDemand {
-	others := &otherDemand{requests: make(map[string]int)}
+func (p *peers) sumRemoteDemand(now time.Time) *remoteDemand {
+	others := &remoteDemand{requests: make(map[string]int)}
 	for _, b := range p.list.Heartbeats() {
 		if b.State == wire.HeartbeatStateDead || b.Incarnation == 0 {
 			continue
@@ -198,8 +202,8 @@
 	return others
 }
 
-// modelDemand returns the load offered for each model by the failure domain of
-// the VMs that it came to, this one's too.
+// modelDemand returns the offered load of each model, by the failure domain of
+// the VMs that received the requests, including this VM.
 func (p *peers) modelDemand() map[string]map[string]float64 {
 	demand := make(map[string]map[string]float64)
 	add := func(domain string, models []wire.ModelDemand) {
@@ -207,10 +211,10 @@
 			demand[domain] = make(map[string]float64)
 		}
 		for _, m := range models {
-			demand[domain][m.Model] += float64(m.Load) / milli
+			demand[domain][m.Model] += float64(m.Load) / loadScale
 		}
 	}
-	add(p.d.config.FailureDomain, p.d.usage.demand(p.d.now()))
+	add(p.d.config.FailureDomain, p.d.modelLoads.snapshot(p.d.now()))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.list.Heartbeats() {
@@ -221,33 +225,35 @@
 	return demand
 }
 
-// liveNodes returns this VM and the others that are alive and not leaving.
-func (p *peers) liveNodes() []string {
+// activeVMs returns this VM and the others that are alive and not leaving.
+func (p *peers) activeVMs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.list.ActiveVMs(p.d.now(), "")
 }
 
-// elected reports whether this VM is among the few of its domain for a job.
+// elected reports whether this VM is one of the count VMs of its domain that
+// are elected for a job.
 func (p *peers) elected(job string, count int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.list.Elected(p.d.now(), job, count)
 }
 
-// targets returns the addresses that a piece of news is passed on to.
-func (p *peers) targets() []string {
+// urgentTargets returns the addresses of the peers that receive an urgent
+// update.
+func (p *peers) urgentTargets() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.list.UrgentTargets(p.d.now(), p.rng)
 }
 
-// serve handles a link that a peer or an operator opened, until it ends or the
-// VM does: the HTTP server does not close such connections.
+// serve handles a link that a peer or an operator opened, until the link ends
+// or the VM stops. The HTTP server does not close such connections.
 func (p *peers) serve(ctx context.Context, conn *link.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(p.d.base, cancel)()
+	defer context.AfterFunc(p.d.baseCtx, cancel)()
 	p.receive(ctx, conn)
 }
 
@@ -270,68 +276,68 @@
 
 func (p *peers) handle(ctx context.Context, conn *link.Conn, m *wire.Message) error {
 	if m.FleetQuery != nil {
-		return conn.Send(ctx, &wire.Message{FleetReply: p.status(m.FleetQuery.Servers)})
+		return conn.Send(ctx, &wire.Message{FleetReply: p.fleetStatus(m.FleetQuery.Servers)})
 	}
 	if m.Refusal != nil {
 		return errors.New(m.Refusal.Reason)
 	}
 	if conn.Role() != link.RolePeer {
 		p.d.meter.Count("peers.frames_refused", 1)
-		return trace.AccessDenied("a frame that an operator may not send")
+		return trace.AccessDenied("operators may not send this type of frame")
 	}
 	switch {
 	case m.Gossip != nil:
-		return p.heard(ctx, conn, m.Gossip)
+		return p.mergeHeartbeats(ctx, conn, m.Gossip)
 	case m.Offer != nil:
-		return p.compare(ctx, conn, m.Offer)
+		return p.compareVersions(ctx, conn, m.Offer)
 	case m.Pull != nil:
-		return p.push(ctx, conn, m.Pull.Names)
+		return p.pushDocuments(ctx, conn, m.Pull.Names)
 	case m.Push != nil:
-		p.d.adopt(m.Push.Name, m.Push.Version, m.Push.Document)
+		p.d.applyDocument(m.Push.Name, m.Push.Version, m.Push.Document)
 	case m.ClaimCall != nil:
 		go func() {
-			reply := p.d.claimer.serve(spans.Extract(ctx, m.Traceparent), m.ClaimCall)
+			reply := p.d.claimer.handleCall(spans.Extract(ctx, m.Traceparent), m.ClaimCall)
 			_ = conn.Send(ctx, &wire.Message{ClaimReply: reply})
 		}()
 	case m.ClaimReply != nil:
-		p.calls.reply(m.ClaimReply)
+		p.claimCalls.deliver(m.ClaimReply)
 	default:
 		p.d.meter.Count("peers.frames_refused", 1)
-		return trace.BadParameter("a frame that has no place here")
+		return trace.BadParameter("unexpected type of frame")
 	}
 	return nil
 }
 
-// offerInterval is the least time between two offers to one VM.
+// offerInterval is the minimum time between two offers to one VM.
 const offerInterval = time.Second
 
-// heard takes in heartbeats. When the sender's configuration is another one
-// than this VM's, the versions are compared.
-func (p *peers) heard(ctx context.Context, conn *link.Conn, g *wire.Gossip) error {
+// mergeHeartbeats merges received heartbeats. When the sender has another
+// configuration than this VM, the VM offers its versions for comparison.
+func (p *peers) mergeHeartbeats(ctx context.Context, conn *link.Conn, g *wire.Gossip) error {
 	now := p.d.now()
 	p.mu.Lock()
 	p.list.Merge(now, g.Heartbeats)
 	offer := false
-	if len(g.Heartbeats) > 0 && g.Heartbeats[0].ConfigHash != p.d.configs.Hash() {
+	if len(g.Heartbeats) > 0 && g.Heartbeats[0].ConfigHash != p.d.activeConfig.Hash() {
 		from := g.Heartbeats[0].Node
-		offer = now.Sub(p.offered[from]) >= offerInterval
+		offer = now.Sub(p.lastOfferAt[from]) >= offerInterval
 		if offer {
-			p.offered[from] = now
+			p.lastOfferAt[from] = now
 		}
 	}
 	p.mu.Unlock()
 	if !offer {
-		p.d.caughtUp(len(g.Heartbeats) > 0)
+		p.d.markSynced(len(g.Heartbeats) > 0)
 		return nil
 	}
-	return conn.Send(ctx, &wire.Message{Offer: &wire.Offer{Versions: p.d.configs.Versions()}})
+	return conn.Send(ctx, &wire.Message{Offer: &wire.Offer{Versions: p.d.activeConfig.Versions()}})
 }
 
-// compare pushes what this VM has in a higher version than was offered, and
-// pulls what was offered in a higher one.
-func (p *peers) compare(ctx context.Context, conn *link.Conn, offer *wire.Offer) error {
-	newer, older := p.d.configs.Compare(offer.Versions)
-	if err := p.push(ctx, conn, newer); err != nil {
+// compareVersions pushes the documents whose local version is higher than the
+// offered one, and pulls those whose offered version is higher.
+func (p *peers) compareVersions(ctx context.Context, conn *link.Conn, offer *wire.Offer) error {
+	newer, older := p.d.activeConfig.Compare(offer.Versions)
+	if err := p.pushDocuments(ctx, conn, newer); err != nil {
 		return err
 	}
 	if len(older) == 0 {
@@ -340,9 +346,9 @@
 	return conn.Send(ctx, &wire.Message{Pull: &wire.Pull{Names: older}})
 }
 
-func (p *peers) push(ctx context.Context, conn *link.Conn, names []string) error {
+func (p *peers) pushDocuments(ctx context.Context, conn *link.Conn, names []string) error {
 	for _, name := range names {
-		push, ok := p.d.configs.Document(name)
+		push, ok := p.d.activeConfig.Document(name)
 		if !ok {
 			continue
 		}
@@ -353,23 +359,23 @@
 	return nil
 }
 
-// spread passes a document on at once, so that a change need not wait for the
-// next rounds.
-func (p *peers) spread(ctx context.Context, name string) {
-	push, ok := p.d.configs.Document(name)
+// broadcast sends a document to peers at once, so that a change need not wait
+// for the next gossip rounds.
+func (p *peers) broadcast(ctx context.Context, name string) {
+	push, ok := p.d.activeConfig.Document(name)
 	if !ok {
 		return
 	}
-	for _, address := range p.targets() {
-		go p.sendTo(ctx, address, &wire.Message{Push: push})
+	for _, address := range p.urgentTargets() {
+		go p.sendMessage(ctx, address, &wire.Message{Push: push})
 	}
 }
 
-// status returns what this VM sees of the fleet.
-func (p *peers) status(servers bool) *wire.FleetReply {
+// fleetStatus returns the state of the fleet as this VM observes it.
+func (p *peers) fleetStatus(servers bool) *wire.FleetReply {
 	own := wire.NodeStatus{
 		Node: p.d.config.Name, FailureDomain: p.d.config.FailureDomain, PeerAddress: p.d.peerAddr,
-		State: wire.NodeStatusStateLive, Versions: p.d.configs.Versions(),
+		State: wire.NodeStatusStateLive, Versions: p.d.activeConfig.Versions(),
 	}
 	if p.d.stopping.Load() {
 		own.State = wire.NodeStatusStateLeaving
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -18,23 +18,24 @@
 	nameKeepers = "all"
 	kindBudget  = "budgets"
 	nameBudget  = "weight_store"
-	// staticCopies is the number of copies of the static baseline.
-	staticCopies = 2
-	// leastUse is the load from which the swapping baseline takes a model for
-	// used.
-	leastUse = 0.05
-	// leastStay is how long a copy that was loaded is not dropped: some ten
-	// times what a load takes.
-	leastStay = 8 * time.Second
+	// staticReplicas is the number of replicas of a model in the static
+	// baseline.
+	staticReplicas = 2
+	// minUsedLoad is the load from which the swapping baseline considers a
+	// model used.
+	minUsedLoad = 0.05
+	// minLoadedTime is how long a loaded replica is kept at least: about ten
+	// times the duration of a load.
+	minLoadedTime = 8 * time.Second
 )
 
-// planned is a plan with the models it is for.
-type planned struct {
+// planResult is a plan with the models that it covers.
+type planResult struct {
 	plan.Output
 	models []plan.Model
 }
 
-// observeDemand takes in the demand for each model, over all VMs.
+// observeDemand records the demand for each model, over all VMs.
 func (c *controller) observeDemand() {
 	total := make(map[string]float64)
 	now := c.d.now()
@@ -42,34 +43,34 @@
 		var names []string
 		for m, n := range models {
 			total[m] += n
-			if n >= leastUse {
+			if n >= minUsedLoad {
 				names = append(names, m)
 			}
 		}
-		c.swap.Use(now, domain, names)
+		c.swapPlanner.Use(now, domain, names)
 	}
 	c.demand.Observe(now, total)
 }
 
-// plan returns what the servers should hold.
-func (c *controller) plan(books []*ctrl.Book) planned {
-	in := plan.Input{Servers: c.planServers(books), Models: c.planModels()}
-	p := planned{models: in.Models}
+// plan returns the models that each server should hold.
+func (c *controller) plan(ledgers []*ctrl.Book) planResult {
+	in := plan.Input{Servers: c.planServers(ledgers), Models: c.planModels()}
+	result := planResult{models: in.Models}
 	switch c.d.config.Placement {
 	case "static":
-		p.Output = c.static(in)
+		result.Output = c.staticPlacement(in)
 	case "swap":
-		p.Output = c.swap.Make(c.d.now(), in)
+		result.Output = c.swapPlanner.Make(c.d.now(), in)
 	default:
-		p.Output = plan.Make(in)
+		result.Output = plan.Make(in)
 	}
-	c.d.meter.Gauge("control.unplaced_models", int64(len(p.Unplaced)))
-	return p
+	c.d.meter.Gauge("control.unplaced_models", int64(len(result.Unplaced)))
+	return result
 }
 
-// static returns the static even placement.
-func (c *controller) static(in plan.Input) plan.Output {
-	placement, _ := naive.Place(c.d.fleet.Servers(), c.d.demands(), staticCopies)
+// staticPlacement returns the even placement of the static baseline.
+func (c *controller) staticPlacement(in plan.Input) plan.Output {
+	placement, _ := naive.Place(c.d.fleet.Servers(), c.d.naiveDemands(), staticReplicas)
 	out := plan.Output{Placement: make(map[string][]string)}
 	for _, s := range in.Servers {
 		for _, a := range placement[s.Name] {
@@ -81,10 +82,11 @@
 	return out
 }
 
-// demands returns the models of the profiles in force.
-func (d *Daemon) demands() []naive.Demand {
+// naiveDemands returns the models of the profiles in force, as demands of the
+// baselines.
+func (d *Daemon) naiveDemands() []naive.Demand {
 	var demands []naive.Demand
-	for _, m := range d.deployed() {
+	for _, m := range d.deployedModels() {
 		demands = append(demands, naive.Demand{Pool: m.pool, Model: m.model})
 	}
 	return demands
@@ -98,9 +100,10 @@
 	weight   float64
 }
 
-// deployed returns the models of the profiles in force, sorted by the profiles'
-// names; of a model that several deploy, the first one's entry.
-func (d *Daemon) deployed() []deployedModel {
+// deployedModels returns the models of the profiles in force, sorted by profile
+// name. For a model in several profiles it returns the entry of the first, with
+// the highest priority of all.
+func (d *Daemon) deployedModels() []deployedModel {
 	var all []deployedModel
 	for _, p := range d.profiles.All() {
 		if p.Retired() || p.IsService() {
@@ -120,7 +123,7 @@
 
 func (c *controller) planModels() []plan.Model {
 	var models []plan.Model
-	for _, m := range c.d.deployed() {
+	for _, m := range c.d.deployedModels() {
 		artifacts := naive.Demand{Model: m.model}.Artifacts()
 		bytes := 0
 		for _, a := range artifacts {
@@ -134,12 +137,12 @@
 	return models
 }
 
-// planServers returns the servers that are alive: those of the domain with what
-// their ledgers say, the others with what they report.
-func (c *controller) planServers(books []*ctrl.Book) []plan.Server {
-	own := make(map[string]*ctrl.Book)
-	for _, b := range books {
-		own[b.Server.Name] = b
+// planServers returns the live servers: those of the domain with the models in
+// their ledgers, the others with the models that they report.
+func (c *controller) planServers(ledgers []*ctrl.Book) []plan.Server {
+	ledgersByServer := make(map[string]*ctrl.Book)
+	for _, b := range ledgers {
+		ledgersByServer[b.Server.Name] = b
 	}
 	var servers []plan.Server
 	for _, doc := range c.d.fleet.Servers() {
@@ -148,9 +151,9 @@
 		}
 		report, _ := c.d.fleet.Report(doc.Name)
 		s := plan.Server{Name: doc.Name, Domain: doc.FailureDomain, Pool: doc.Pool, MemoryBytes: doc.MemoryBytes, Slots: report.Slots}
-		if b := own[doc.Name]; b != nil && b.Fence() != 0 {
+		if b := ledgersByServer[doc.Name]; b != nil && b.Fence() != 0 {
 			s.Models = b.Models()
-			s.RecentlyLoaded = b.LoadedSince(c.d.now().Add(-leastStay))
+			s.RecentlyLoaded = b.LoadedSince(c.d.now().Add(-minLoadedTime))
 		} else {
 			s.Models = residentModels(report)
 		}
@@ -169,30 +172,30 @@
 	return names
 }
 
-// bind brings the keepers up to date: copies that are loaded are bound to stay,
-// and those that the plan drops are let go where another stays.
-func (c *controller) bind(ctx context.Context, books []*ctrl.Book, p planned) error {
+// updateKeepers brings the keepers up to date: loaded replicas are retained,
+// and replicas that the plan drops are released when another one stays.
+func (c *controller) updateKeepers(ctx context.Context, ledgers []*ctrl.Book, p planResult) error {
 	k := &c.term.keepers
-	if !c.term.bound {
+	if !c.term.keepersLoaded {
 		var doc wire.Keepers
-		version, err := c.read(ctx, kindKeepers, nameKeepers, &doc)
+		version, err := c.readObject(ctx, kindKeepers, nameKeepers, &doc)
 		if err != nil {
 			return fmt.Errorf("read keepers: %w", err)
 		}
 		k.Load(version, doc)
-		c.term.bound = true
+		c.term.keepersLoaded = true
 	}
 	if k.Succeeded() {
-		return fmt.Errorf("another VM is the controller of %s", k.Domain)
+		return fmt.Errorf("another VM is now the controller of failure domain %s", k.Domain)
 	}
-	servers, loaded, drop := c.copies(books, p)
-	next, changed := k.Revise(servers, loaded, drop, c.copyAlive(p))
+	servers, loaded, drop := c.localReplicas(ledgers, p)
+	next, changed := k.Revise(servers, loaded, drop, c.replicaAlive(p))
 	if !changed {
 		return nil
 	}
 	version, err := c.d.store.Put(ctx, kindKeepers, nameKeepers, k.Version(), next)
 	if err != nil {
-		c.term.bound = false
+		c.term.keepersLoaded = false
 		if store.IsConflict(err) {
 			return nil
 		}
@@ -202,30 +205,30 @@
 	return nil
 }
 
-// copies returns the domain's servers whose ledgers this controller has
-// written, the copies loaded on them and those that the plan drops.
-func (c *controller) copies(books []*ctrl.Book, p planned) (servers []string, loaded, drop []ctrl.Copy) {
-	for _, b := range books {
+// localReplicas returns the domain's servers whose ledgers this controller has
+// written, the replicas loaded on them and the replicas that the plan drops.
+func (c *controller) localReplicas(ledgers []*ctrl.Book, p planResult) (servers []string, loaded, drop []ctrl.Copy) {
+	for _, b := range ledgers {
 		if b.Fence() == 0 {
 			continue
 		}
 		servers = append(servers, b.Server.Name)
 		for _, m := range p.models {
-			copied := ctrl.Copy{Model: m.Name, Server: b.Server.Name}
-			if b.Complete(m.Artifacts) || b.HasBase(m.Name) && c.term.keepers.Keeps(copied) {
-				loaded = append(loaded, copied)
+			replica := ctrl.Copy{Model: m.Name, Server: b.Server.Name}
+			if b.Complete(m.Artifacts) || b.HasBase(m.Name) && c.term.keepers.Keeps(replica) {
+				loaded = append(loaded, replica)
 			}
 			if b.HasBase(m.Name) && !slices.Contains(p.Placement[b.Server.Name], m.Name) {
-				drop = append(drop, copied)
+				drop = append(drop, replica)
 			}
 		}
 	}
 	return servers, loaded, drop
 }
 
-// copyAlive reports whether a copy is there, with all its adapters, on a server
-// that is alive.
-func (c *controller) copyAlive(p planned) func(ctrl.Copy) bool {
+// replicaAlive reports whether a replica is loaded, with all its adapters, on a
+// live server.
+func (c *controller) replicaAlive(p planResult) func(ctrl.Copy) bool {
 	return func(x ctrl.Copy) bool {
 		for _, m := range p.models {
 			if m.Name != x.Model {
@@ -242,19 +245,19 @@
 	}
 }
 
-// mayRemove allows the removal of what no profile deploys any more, of a
-// version whose successor is loaded on the same server, and of copies that are
-// not bound to stay.
-func (c *controller) mayRemove(b *ctrl.Book, p planned) func(ctrl.Artifact) bool {
+// mayRemove allows the removal of artifacts that no profile deploys, of
+// versions whose successor is loaded on the same server, and of replicas that
+// the keepers do not retain.
+func (c *controller) mayRemove(b *ctrl.Book, p planResult) func(ctrl.Artifact) bool {
 	return func(a ctrl.Artifact) bool {
 		deployed := false
 		for _, m := range p.models {
-			for _, kept := range m.Artifacts {
-				if kept.Model != a.Model || kept.Adapter != a.Adapter {
+			for _, artifact := range m.Artifacts {
+				if artifact.Model != a.Model || artifact.Adapter != a.Adapter {
 					continue
 				}
 				deployed = true
-				if kept.Version > a.Version && b.Complete([]ctrl.Artifact{kept}) {
+				if artifact.Version > a.Version && b.Complete([]ctrl.Artifact{artifact}) {
 					return true
 				}
 			}
@@ -263,14 +266,15 @@
 	}
 }
 
-// shareBudget takes the domain's part of the loads from the weight store.
-func (c *controller) shareBudget(ctx context.Context, books []*ctrl.Book, p planned) (*ctrl.Allowance, error) {
+// allocateBudget claims the domain's share of the concurrent loads from the
+// weight store.
+func (c *controller) allocateBudget(ctx context.Context, ledgers []*ctrl.Book, p planResult) (*ctrl.Allowance, error) {
 	budget := &c.term.budget
 	if budget.Loads == 0 {
 		return nil, nil
 	}
 	var wants, inTransit ctrl.Allowance
-	for _, b := range books {
+	for _, b := range ledgers {
 		models, adapters := b.Loading()
 		inTransit.Loads += models
 		inTransit.Adapters += adapters
@@ -284,29 +288,29 @@
 	}
 	wants.Loads += inTransit.Loads
 	wants.Adapters += inTransit.Adapters
-	if !c.term.shared {
+	if !c.term.budgetLoaded {
 		var doc wire.Budget
-		version, err := c.read(ctx, kindBudget, nameBudget, &doc)
+		version, err := c.readObject(ctx, kindBudget, nameBudget, &doc)
 		if err != nil {
 			return nil, fmt.Errorf("read budget: %w", err)
 		}
 		budget.Load(version, doc)
-		c.term.shared = true
+		c.term.budgetLoaded = true
 	}
 	if next, changed := budget.Revise(wants, inTransit); changed {
 		version, err := c.d.store.Put(ctx, kindBudget, nameBudget, budget.Version(), next)
 		switch {
 		case store.IsConflict(err):
-			c.term.shared = false
+			c.term.budgetLoaded = false
 		case err != nil:
-			c.term.shared = false
+			c.term.budgetLoaded = false
 			return nil, fmt.Errorf("write budget: %w", err)
 		default:
 			budget.Written(version)
 		}
 	}
 	share := budget.Share()
-	if !c.term.shared {
+	if !c.term.budgetLoaded {
 		share = ctrl.Allowance{}
 	}
 	return &ctrl.Allowance{Loads: max(share.Loads-inTransit.Loads, 0), Adapters: max(share.Adapters-inTransit.Adapters, 0)}, nil
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -15,24 +15,25 @@
 	pollTimeout  = time.Second
 )
 
-// pollServers asks every backend server for its load and its cache events.
+// pollServers polls every backend server for its load and its cache events.
 func (d *Daemon) pollServers(ctx context.Context) {
-	busy := &sync.Map{}
+	inFlight := &sync.Map{}
 	for pause.For(ctx, pollInterval) {
 		for _, server := range d.fleet.Servers() {
-			// A server that does not answer is not asked twice at once.
-			if _, asked := busy.LoadOrStore(server.Name, true); asked {
+			// A server that has not replied is not polled a second time in
+			// parallel.
+			if _, polling := inFlight.LoadOrStore(server.Name, true); polling {
 				continue
 			}
 			go func() {
-				defer busy.Delete(server.Name)
-				d.poll(ctx, server)
+				defer inFlight.Delete(server.Name)
+				d.pollServer(ctx, server)
 			}()
 		}
 	}
 }
 
-func (d *Daemon) poll(ctx context.Context, server wire.Server) {
+func (d *Daemon) pollServer(ctx context.Context, server wire.Server) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load := d.engines.Load
@@ -46,17 +47,17 @@
 	}
 	d.fleet.SetReport(d.now(), server.Name, report)
 	if server.Backend == wire.ServerBackendEngine {
-		d.pollCache(ctx, server)
+		d.pollCacheEvents(ctx, server)
 	}
 }
 
-func (d *Daemon) pollCache(ctx context.Context, server wire.Server) {
+func (d *Daemon) pollCacheEvents(ctx context.Context, server wire.Server) {
 	events, err := d.engines.CacheEvents(ctx, server.Address, d.fleet.LastCacheEvent(server.Name))
 	if err != nil {
 		d.meter.Count("poll.failed", 1)
 		return
 	}
-	d.fleet.AddCacheEvents(server.Name, events, parsePrefix)
+	d.fleet.AddCacheEvents(server.Name, events, parsePrefixHash)
 }
 
-func parsePrefix(text string) (uint64, error) { return strconv.ParseUint(text, 16, 64) }
+func parsePrefixHash(text string) (uint64, error) { return strconv.ParseUint(text, 16, 64) }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -9,10 +9,10 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-const problemType = "https://hibiscuscart.example/problems/"
+const problemTypeBase = "https://hibiscuscart.example/problems/"
 
-// problem is a problem document (RFC 9457) that also carries the error object
-// that client libraries of model servers read.
+// problem is a problem document (RFC 9457) that also contains the error object
+// that client libraries of model servers expect.
 type problem struct {
 	Type    string      `json:"type"`
 	Title   string      `json:"title"`
@@ -32,7 +32,7 @@
 
 func newProblem(f *hibiscuscart.Failure, requestID string) problem {
 	p := problem{
-		Type:    problemType + f.Cause().String(),
+		Type:    problemTypeBase + f.Cause().String(),
 		Title:   f.Cause().String(),
 		Status:  f.Cause().Status(),
 		Detail:  f.Detail(),
@@ -54,7 +54,7 @@
 	return "server_error"
 }
 
-// writeFailure answers a request that ended before its answer began.
+// writeFailure writes the failure of a request whose response has not started.
 func writeFailure(w http.ResponseWriter, f *hibiscuscart.Failure, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
--- a/entry/profile.go
+++ b/entry/profile.go
@@ -10,29 +10,29 @@
 	"github.com/hibiscuscart/hibiscuscart/spans"
 )
 
-// profileStage looks up the profile, checks the request against it and sets
+// profileStage resolves the profile, validates the request against it and sets
 // the deadline.
 type profileStage struct {
-	view  *profs.View
-	usage *modelUsage
+	view       *profs.View
+	modelLoads *modelLoads
 }
 
 func (s *profileStage) run(ctx context.Context, x *Exchange, next Next) error {
 	_, span := spans.Start(ctx, "profile")
-	err := s.apply(x)
+	err := s.resolveProfile(x)
 	spans.End(span, err)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
-	if x.model != "" {
-		s.usage.arrived(x.request.Arrived, x.model)
+	if x.modelName != "" {
+		s.modelLoads.recordArrival(x.request.Arrived, x.modelName)
 	}
 	return next(ctx, x)
 }
 
-func (s *profileStage) apply(x *Exchange) error {
+func (s *profileStage) resolveProfile(x *Exchange) error {
 	req := x.request
 	p, ok := s.view.Get(req.Profile)
 	if !ok {
@@ -49,19 +49,19 @@
 	if err := checkModel(x); err != nil {
 		return err
 	}
-	if p.Once() && req.Key == "" && !safe(req) {
+	if p.Once() && req.Key == "" && !isReadOnly(req) {
 		return badInput(HeaderKey, "the profile %q runs a request at most once and needs this header", req.Profile)
 	}
 	return nil
 }
 
-// safe reports whether a call reads only (RFC 9110, section 9.2.1).
-func safe(req *hibiscuscart.Request) bool {
+// isReadOnly reports whether a call only reads (RFC 9110, section 9.2.1).
+func isReadOnly(req *hibiscuscart.Request) bool {
 	return req.Kind == hibiscuscart.KindPass && (req.Method == http.MethodGet || req.Method == http.MethodHead)
 }
 
-// checkModel fills in the only model of a profile, and checks the adapter and
-// the number of tokens.
+// checkModel selects the model, which defaults to the only one of the profile,
+// and validates the adapter and the number of tokens.
 func checkModel(x *Exchange) error {
 	if x.profile.IsService() {
 		return nil
@@ -75,7 +75,7 @@
 	if !ok {
 		return hibiscuscart.Fail(hibiscuscart.CauseNoProfile, "the profile %q has no model %q", x.request.Profile, name).WithField("model")
 	}
-	x.model = name
+	x.modelName = name
 	if n := x.request.MaxTokens; n > x.profile.MaxTokens() {
 		return badInput("max_tokens", "%d is more than the profile's %d", n, x.profile.MaxTokens())
 	}
@@ -90,7 +90,7 @@
 	return hibiscuscart.Fail(hibiscuscart.CauseNoProfile, "the model %q has no adapter %q", name, x.request.Adapter).WithField("model")
 }
 
-// maxTokens returns the bound on the answer's tokens.
+// maxTokens returns the maximum number of tokens in the response.
 func (x *Exchange) maxTokens() int {
 	if x.request.MaxTokens > 0 {
 		return x.request.MaxTokens
@@ -98,8 +98,8 @@
 	return x.profile.MaxTokens()
 }
 
-// expired reports whether the request's time is over, by the monotonic or the
-// wall clock: only the wall clock goes on while a VM is suspended.
+// expired reports whether the deadline has passed by the monotonic or the wall
+// clock. Only the wall clock advances while a VM is suspended.
 func (x *Exchange) expired(now time.Time) bool {
 	return !now.Before(x.deadline) || !now.Round(0).Before(x.deadline.Round(0))
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -23,42 +23,42 @@
 )
 
 const (
-	// resumesAllowed is how often one run is resumed on its engine.
-	resumesAllowed = 4
-	// triesAllowed bounds the servers that are tried for one request.
-	triesAllowed = 8
-	// searchInterval is the time between two looks for a server.
-	searchInterval = 25 * time.Millisecond
-	// cancelTimeout bounds the cancelling of a run.
+	// maxResumesPerRun is how often one run is resumed on its engine.
+	maxResumesPerRun = 4
+	// maxAttempts bounds the attempts for one request.
+	maxAttempts = 8
+	// candidateRetryInterval is the time between two searches for a server.
+	candidateRetryInterval = 25 * time.Millisecond
+	// cancelTimeout bounds the call that cancels a run.
 	cancelTimeout = 2 * time.Second
-	// defaultRetryHint tells callers when to come back after a failure that
-	// may pass.
-	defaultRetryHint = time.Second
-	// A stream that is silent for longer than these multiples of its targets
-	// is taken for dead.
-	firstTokenPatience    = 4
-	betweenTokensPatience = 20
-	leastPatience         = time.Second
+	// defaultRetryAfter is the retry delay sent to callers after a transient
+	// failure.
+	defaultRetryAfter = time.Second
+	// A stream is considered dead once it is silent for longer than these
+	// multiples of its latency targets.
+	firstTokenTimeoutFactor = 4
+	tokenGapTimeoutFactor   = 20
+	minStallTimeout         = time.Second
 )
 
-// errStalled is the cancellation cause of a stream that went silent.
-var errStalled = errors.New("the stream went silent")
+// errStalled is the cancellation cause of a stalled stream.
+var errStalled = errors.New("the stream stalled")
 
-// relayStage sends a request to a backend server, tries again where that can
-// not make it run too often, and hands the answer to the caller.
+// relayStage sends a request to a backend server, retries it where that can not
+// exceed the allowed number of runs, and forwards the response to the caller.
 type relayStage struct {
 	fleet *fleet.View
-	// choosePolicy chooses among candidates; it is called under mu.
-	choosePolicy func(candidates []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool)
-	// resumes is how often one run is resumed.
-	resumes int
-	budget  *retry.Budget
-	backoff retry.Backoff
-	engines *engine.Client
-	plain   *plain.Client
-	now     func() time.Time
-	meter   *meter.Set
-	usage   *modelUsage
+	// selectCandidate chooses among candidates; it is called under mu.
+	selectCandidate func(candidates []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool)
+	// maxResumes is how often one run is resumed.
+	maxResumes int
+	budget     *retry.Budget
+	backoff    retry.Backoff
+	engines    *engine.Client
+	plain      *plain.Client
+	now        func() time.Time
+	meter      *meter.Set
+	modelLoads *modelLoads
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -66,96 +66,97 @@
 
 func (s *relayStage) run(ctx context.Context, x *Exchange, _ Next) error {
 	s.budget.Request()
-	var asm relay.Assembly
+	var assembly relay.Assembly
 	var tried []string
-	for try := 1; ; try++ {
-		c, err := s.choose(ctx, x, tried)
+	for attempt := 1; ; attempt++ {
+		c, err := s.chooseServer(ctx, x, tried)
 		if err != nil {
 			return err
 		}
 		tried = append(tried, c.Name)
-		err = s.attempt(ctx, x, c, &asm)
+		err = s.attempt(ctx, x, c, &assembly)
 		if err == nil {
 			return nil
 		}
 		f := hibiscuscart.AsFailure(err)
-		if !s.mayRetry(x, f, try) {
-			return s.final(x, f)
+		if !s.mayRetry(x, f, attempt) {
+			return s.finalFailure(x, f)
 		}
 		s.meter.Count("relay.retries", 1)
-		if !pause.For(ctx, s.wait(try)) {
-			return s.final(x, f)
+		if !pause.For(ctx, s.backoffDelay(attempt)) {
+			return s.finalFailure(x, f)
 		}
 	}
 }
 
-// final returns the failure to tell the caller. Once any attempt may have run,
-// a later one that did not run proves nothing about the request.
-func (s *relayStage) final(x *Exchange, f *hibiscuscart.Failure) error {
-	if x.sent && f.Outcome() == hibiscuscart.OutcomeNotRun {
+// finalFailure returns the failure to report to the caller. Once any attempt
+// may have run, a later attempt that did not run does not prove that the
+// request did not run.
+func (s *relayStage) finalFailure(x *Exchange, f *hibiscuscart.Failure) error {
+	if x.maybeSent && f.Outcome() == hibiscuscart.OutcomeNotRun {
 		return hibiscuscart.Fail(hibiscuscart.CauseLostBeforeAnswer, "an earlier attempt may have run").WithError(f)
 	}
 	if f.Cause().Transient() && f.RetryAfter() == 0 {
-		return f.WithRetryAfter(defaultRetryHint)
+		return f.WithRetryAfter(defaultRetryAfter)
 	}
 	return f
 }
 
 // mayRetry reports whether another server may be tried after a failure.
-func (s *relayStage) mayRetry(x *Exchange, f *hibiscuscart.Failure, try int) bool {
-	if try >= triesAllowed {
+func (s *relayStage) mayRetry(x *Exchange, f *hibiscuscart.Failure, attempt int) bool {
+	if attempt >= maxAttempts {
 		return false
 	}
 	switch f.Cause() {
 	case hibiscuscart.CauseDialFailed, hibiscuscart.CauseNothingWritten, hibiscuscart.CauseRefused:
 		return s.budget.Allow()
 	case hibiscuscart.CauseLostBeforeAnswer, hibiscuscart.CauseLostInStream, hibiscuscart.CauseBackendError:
-		return x.runs < x.profile.RunsAllowed() && s.budget.Allow()
+		return x.possibleRuns < x.profile.RunsAllowed() && s.budget.Allow()
 	}
 	return false
 }
 
-func (s *relayStage) wait(try int) time.Duration {
+func (s *relayStage) backoffDelay(attempt int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.backoff.Wait(s.rng, try)
+	return s.backoff.Wait(s.rng, attempt)
 }
 
-// choose returns a server that holds what the request needs. While there is
-// none, as when a model is just being loaded, it looks again until half of the
-// request's time is over.
-func (s *relayStage) choose(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
+// chooseServer returns a server that holds what the request needs. While there
+// is none, for example while a model is loading, it searches again until half
+// of the time of the request has passed.
+func (s *relayStage) chooseServer(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
 	_, span := spans.Start(ctx, "route")
-	c, err := s.search(ctx, x, tried)
+	c, err := s.findServer(ctx, x, tried)
 	span.SetAttributes(attribute.String("server", c.Name))
 	spans.End(span, err)
 	return c, err
 }
 
-func (s *relayStage) search(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
+func (s *relayStage) findServer(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
 	need := fleet.Requirements{
-		Pool: x.profile.Pool(), Model: x.model, Adapter: x.request.Adapter,
+		Pool: x.profile.Pool(), Model: x.modelName, Adapter: x.request.Adapter,
 		NoModel: x.profile.IsService(), PromptPrefix: x.request.PrefixHash(),
 	}
 	if need.NoModel {
 		need.PromptPrefix = 0
 	}
-	giveUp := x.request.Arrived.Add(x.profile.WholeAnswer() / 2)
+	searchDeadline := x.request.Arrived.Add(x.profile.WholeAnswer() / 2)
 	for {
 		now := s.now()
 		candidates := s.fleet.Candidates(now, need)
 		s.mu.Lock()
-		c, ok := s.choosePolicy(candidates, need.PromptPrefix, tried)
+		c, ok := s.selectCandidate(candidates, need.PromptPrefix, tried)
 		s.mu.Unlock()
 		if ok {
 			return c, nil
 		}
-		if now.After(giveUp) {
-			return c, s.final(x, hibiscuscart.Fail(hibiscuscart.CauseNoServer, "no server holds the model now").WithRetryAfter(time.Second))
+		if now.After(searchDeadline) {
+			return c, s.finalFailure(x, hibiscuscart.Fail(hibiscuscart.CauseNoServer, "no server holds the model now").WithRetryAfter(time.Second))
 		}
-		if !pause.For(ctx, searchInterval) {
+		if !pause.For(ctx, candidateRetryInterval) {
 			cause, _ := httpx.ContextCause(ctx, false)
-			return c, s.final(x, hibiscuscart.Fail(cause, "no server was found in time"))
+			return c, s.finalFailure(x, hibiscuscart.Fail(cause, "no server was found in time"))
 		}
 	}
 }
@@ -163,19 +164,20 @@
 // attempt sends the request to one server.
 func (s *relayStage) attempt(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
 	now := s.now()
-	// A VM that was paused after the claim was granted may wake when the key
-	// has been forgotten and granted to another; it must not send any more.
+	// A VM may be paused after its claim was granted and resume after the key
+	// has expired and was granted to another VM. It must then not send the
+	// request.
 	if x.expired(now) {
 		return hibiscuscart.Fail(hibiscuscart.CauseGrantExpired, "the time was over before the request was sent")
 	}
-	x.attempt = fmt.Sprintf("%s.%d", x.request.ID, x.runs+1)
-	x.server, x.sentAt = c.Name, now
+	x.attemptID = fmt.Sprintf("%s.%d", x.request.ID, x.possibleRuns+1)
+	x.serverName, x.sentAt = c.Name, now
 	ctx, span := spans.Start(ctx, "attempt",
-		attribute.String("attempt", x.attempt), attribute.String("server", c.Name), attribute.String("model", x.model))
+		attribute.String("attempt", x.attemptID), attribute.String("server", c.Name), attribute.String("model", x.modelName))
 	s.fleet.BeginRequest(now, c.Name)
 	s.meter.Count("relay.attempts", 1)
 	err := s.send(ctx, x, c, asm)
-	s.learn(x, c, err)
+	s.recordResult(x, c, err)
 	spans.End(span, err)
 	return err
 }
@@ -183,24 +185,24 @@
 func (s *relayStage) send(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
 	var err error
 	if x.profile.IsService() {
-		err = s.sendPlain(ctx, x, c)
+		err = s.sendServiceCall(ctx, x, c)
 	} else {
-		err = s.sendStream(ctx, x, c, asm)
+		err = s.runGeneration(ctx, x, c, asm)
 	}
 	if err == nil || hibiscuscart.AsFailure(err).Outcome() != hibiscuscart.OutcomeNotRun {
-		x.sent = true
-		x.runs++
+		x.maybeSent = true
+		x.possibleRuns++
 	}
 	return err
 }
 
-// learn tells the view how the attempt ended.
-func (s *relayStage) learn(x *Exchange, c fleet.Candidate, err error) {
+// recordResult updates the fleet view with the result of the attempt.
+func (s *relayStage) recordResult(x *Exchange, c fleet.Candidate, err error) {
 	healthy := true
 	if err != nil {
 		switch f := hibiscuscart.AsFailure(err); f.Cause() {
 		case hibiscuscart.CauseRefused:
-			s.learnRefusal(x, c, f.Detail())
+			s.recordRefusal(x, c, f.Detail())
 		case hibiscuscart.CauseCanceledAfterSend, hibiscuscart.CauseCanceledBeforeSend:
 		default:
 			healthy = false
@@ -208,71 +210,71 @@
 		s.meter.Count("relay.failed."+hibiscuscart.AsFailure(err).Cause().String(), 1)
 	}
 	now := s.now()
-	if err == nil && x.model != "" {
-		s.usage.served(x.model, now.Sub(x.sentAt))
+	if err == nil && x.modelName != "" {
+		s.modelLoads.recordServiceTime(x.modelName, now.Sub(x.sentAt))
 	}
 	s.fleet.EndRequest(now, c.Name, healthy)
 }
 
-func (s *relayStage) learnRefusal(x *Exchange, c fleet.Candidate, reason string) {
+func (s *relayStage) recordRefusal(x *Exchange, c fleet.Candidate, reason string) {
 	switch reason {
 	case engine.RefusedDraining:
 		s.fleet.SetLeaving(c.Name)
 	case engine.RefusedOverloaded:
 		s.fleet.MarkFull(s.now(), c.Name)
 	default:
-		s.fleet.MarkNotLoaded(s.now(), c.Name, x.model, x.request.Adapter)
+		s.fleet.MarkNotLoaded(s.now(), c.Name, x.modelName, x.request.Adapter)
 	}
 }
 
-func (s *relayStage) sendPlain(ctx context.Context, x *Exchange, c fleet.Candidate) error {
-	answer, err := s.plain.Do(ctx, c.Address, x.attempt, plain.Call{
+func (s *relayStage) sendServiceCall(ctx context.Context, x *Exchange, c fleet.Candidate) error {
+	answer, err := s.plain.Do(ctx, c.Address, x.attemptID, plain.Call{
 		Method: x.request.Method, Path: x.request.Path, ContentType: x.request.ContentType, Body: x.request.Body,
 	})
 	if err != nil {
 		return err
 	}
-	x.answer = hibiscuscart.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
-	return s.deliver(x)
+	x.response = hibiscuscart.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
+	return s.deliverResponse(x)
 }
 
-func (s *relayStage) deliver(x *Exchange) error {
-	if err := x.sink.Whole(x.answer); err != nil {
+func (s *relayStage) deliverResponse(x *Exchange) error {
+	if err := x.sink.Whole(x.response); err != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller did not take the answer").WithError(err)
 	}
 	return nil
 }
 
-// sendStream runs a generation: started once, resumed on its engine when the
+// runGeneration starts a generation once and resumes it on its engine when the
 // stream breaks.
-func (s *relayStage) sendStream(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
-	asm.Restart(x.attempt)
-	err := s.watched(ctx, x, asm, func(ctx context.Context, frame frameFunc) error {
-		return s.engines.Generate(ctx, c.Address, x.attempt, s.generation(x), frame)
+func (s *relayStage) runGeneration(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
+	asm.Restart(x.attemptID)
+	err := s.runWithStallTimeout(ctx, x, asm, func(ctx context.Context, frame frameHandler) error {
+		return s.engines.Generate(ctx, c.Address, x.attemptID, s.newGeneration(x), frame)
 	})
-	for n := 1; n <= s.resumes && resumable(err); n++ {
+	for n := 1; n <= s.maxResumes && resumable(err); n++ {
 		s.meter.Count("relay.resumes", 1)
-		if !pause.For(ctx, s.wait(n)) {
+		if !pause.For(ctx, s.backoffDelay(n)) {
 			break
 		}
-		again := s.watched(ctx, x, asm, func(ctx context.Context, frame frameFunc) error {
-			return s.engines.Resume(ctx, c.Address, x.attempt, asm.LastSequence(), frame)
+		resumeErr := s.runWithStallTimeout(ctx, x, asm, func(ctx context.Context, frame frameHandler) error {
+			return s.engines.Resume(ctx, c.Address, x.attemptID, asm.LastSequence(), frame)
 		})
-		err = resumeResult(err, again)
+		err = resumeResult(err, resumeErr)
 	}
 	if err == nil {
-		x.answer = hibiscuscart.Answer{Text: asm.Text(), Finish: asm.FinishReason(), Tokens: asm.DeliveredFrames()}
-		return s.deliver(x)
+		x.response = hibiscuscart.Answer{Text: asm.Text(), Finish: asm.FinishReason(), Tokens: asm.DeliveredFrames()}
+		return s.deliverResponse(x)
 	}
 	if hibiscuscart.AsFailure(err).Outcome() == hibiscuscart.OutcomeUnknown {
-		go s.cancel(c, x.attempt)
+		go s.cancelRun(c, x.attemptID)
 	}
 	return err
 }
 
-func (s *relayStage) generation(x *Exchange) engine.Generation {
+func (s *relayStage) newGeneration(x *Exchange) engine.Generation {
 	return engine.Generation{
-		Model: x.model, Adapter: x.request.Adapter, Prompt: x.request.Prompt, Messages: x.request.Messages,
+		Model: x.modelName, Adapter: x.request.Adapter, Prompt: x.request.Prompt, Messages: x.request.Messages,
 		MaxTokens: x.maxTokens(), Priority: x.profile.Priority(),
 	}
 }
@@ -288,25 +290,26 @@
 	return false
 }
 
-// resumeResult is the result of a run after a try to resume it. A resume that
-// was refused, or that did not reach the engine, says nothing about the run:
-// its failure stays that of the stream that broke.
-func resumeResult(broke, again error) error {
-	if again == nil {
+// resumeResult returns the result of a run after an attempt to resume it. A
+// resume that was refused, or that did not reach the engine, gives no
+// information about the run; the run then keeps the failure of the broken
+// stream.
+func resumeResult(streamErr, resumeErr error) error {
+	if resumeErr == nil {
 		return nil
 	}
-	f := hibiscuscart.AsFailure(again)
+	f := hibiscuscart.AsFailure(resumeErr)
 	if f.Outcome() == hibiscuscart.OutcomeNotRun || f.Cause() == hibiscuscart.CauseBackendError {
-		return hibiscuscart.Fail(hibiscuscart.CauseLostInStream, "the run could not be resumed").WithError(errors.Join(broke, again))
+		return hibiscuscart.Fail(hibiscuscart.CauseLostInStream, "the run could not be resumed").WithError(errors.Join(streamErr, resumeErr))
 	}
-	return again
+	return resumeErr
 }
 
-// frame takes in one frame of a stream.
-func (s *relayStage) frame(x *Exchange, asm *relay.Assembly, f hibiscuscart.Frame) error {
+// handleFrame processes one frame of a stream.
+func (s *relayStage) handleFrame(x *Exchange, asm *relay.Assembly, f hibiscuscart.Frame) error {
 	verdict, text, err := asm.Accept(f)
 	if err != nil {
-		return fmt.Errorf("assemble: %w", err)
+		return fmt.Errorf("assemble stream: %w", err)
 	}
 	switch verdict {
 	case relay.DropForeign:
@@ -322,13 +325,13 @@
 
 func (s *relayStage) deliverText(x *Exchange, text string) error {
 	now := s.now()
-	if x.firstAt.IsZero() {
-		x.firstAt = now
+	if x.firstTokenAt.IsZero() {
+		x.firstTokenAt = now
 	} else {
-		x.maxGap = max(x.maxGap, now.Sub(x.lastAt))
+		x.maxTokenGap = max(x.maxTokenGap, now.Sub(x.lastTokenAt))
 	}
-	x.lastAt = now
-	x.tokens++
+	x.lastTokenAt = now
+	x.tokenCount++
 	if x.sink.Text == nil {
 		return nil
 	}
@@ -338,32 +341,32 @@
 	return nil
 }
 
-// frameFunc takes in one frame.
-type frameFunc = func(hibiscuscart.Frame) error
+// frameHandler processes one frame.
+type frameHandler = func(hibiscuscart.Frame) error
 
-// watched runs a stream and breaks it when it goes silent.
-func (s *relayStage) watched(ctx context.Context, x *Exchange, asm *relay.Assembly, stream func(context.Context, frameFunc) error) error {
-	inner, cancel := context.WithCancelCause(ctx)
+// runWithStallTimeout runs a stream and cancels it when it stalls.
+func (s *relayStage) runWithStallTimeout(ctx context.Context, x *Exchange, asm *relay.Assembly, stream func(context.Context, frameHandler) error) error {
+	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(patience(x.profile.FirstToken(), firstTokenPatience), func() { cancel(errStalled) })
-	defer silence.Stop()
-	between := patience(x.profile.BetweenTokens(), betweenTokensPatience)
-	err := stream(inner, func(f hibiscuscart.Frame) error {
-		silence.Reset(between)
-		return s.frame(x, asm, f)
+	stallTimer := time.AfterFunc(stallTimeout(x.profile.FirstToken(), firstTokenTimeoutFactor), func() { cancel(errStalled) })
+	defer stallTimer.Stop()
+	gapTimeout := stallTimeout(x.profile.BetweenTokens(), tokenGapTimeoutFactor)
+	err := stream(streamCtx, func(f hibiscuscart.Frame) error {
+		stallTimer.Reset(gapTimeout)
+		return s.handleFrame(x, asm, f)
 	})
-	if err != nil && ctx.Err() == nil && errors.Is(context.Cause(inner), errStalled) {
+	if err != nil && ctx.Err() == nil && errors.Is(context.Cause(streamCtx), errStalled) {
 		return hibiscuscart.Fail(hibiscuscart.CauseLostInStream, "the stream went silent").WithError(err)
 	}
 	return err
 }
 
-func patience(target time.Duration, multiple int) time.Duration {
-	return max(target*time.Duration(multiple), leastPatience)
+func stallTimeout(target time.Duration, multiple int) time.Duration {
+	return max(target*time.Duration(multiple), minStallTimeout)
 }
 
-// cancel stops a run whose answer nobody waits for.
-func (s *relayStage) cancel(c fleet.Candidate, attempt string) {
+// cancelRun cancels a run whose response is no longer needed.
+func (s *relayStage) cancelRun(c fleet.Candidate, attempt string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := s.engines.Cancel(ctx, c.Address, attempt); err != nil {
--- a/entry/sinks.go
+++ b/entry/sinks.go
@@ -9,10 +9,10 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-const endMarker = "[DONE]"
+const streamEndMarker = "[DONE]"
 
-// completion is the answer object of both completion interfaces, whole or as
-// a chunk of a stream.
+// completion is the response object of both completion interfaces, complete or
+// as a chunk of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -40,37 +40,38 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// writer answers one request over HTTP.
-type writer struct {
-	http    http.ResponseWriter
-	flush   *http.ResponseController
-	request *hibiscuscart.Request
-	timeout time.Duration
-	started bool
+// responseWriter writes the HTTP response to one request.
+type responseWriter struct {
+	http               http.ResponseWriter
+	responseController *http.ResponseController
+	request            *hibiscuscart.Request
+	timeout            time.Duration
+	started            bool
 }
 
-func newWriter(w http.ResponseWriter, req *hibiscuscart.Request, timeout time.Duration) *writer {
-	return &writer{http: w, flush: http.NewResponseController(w), request: req, timeout: timeout}
+func newResponseWriter(w http.ResponseWriter, req *hibiscuscart.Request, timeout time.Duration) *responseWriter {
+	return &responseWriter{http: w, responseController: http.NewResponseController(w), request: req, timeout: timeout}
 }
 
-// sink returns the Sink for the form of answer that the request asks for.
-func (w *writer) sink() Sink {
+// sink returns the Sink for the response format that the request selects.
+func (w *responseWriter) sink() Sink {
 	switch {
 	case w.request.Kind == hibiscuscart.KindPass:
-		return Sink{Whole: w.passWhole}
+		return Sink{Whole: w.writeServiceResponse}
 	case w.request.Stream:
-		return Sink{Text: w.streamText, Whole: w.streamWhole}
+		return Sink{Text: w.writeStreamText, Whole: w.writeStreamEnd}
 	}
-	return Sink{Whole: w.jsonWhole}
+	return Sink{Whole: w.writeJSONResponse}
 }
 
-// extendDeadline gives the caller time to take in the next piece. A caller
-// that does not is cut off, so that it does not hold a server's slot.
-func (w *writer) extendDeadline() {
-	_ = w.flush.SetWriteDeadline(time.Now().Add(w.timeout))
+// extendDeadline gives the caller time to read the next part. A caller that
+// does not read it is disconnected, so that it does not occupy a slot of a
+// server.
+func (w *responseWriter) extendDeadline() {
+	_ = w.responseController.SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
-func (w *writer) begin(contentType string, status int) {
+func (w *responseWriter) writeHeader(contentType string, status int) {
 	w.started = true
 	h := w.http.Header()
 	h.Set("Content-Type", contentType)
@@ -78,21 +79,21 @@
 	w.http.WriteHeader(status)
 }
 
-func (w *writer) passWhole(a hibiscuscart.Answer) error {
+func (w *responseWriter) writeServiceResponse(a hibiscuscart.Answer) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
-	w.begin(a.ContentType, a.Status)
+	w.writeHeader(a.ContentType, a.Status)
 	if _, err := w.http.Write(a.Body); err != nil {
-		return fmt.Errorf("write answer: %w", err)
+		return fmt.Errorf("write response: %w", err)
 	}
 	return nil
 }
 
-func (w *writer) jsonWhole(a hibiscuscart.Answer) error {
+func (w *responseWriter) writeJSONResponse(a hibiscuscart.Answer) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
-	w.begin("application/json", http.StatusOK)
-	body := w.object(choice{Finish: &a.Finish})
+	w.writeHeader("application/json", http.StatusOK)
+	body := w.newCompletion(choice{Finish: &a.Finish})
 	if w.request.Kind == hibiscuscart.KindChat {
 		body.Choices[0].Message = &hibiscuscart.Message{Role: "assistant", Content: a.Text}
 	} else {
@@ -100,12 +101,12 @@
 	}
 	body.Usage = &usage{CompletionTokens: a.Tokens, TotalTokens: a.Tokens}
 	if err := json.NewEncoder(w.http).Encode(body); err != nil {
-		return fmt.Errorf("write answer: %w", err)
+		return fmt.Errorf("write response: %w", err)
 	}
 	return nil
 }
 
-func (w *writer) object(c choice) completion {
+func (w *responseWriter) newCompletion(c choice) completion {
 	object := "text_completion"
 	if w.request.Kind == hibiscuscart.KindChat {
 		object = "chat.completion"
@@ -119,7 +120,7 @@
 	}
 }
 
-func (w *writer) streamText(text string) error {
+func (w *responseWriter) writeStreamText(text string) error {
 	c := choice{}
 	if w.request.Kind == hibiscuscart.KindChat {
 		c.Delta = &delta{Content: text}
@@ -129,10 +130,10 @@
 	} else {
 		c.Text = &text
 	}
-	return w.event(w.object(c))
+	return w.writeEvent(w.newCompletion(c))
 }
 
-func (w *writer) streamWhole(a hibiscuscart.Answer) error {
+func (w *responseWriter) writeStreamEnd(a hibiscuscart.Answer) error {
 	last := choice{Finish: &a.Finish}
 	if w.request.Kind == hibiscuscart.KindChat {
 		last.Delta = &delta{}
@@ -140,43 +141,43 @@
 		empty := ""
 		last.Text = &empty
 	}
-	if err := w.event(w.object(last)); err != nil {
+	if err := w.writeEvent(w.newCompletion(last)); err != nil {
 		return err
 	}
-	return w.raw(endMarker)
+	return w.writeEventData(streamEndMarker)
 }
 
-func (w *writer) event(v any) error {
+func (w *responseWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
 	}
-	return w.raw(string(data))
+	return w.writeEventData(string(data))
 }
 
-func (w *writer) raw(data string) error {
+func (w *responseWriter) writeEventData(data string) error {
 	w.extendDeadline()
 	if !w.started {
-		w.begin("text/event-stream", http.StatusOK)
+		w.writeHeader("text/event-stream", http.StatusOK)
 	}
 	if _, err := fmt.Fprintf(w.http, "data: %s\n\n", data); err != nil {
 		return fmt.Errorf("write event: %w", err)
 	}
-	if err := w.flush.Flush(); err != nil {
+	if err := w.responseController.Flush(); err != nil {
 		return fmt.Errorf("flush event: %w", err)
 	}
 	return nil
 }
 
-// fail tells the caller of a failure: as the answer, or as the last event of a
-// stream that has begun. Such a stream has no end marker.
-func (w *writer) fail(f *hibiscuscart.Failure) {
+// writeFailure reports a failure to the caller, as the response or as the last
+// event of a started stream. Such a stream has no end marker.
+func (w *responseWriter) writeFailure(f *hibiscuscart.Failure) {
 	w.extendDeadline()
 	if !w.started {
 		writeFailure(w.http, f, w.request.ID)
 		return
 	}
 	if w.request.Stream {
-		_ = w.event(newProblem(f, w.request.ID))
+		_ = w.writeEvent(newProblem(f, w.request.ID))
 	}
 }
--- a/entry/spans_test.go
+++ b/entry/spans_test.go
@@ -13,19 +13,19 @@
 	"github.com/hibiscuscart/hibiscuscart/entry"
 )
 
-// TestSpanForEachHop: a once-only request has a span for each stage and attempt,
-// all in the trace that the caller began.
-func TestSpanForEachHop(t *testing.T) {
+// A once-only request must have a span for each stage and attempt, all in the
+// trace that the caller started.
+func TestRequestSpans(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(recorder)))
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(trace.NewTracerProvider()) })
-	w := world(t, nil)
+	w := startDeployment(t, nil)
 	const traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 	const requests = 8
 	for i := range requests {
 		id := fmt.Sprint("traced", i)
-		r := post(t, w, "one-1", "/services/desk/loans", entryCall(id), entry.HeaderKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
 		require.Equal(t, 200, r.status, r.body)
 	}
 	names := make(map[string]int)
@@ -37,5 +37,5 @@
 	for _, name := range []string{"request", "profile", "admit", "claim", "route", "attempt"} {
 		require.Equal(t, requests, names[name], "spans %q of %v", name, names)
 	}
-	require.Positive(t, names["claim owner"], "of eight keys the other VM owns some: %v", names)
+	require.Positive(t, names["claim owner"], "the other VM owns the shards of some of eight keys: %v", names)
 }
--- a/entry/testdata_test.go
+++ b/entry/testdata_test.go
@@ -61,14 +61,15 @@
 prompt_bytes = 1024
 `
 
-const longestTest = time.Minute
+const testTimeout = time.Minute
 
-// world runs the small deployment: a profile of each kind on two servers.
-func world(t *testing.T, adjust func(*entry.Config)) *demo.World {
+// startDeployment starts the small deployment: one profile of each kind on two
+// servers for models and one plain service.
+func startDeployment(t *testing.T, adjust func(*entry.Config)) *demo.World {
 	t.Helper()
 	settings, err := conf.Parse([]byte(smallSettings))
 	require.NoError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), longestTest)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	w, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), Adjust: adjust,
@@ -91,7 +92,7 @@
 	return []wire.Profile{draft, issue, desk}
 }
 
-// reply is what came back for a request.
+// reply is the HTTP response to a request.
 type reply struct {
 	status  int
 	header  http.Header
@@ -113,7 +114,7 @@
 
 func send(t *testing.T, w *demo.World, method, vm, path, body string, headers ...string) reply {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), longestTest)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.VMs()[vm].Address()+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -130,7 +131,7 @@
 	return r
 }
 
-// text returns the text of a whole completion.
+// text returns the text of a complete completion response.
 func (r reply) text(t *testing.T) string {
 	t.Helper()
 	var body struct {
@@ -144,7 +145,7 @@
 }
 
 // streamText returns the text of a stream of a plain completion, and whether
-// it ended whole.
+// the stream was complete.
 func (r reply) streamText() (string, bool) {
 	var text strings.Builder
 	whole := false
@@ -173,8 +174,8 @@
 	return fmt.Sprintf(`{"model":%q,"max_tokens":%d,"prompt":"menu %s"}`, model, tokens, stand.Marker(id))
 }
 
-func wanted(model, id string, tokens int) string {
+func expectedText(model, id string, tokens int) string {
 	return strings.Join(stand.Answer(model, "", "menu "+stand.Marker(id), tokens), "")
 }
 
-func entryCall(id string) string { return fmt.Sprintf(`{"entry":"loan %s"}`, stand.Marker(id)) }
+func loanCall(id string) string { return fmt.Sprintf(`{"entry":"loan %s"}`, stand.Marker(id)) }
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -9,63 +9,63 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// modelUsage measures the load that is offered for each model: the rate of
-// arrivals times the time a server takes. Counting the requests in progress and
-// waiting instead would take a queue for demand: it grows for as long as the
-// servers are too few, and then asks for many more than are needed.
-type modelUsage struct {
-	mu     sync.Mutex
-	models map[string]*offered
+// modelLoads measures the offered load of each model: the arrival rate times
+// the service time. Counting the requests in progress and waiting instead would
+// mistake a queue for demand: the queue grows as long as there are too few
+// servers, and the count then asks for far more servers than are needed.
+type modelLoads struct {
+	mu    sync.Mutex
+	loads map[string]*offeredLoad
 }
 
-// offered is the load offered for one model.
-type offered struct {
-	arrivals admit.Demand
-	service  time.Duration
+// offeredLoad is the load offered for one model.
+type offeredLoad struct {
+	arrivals    admit.Demand
+	serviceTime time.Duration
 }
 
-// milli is the unit of the load in heartbeats: a thousandth of a request in
+// loadScale is the scale of the load in heartbeats: thousandths of a request in
 // progress.
-const milli = 1000
+const loadScale = 1000
 
-func (u *modelUsage) model(name string) *offered {
-	if u.models == nil {
-		u.models = make(map[string]*offered)
+func (u *modelLoads) load(name string) *offeredLoad {
+	if u.loads == nil {
+		u.loads = make(map[string]*offeredLoad)
 	}
-	o := u.models[name]
+	o := u.loads[name]
 	if o == nil {
-		o = &offered{}
-		u.models[name] = o
+		o = &offeredLoad{}
+		u.loads[name] = o
 	}
 	return o
 }
 
-// arrived counts a request for a model.
-func (u *modelUsage) arrived(now time.Time, model string) {
+// recordArrival counts a request for a model.
+func (u *modelLoads) recordArrival(now time.Time, model string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.model(model).arrivals.Arrive(now)
+	u.load(model).arrivals.Arrive(now)
 }
 
-// served takes in the time that a server took for a request.
-func (u *modelUsage) served(model string, took time.Duration) {
+// recordServiceTime records the time that a server took for a request.
+func (u *modelLoads) recordServiceTime(model string, duration time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	o := u.model(model)
-	if o.service == 0 {
-		o.service = took
+	o := u.load(model)
+	if o.serviceTime == 0 {
+		o.serviceTime = duration
 	}
-	o.service += time.Duration(admit.Smoothing * float64(took-o.service))
+	o.serviceTime += time.Duration(admit.Smoothing * float64(duration-o.serviceTime))
 }
 
-// demand returns the load offered for each model, in thousandths.
-func (u *modelUsage) demand(now time.Time) []wire.ModelDemand {
+// snapshot returns the offered load of each model, in thousandths.
+func (u *modelLoads) snapshot(now time.Time) []wire.ModelDemand {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	demand := []wire.ModelDemand{}
-	for name, o := range u.models {
-		load := o.arrivals.Rate(now) * o.service.Seconds()
-		if n := int(math.Round(load * milli)); n > 0 {
+	for name, o := range u.loads {
+		load := o.arrivals.Rate(now) * o.serviceTime.Seconds()
+		if n := int(math.Round(load * loadScale)); n > 0 {
 			demand = append(demand, wire.ModelDemand{Model: name, Load: n})
 		}
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -9,71 +9,71 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// KindServer is the kind of the platform's objects that list backend servers.
+// KindServer is the kind of the platform objects that describe backend servers.
 const KindServer = "servers"
 
-// watchCheck is the time between two looks whether this VM is to watch.
-const watchCheck = 500 * time.Millisecond
+// watchElectionInterval is the time between two checks whether this VM is
+// elected to watch.
+const watchElectionInterval = 500 * time.Millisecond
 
-// followProfiles keeps the profiles in force up to date, from the platform.
-func (d *Daemon) followProfiles(ctx context.Context) {
-	d.whileWatching(ctx, "profiles", d.caughtProfiles.Load, func(ctx context.Context) {
-		d.store.Follow(ctx, profs.Kind, d.takeProfileListing, d.takeProfileEvent)
+// watchProfiles updates the profiles in force from the platform.
+func (d *Daemon) watchProfiles(ctx context.Context) {
+	d.watchWhileElected(ctx, "profiles", d.profilesSynced.Load, func(ctx context.Context) {
+		d.store.Follow(ctx, profs.Kind, d.applyProfileListing, d.applyProfileEvent)
 	})
 }
 
-func (d *Daemon) takeProfileListing(list store.Listing) {
+func (d *Daemon) applyProfileListing(list store.Listing) {
 	listed := make(map[string]bool)
 	for _, obj := range list.Items {
 		listed[obj.Name] = true
-		d.adopt(profilePrefix+obj.Name, obj.Version, string(obj.Value))
+		d.applyDocument(profilePrefix+obj.Name, obj.Version, string(obj.Value))
 	}
 	d.profiles.RemoveMissing(list.Version, listed)
-	d.caughtProfiles.Store(true)
+	d.profilesSynced.Store(true)
 }
 
-func (d *Daemon) takeProfileEvent(e store.Event) {
+func (d *Daemon) applyProfileEvent(e store.Event) {
 	if e.Type != store.EventDelete {
-		d.adopt(profilePrefix+e.Name, e.Version, string(e.Value))
+		d.applyDocument(profilePrefix+e.Name, e.Version, string(e.Value))
 		return
 	}
 	if d.profiles.Remove(e.Version, e.Name) {
-		d.peers.spread(d.base, profilePrefix+e.Name)
+		d.peers.broadcast(d.baseCtx, profilePrefix+e.Name)
 	}
 }
 
-// adoptProfile puts a document in force when it is valid and newer. One that
-// somebody wrote past the operators' tool may be neither.
-func (d *Daemon) adoptProfile(name string, version int, value json.RawMessage) bool {
+// applyProfile applies a document when it is valid and newer. A document that
+// was not written with the operators' tool may be neither.
+func (d *Daemon) applyProfile(name string, version int, value json.RawMessage) bool {
 	doc, err := profs.Parse(value)
 	if err != nil || doc.Name != name {
 		d.meter.Count("profile.invalid", 1)
-		d.log.Error().Err(err).Str("profile", name).Int("version", version).Msg("profile document not valid")
+		d.log.Error().Err(err).Str("profile", name).Int("version", version).Msg("invalid profile document")
 		return false
 	}
 	if !d.profiles.Adopt(version, doc) {
 		return false
 	}
 	d.meter.Count("profile.adopted", 1)
-	d.log.Info().Str("profile", name).Int("version", version).Msg("profile in force")
+	d.log.Info().Str("profile", name).Int("version", version).Msg("profile applied")
 	return true
 }
 
-// followServers keeps the list of backend servers up to date, from the
-// platform.
-func (d *Daemon) followServers(ctx context.Context) {
-	d.whileWatching(ctx, "servers", d.caughtServers.Load, func(ctx context.Context) {
+// watchServers updates the list of backend servers from the platform.
+func (d *Daemon) watchServers(ctx context.Context) {
+	d.watchWhileElected(ctx, "servers", d.serversSynced.Load, func(ctx context.Context) {
 		d.store.Follow(ctx, KindServer, func(list store.Listing) {
 			listed := make(map[string]bool)
 			for _, obj := range list.Items {
 				listed[obj.Name] = true
-				d.adopt(serverPrefix+obj.Name, obj.Version, string(obj.Value))
+				d.applyDocument(serverPrefix+obj.Name, obj.Version, string(obj.Value))
 			}
-			d.configs.removeServers(list.Version, listed)
-			d.fleet.SetServers(d.configs.Servers())
-			d.caughtServers.Store(true)
+			d.activeConfig.removeServers(list.Version, listed)
+			d.fleet.SetServers(d.activeConfig.Servers())
+			d.serversSynced.Store(true)
 		}, func(e store.Event) {
-			d.adopt(serverPrefix+e.Name, e.Version, string(e.Value))
+			d.applyDocument(serverPrefix+e.Name, e.Version, string(e.Value))
 		})
 	})
 }
