--- a/bench/flood.go
+++ b/bench/flood.go
@@ -48,7 +48,7 @@
 		classes:  []load.Class{class("quiet", quietKey, 20), class("steady", steadyKey, 150), floodClass},
 		length:   length,
 		adjust: func(c *entry.Config) {
-			c.Callers = map[string]string{quietKey: "quiet", floodKey: "flood", steadyKey: "steady"}
+			c.CallersByKey = map[string]string{quietKey: "quiet", floodKey: "flood", steadyKey: "steady"}
 		},
 	}
 	ours, baseline, err := t.pair(ctx, o)
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -61,7 +61,7 @@
 	}
 	w, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: fleetProfiles(), Preload: true, Seed: o.Seed, MaxVMs: n,
-		Adjust: func(c *entry.Config) { c.Seeds = nil },
+		Adjust: func(c *entry.Config) { c.SeedVMs = nil },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start fleet: %w", err)
@@ -122,7 +122,7 @@
 		StoreCallsPerSec: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.Watching()),
 	}
 	for _, d := range w.VMs() {
-		f.UnheardByOneAnyone += n - len(d.LiveNodes())
+		f.UnheardByOneAnyone += n - len(d.ActiveVMs())
 	}
 	h, err := spreadOver(ctx, w, n)
 	if err != nil {
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -47,12 +47,12 @@
 func BenchmarkPipe(b *testing.B) {
 	w := overheadWorld(b)
 	d := w.VMs()["domain-1-1"]
-	sink := entry.Sink{Text: func(string) error { return nil }, Whole: func(hibiscuscart.Answer) error { return nil }}
+	sink := entry.Sink{WriteText: func(string) error { return nil }, WriteResponse: func(hibiscuscart.Answer) error { return nil }}
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Now()
 		req := &hibiscuscart.Request{ID: fmt.Sprint("r-", i), Profile: "draft", Model: "draft-1", Prompt: "menu", MaxTokens: overheadTokens, Arrived: now}
-		require.NoError(b, d.Exchange(context.Background(), req, sink))
+		require.NoError(b, d.HandleRequest(context.Background(), req, sink))
 	}
 }
 
--- a/bench/place.go
+++ b/bench/place.go
@@ -103,7 +103,7 @@
 	}
 	w, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
-		Adjust: func(c *entry.Config) { c.Placement, c.Callers = placement, nil },
+		Adjust: func(c *entry.Config) { c.Placement, c.CallersByKey = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
 			e.Slots, e.FirstToken, e.BetweenTokens = placeSlots, placeFirst, placeBetween
 		},
--- a/demo/look.go
+++ b/demo/look.go
@@ -131,7 +131,7 @@
 // seen reports whether every VM has had a report of every server.
 func (w *World) seen(vms map[string]*entry.Daemon) bool {
 	for _, d := range vms {
-		if !d.SeesServers() {
+		if !d.HasServerReports() {
 			return false
 		}
 	}
--- a/demo/world.go
+++ b/demo/world.go
@@ -240,11 +240,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("configure %s: %w", vm.Name(), err)
 	}
-	c.Listen, c.PeerListen, c.Platform = anyPort, anyPort, "http://"+w.platform
+	c.Listen, c.PeerListen, c.PlatformURL = anyPort, anyPort, "http://"+w.platform
 	dial := w.Net.Dialer(vm.Name())
 	c.PlatformHTTP, c.BackendHTTP = &httpx.Client{Dial: dial}, &httpx.Client{Dial: dial}
-	c.PeerDial, c.Seeds = dial, w.vmDocuments()
-	c.Seed = w.options.Seed + uint64(len(w.vms)) + 1
+	c.PeerDial, c.SeedVMs = dial, w.vmDocuments()
+	c.RandomSeed = w.options.Seed + uint64(len(w.vms)) + 1
 	if w.options.Adjust != nil {
 		w.options.Adjust(&c)
 	}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -86,14 +86,14 @@
 	switch d.Verdict {
 	case dedup.InProgress:
 		return hibiscuscart.Fail(hibiscuscart.CauseClaimInProgress, "a request with this key is in progress").
-			WithField(HeaderKey).WithRetryAfter(d.RetryAfter)
+			WithField(HeaderIdempotencyKey).WithRetryAfter(d.RetryAfter)
 	case dedup.AlreadyRan:
 		return s.replay(x, d)
 	case dedup.Unknown:
 		return hibiscuscart.Fail(hibiscuscart.CauseClaimUnknown,
-			"a request with this key was sent and its end is not known; it is not run again").WithField(HeaderKey)
+			"a request with this key was sent and its end is not known; it is not run again").WithField(HeaderIdempotencyKey)
 	case dedup.Mismatch:
-		return hibiscuscart.Fail(hibiscuscart.CauseClaimMismatch, "the key was used with another body").WithField(HeaderKey)
+		return hibiscuscart.Fail(hibiscuscart.CauseClaimMismatch, "the key was used with another body").WithField(HeaderIdempotencyKey)
 	}
 	f := hibiscuscart.Fail(hibiscuscart.CauseClaimUnavailable, "no claim can be granted now; the request was not run").WithRetryAfter(d.RetryAfter)
 	if err != nil {
@@ -107,16 +107,16 @@
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
 	var a hibiscuscart.Answer
 	if d.Answer == "" || json.Unmarshal([]byte(d.Answer), &a) != nil {
-		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderKey)
+		return hibiscuscart.Fail(hibiscuscart.CauseClaimDone, "the request with this key already ran; its answer is not kept").WithField(HeaderIdempotencyKey)
 	}
 	x.replayed = true
 	x.response = a
-	if x.sink.Text != nil {
-		if err := x.sink.Text(a.Text); err != nil {
+	if x.sink.WriteText != nil {
+		if err := x.sink.WriteText(a.Text); err != nil {
 			return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller went away").WithError(err)
 		}
 	}
-	if err := x.sink.Whole(a); err != nil {
+	if err := x.sink.WriteResponse(a); err != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller went away").WithError(err)
 	}
 	return nil
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return ""
 	}
-	req.Header.Set(entry.HeaderKey, "key-"+id)
+	req.Header.Set(entry.HeaderIdempotencyKey, "key-"+id)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return ""
@@ -110,10 +110,10 @@
 	require.Eventually(t, func() bool { return w.Runs.Of("orphan") == 1 }, testTimeout, 5*time.Millisecond)
 	w.KillVM("one-1")
 	desk.SetFaults(stand.ServiceFaults{})
-	first := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderKey, "key-orphan")
+	first := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	time.Sleep(3500 * time.Millisecond) // the longest time a call of this profile can be in progress
-	r := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderKey, "key-orphan")
+	r := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
 	require.Equal(t, "claim_unknown", r.problem.Title, r.body)
 	require.Equal(t, 1, w.Runs.Of("orphan"))
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -25,12 +25,12 @@
 	Listen        string
 	PeerListen    string
 
-	Platform        string
+	PlatformURL     string
 	PlatformKey     string
 	PlatformTimeout time.Duration
 
-	Keys         link.Keys
-	Callers      map[string]string
+	LinkKeys     link.Keys
+	CallersByKey map[string]string
 	Limits       Limits
 	DrainTimeout time.Duration
 	// ClaimShards is the number of shards of the idempotency keys; it must be
@@ -38,27 +38,27 @@
 	// updates of a shard.
 	ClaimShards   int
 	ClaimInterval time.Duration
-	// SimpleClaims writes each claim by itself. Baseline admits every request
-	// at once, sends it to the server with the lowest reported load and retries
-	// without a budget. Both serve as comparisons.
-	SimpleClaims bool
-	Baseline     bool
+	// UnbatchedClaims writes each claim by itself. Baseline admits every
+	// request at once, sends it to the server with the lowest reported load and
+	// retries without a budget. Both serve as comparisons.
+	UnbatchedClaims bool
+	Baseline        bool
 	// Placement is "" for the planner, or "static" or "swap" for its baselines.
 	Placement string
-	// Loads and Adapters limit the concurrent loads of models and adapters from
-	// the weight store, over all failure domains.
-	Loads      int
-	Adapters   int
-	RetryShare float64
-	Heartbeat  time.Duration
-	DeadAfter  time.Duration
+	// MaxModelLoads and MaxAdapterLoads limit the concurrent loads of models
+	// and adapters from the weight store, over all failure domains.
+	MaxModelLoads     int
+	MaxAdapterLoads   int
+	RetryShare        float64
+	HeartbeatInterval time.Duration
+	DeadAfter         time.Duration
 	// Fanout is how many VMs of the failure domain get each round of
 	// heartbeats, and GossipBytes bounds a frame of heartbeats; 0 selects the
 	// defaults.
 	Fanout      int
 	GossipBytes int
-	// Seeds are the VMs to contact when the platform is unreachable.
-	Seeds         []wire.VM
+	// SeedVMs are the VMs to contact when the platform is unreachable.
+	SeedVMs       []wire.VM
 	MaxFrameBytes int64
 	TLS           *tls.Config
 
@@ -72,8 +72,8 @@
 	PeerDial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Now is the clock; nil selects the system clock.
 	Now func() time.Time
-	// Seed seeds the random choices; 0 selects a random seed.
-	Seed uint64
+	// RandomSeed seeds the random choices; 0 selects a random seed.
+	RandomSeed uint64
 }
 
 // ConfigFrom returns the Config of a VM from validated settings.
@@ -84,20 +84,20 @@
 	}
 	return Config{
 		Name: vm.Name(), FailureDomain: vm.FailureDomain(), Listen: vm.Listen(), PeerListen: vm.PeerListen(),
-		Platform: "http://" + s.Text("platform", "address"), PlatformKey: s.Text("platform", "key"),
+		PlatformURL: "http://" + s.Text("platform", "address"), PlatformKey: s.Text("platform", "key"),
 		PlatformTimeout: s.Duration("platform", "timeout"),
-		Keys:            link.Keys{Peer: s.Text("peers", "key"), Operator: s.Text("peers", "operator_key")},
-		Callers:         s.Callers(),
+		LinkKeys:        link.Keys{Peer: s.Text("peers", "key"), Operator: s.Text("peers", "operator_key")},
+		CallersByKey:    s.Callers(),
 		Limits: Limits{
 			HeaderBytes: s.Int("limits", "header_bytes"), BodyBytes: int64(s.Int("limits", "body_bytes")),
-			PromptBytes: s.Int("limits", "prompt_bytes"), AnswerBytes: int64(s.Int("limits", "answer_bytes")),
+			PromptBytes: s.Int("limits", "prompt_bytes"), ResponseBytes: int64(s.Int("limits", "answer_bytes")),
 			ReadTimeout: s.Duration("limits", "read_timeout"), WriteTimeout: s.Duration("limits", "write_timeout"),
 		},
 		DrainTimeout: s.Duration("limits", "drain_timeout"), RetryShare: s.Float("limits", "retry_share"),
 		ClaimShards: s.Int("claims", "shards"), ClaimInterval: s.Duration("claims", "interval"),
-		Loads: s.Int("weight_store", "loads_at_full_speed"), Adapters: s.Int("weight_store", "adapters_in_transit"),
-		Heartbeat: s.Duration("peers", "heartbeat"), DeadAfter: s.Duration("peers", "dead_after"),
-		Fanout: s.Int("peers", "fanout"), GossipBytes: s.Int("peers", "gossip_bytes"), Seeds: seedVMs(s, vm),
+		MaxModelLoads: s.Int("weight_store", "loads_at_full_speed"), MaxAdapterLoads: s.Int("weight_store", "adapters_in_transit"),
+		HeartbeatInterval: s.Duration("peers", "heartbeat"), DeadAfter: s.Duration("peers", "dead_after"),
+		Fanout: s.Int("peers", "fanout"), GossipBytes: s.Int("peers", "gossip_bytes"), SeedVMs: seedVMs(s, vm),
 		MaxFrameBytes: int64(s.Int("peers", "max_frame_bytes")),
 		TLS:           tlsConfig, Log: log,
 	}, nil
--- a/entry/control.go
+++ b/entry/control.go
@@ -72,7 +72,7 @@
 	return &term{
 		ledgers:    make(map[string]*ctrl.Book),
 		keepers:    ctrl.Keepers{Domain: domain, Controller: id},
-		budget:     ctrl.Budget{Domain: domain, Loads: c.d.config.Loads, Adapters: c.d.config.Adapters},
+		budget:     ctrl.Budget{Domain: domain, Loads: c.d.config.MaxModelLoads, Adapters: c.d.config.MaxAdapterLoads},
 		newOrderID: ctrl.NewOrderID(id),
 	}
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -86,14 +86,14 @@
 	if c.BackendHTTP == nil {
 		c.BackendHTTP = &httpx.Client{}
 	}
-	if c.Seed == 0 {
-		c.Seed = rand.Uint64()
+	if c.RandomSeed == 0 {
+		c.RandomSeed = rand.Uint64()
 	}
 	d := &Daemon{
 		config: c, bootID: uuid.NewString(), now: c.Now, meter: meter.New(),
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
-		store:   &store.Client{Base: c.Platform, Key: c.PlatformKey, Node: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
-		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.AnswerBytes},
+		store:   &store.Client{Base: c.PlatformURL, Key: c.PlatformKey, Node: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
+		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.ResponseBytes},
 		profiles: &profs.View{}, fleet: &fleet.View{}, modelLoads: &modelLoads{},
 	}
 	d.activeConfig = &activeConfig{profiles: d.profiles}
@@ -102,7 +102,7 @@
 	d.admission = newAdmissionStage(d)
 	d.claimer = newClaimer(d)
 	d.claims = &claimStage{claims: d.claimer.claims(), now: d.now, log: d.log, meter: d.meter}
-	if c.SimpleClaims {
+	if c.UnbatchedClaims {
 		d.claims.claims = unbatchedClaims(d.store)
 	}
 	d.pipeline = d.newPipeline()
@@ -120,7 +120,7 @@
 	account := &accountingStage{now: d.now, log: d.log, meter: d.meter}
 	profile := &profileStage{view: d.profiles, modelLoads: d.modelLoads}
 	policy := route.Policy{Domain: d.config.FailureDomain}
-	rng := rand.New(rand.NewPCG(d.config.Seed, 1))
+	rng := rand.New(rand.NewPCG(d.config.RandomSeed, 1))
 	relay := &relayStage{
 		fleet: d.fleet, maxResumes: maxResumesPerRun,
 		selectCandidate: func(c []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool) {
@@ -164,9 +164,9 @@
 	return p.Version()
 }
 
-// LiveNodes returns the names of the VMs, including this one, that this VM
+// ActiveVMs returns the names of the VMs, including this one, that this VM
 // considers alive and not leaving.
-func (d *Daemon) LiveNodes() []string { return d.peers.activeVMs() }
+func (d *Daemon) ActiveVMs() []string { return d.peers.activeVMs() }
 
 // Address returns the listen address for callers. It is empty before Start.
 func (d *Daemon) Address() string { return d.listenAddr }
@@ -233,8 +233,9 @@
 	return d.profilesSynced.Load() && d.serversSynced.Load() && !d.stopping.Load()
 }
 
-// SeesServers reports whether the VM has load reports of all backend servers.
-func (d *Daemon) SeesServers() bool {
+// HasServerReports reports whether the VM has load reports of all backend
+// servers.
+func (d *Daemon) HasServerReports() bool {
 	for _, s := range d.fleet.Status(d.now()) {
 		if s.State == wire.ServerStatusStateSilent {
 			return false
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -36,22 +36,22 @@
 	response     hibiscuscart.Answer
 }
 
-// Sink writes a response to the caller. Text is called for each part of a
-// stream, Whole once at the end.
+// Sink writes a response to the caller. WriteText is called for each part of a
+// stream, WriteResponse once at the end.
 type Sink struct {
-	Text  func(text string) error
-	Whole func(a hibiscuscart.Answer) error
+	WriteText     func(text string) error
+	WriteResponse func(a hibiscuscart.Answer) error
 }
 
 // discardErrors returns a Sink that ignores failed writes to the caller.
 func (s Sink) discardErrors() Sink {
-	sink := Sink{Whole: func(a hibiscuscart.Answer) error {
-		_ = s.Whole(a)
+	sink := Sink{WriteResponse: func(a hibiscuscart.Answer) error {
+		_ = s.WriteResponse(a)
 		return nil
 	}}
-	if s.Text != nil {
-		sink.Text = func(text string) error {
-			_ = s.Text(text)
+	if s.WriteText != nil {
+		sink.WriteText = func(text string) error {
+			_ = s.WriteText(text)
 			return nil
 		}
 	}
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -43,7 +43,7 @@
 			e.CutBefore = func(_ string, sequence int) bool { return sequence == cut && done.CompareAndSwap(false, true) }
 		}
 		body := strings.Replace(completion("issue/n", id(cut), tokens), "{", `{"stream":true,`, 1)
-		r := post(t, w, "one-1", "/v1/completions", body, entry.HeaderKey, id(cut))
+		r := post(t, w, "one-1", "/v1/completions", body, entry.HeaderIdempotencyKey, id(cut))
 		text, whole := r.streamText()
 		require.True(t, whole, r.body)
 		require.Equal(t, expectedText("n", id(cut), tokens), text)
@@ -115,12 +115,12 @@
 	w := startDeployment(t, nil)
 	desk := w.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{LoseAnswers: 1})
-	first := post(t, w, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderKey, "k")
+	first := post(t, w, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
 	for _, vm := range []string{"one-1", "two-1"} {
 		require.Eventually(t, func() bool {
-			again := post(t, w, vm, "/services/desk/loans", loanCall("lost"), entry.HeaderKey, "k")
+			again := post(t, w, vm, "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 			return again.problem.Title == "claim_unknown" && again.problem.Outcome == "unknown"
 		}, testTimeout, 20*time.Millisecond)
 	}
@@ -131,15 +131,15 @@
 // not run again. The key with another body is an error.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	w := startDeployment(t, nil)
-	first := post(t, w, "one-1", "/services/desk/loans", loanCall("rep"), entry.HeaderKey, "k")
+	first := post(t, w, "one-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, 200, first.status, first.body)
 	var second reply
 	require.Eventually(t, func() bool {
-		second = post(t, w, "two-1", "/services/desk/loans", loanCall("rep"), entry.HeaderKey, "k")
+		second = post(t, w, "two-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
 		return second.problem.Title != "claim_in_progress"
 	}, testTimeout, 20*time.Millisecond)
 	require.Equal(t, first.body, second.body)
-	other := post(t, w, "two-1", "/services/desk/loans", loanCall("other"), entry.HeaderKey, "k")
+	other := post(t, w, "two-1", "/services/desk/loans", loanCall("other"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, 422, other.status)
 	require.Equal(t, "not_run", other.problem.Outcome)
 	require.Equal(t, 1, w.Runs.Of("rep"))
@@ -153,7 +153,7 @@
 	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderKey, id)
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id)
 		if r.status == 200 {
 			require.Equal(t, 1, w.Runs.Of(id))
 			continue
@@ -170,7 +170,7 @@
 	w := startDeployment(t, nil)
 	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	for range 3 {
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderKey, "k")
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k")
 		require.Equal(t, 503, r.status, r.body)
 		require.Equal(t, "not_run", r.problem.Outcome)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
@@ -179,7 +179,7 @@
 	require.Equal(t, 200, served.status, served.body)
 	w.Platform.SetFaults(stand.PlatformFaults{})
 	require.Eventually(t, func() bool {
-		return post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderKey, "k").status == 200
+		return post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k").status == 200
 	}, testTimeout, 50*time.Millisecond)
 	require.Equal(t, 1, w.Runs.Of("away"))
 }
@@ -214,9 +214,9 @@
 	require.Eventually(t, func() bool { return canceled() == 1 }, testTimeout, 10*time.Millisecond)
 
 	body := strings.Replace(completion("issue/n", "gone-once", 100), "{", `{"stream":true,`, 1)
-	disconnect(body, entry.HeaderKey, "k")
+	disconnect(body, entry.HeaderIdempotencyKey, "k")
 	require.Eventually(t, func() bool {
-		again := post(t, w, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderKey, "k")
+		again := post(t, w, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderIdempotencyKey, "k")
 		return again.status == 200 && again.text(t) == expectedText("n", "gone-once", 100)
 	}, testTimeout, 50*time.Millisecond)
 	require.Equal(t, 1, w.Runs.Of("gone-once"))
@@ -290,7 +290,7 @@
 	require.NoError(t, w.ApplyProfile(docs[1]))
 	require.Eventually(t, func() bool {
 		changed := post(t, w, "two-1", "/v1/completions", completion("draft/m", "spread", 8))
-		retired := post(t, w, "two-1", "/v1/completions", completion("issue/n", "spread", 8), entry.HeaderKey, "k")
+		retired := post(t, w, "two-1", "/v1/completions", completion("issue/n", "spread", 8), entry.HeaderIdempotencyKey, "k")
 		return changed.status == 400 && retired.status == 410
 	}, testTimeout, 20*time.Millisecond)
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -36,11 +36,11 @@
 
 // authenticate returns the caller's name for the key of a request.
 func (d *Daemon) authenticate(r *http.Request) (string, error) {
-	if len(d.config.Callers) == 0 {
+	if len(d.config.CallersByKey) == 0 {
 		return anonymousCaller, nil
 	}
 	key := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
-	name, ok := d.config.Callers[key]
+	name, ok := d.config.CallersByKey[key]
 	if !ok {
 		d.meter.Count("caller.wrong_key", 1)
 		return "", hibiscuscart.Fail(hibiscuscart.CauseUnauthorized, "the key is not that of a caller").WithField("Authorization")
@@ -80,13 +80,13 @@
 	req.Arrived = arrived
 	out := newResponseWriter(w, req, d.config.Limits.WriteTimeout)
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
-	if err := d.Exchange(ctx, req, out.sink()); err != nil {
+	if err := d.HandleRequest(ctx, req, out.sink()); err != nil {
 		out.writeFailure(hibiscuscart.AsFailure(err))
 	}
 }
 
-// Exchange runs a parsed request through the pipeline.
-func (d *Daemon) Exchange(ctx context.Context, req *hibiscuscart.Request, sink Sink) error {
+// HandleRequest runs a parsed request through the pipeline.
+func (d *Daemon) HandleRequest(ctx context.Context, req *hibiscuscart.Request, sink Sink) error {
 	return d.pipeline(ctx, &Exchange{request: req, sink: sink})
 }
 
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -13,7 +13,7 @@
 // Every invalid request must get a 4xx status that names the field and the
 // outcome "not_run", and must reach no backend server.
 func TestBadInput(t *testing.T) {
-	w := startDeployment(t, func(c *entry.Config) { c.Callers = map[string]string{"kitchen-key": "kitchen"} })
+	w := startDeployment(t, func(c *entry.Config) { c.CallersByKey = map[string]string{"kitchen-key": "kitchen"} })
 	auth := []string{"Authorization", "Bearer kitchen-key"}
 	const plain, chat = "/v1/completions", "/v1/chat/completions"
 	cases := map[string]struct {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -10,7 +10,7 @@
 // peerHandler serves the links of peers and operators, and the metrics.
 func (d *Daemon) peerHandler() http.Handler {
 	acceptor := &link.Acceptor{
-		Hello: d.peers.hello, Keys: d.config.Keys, MaxFrameBytes: d.config.MaxFrameBytes, Serve: d.peers.serve, CountBytes: d.peers.countBytes,
+		Hello: d.peers.hello, Keys: d.config.LinkKeys, MaxFrameBytes: d.config.MaxFrameBytes, Serve: d.peers.serve, CountBytes: d.peers.countBytes,
 		OnRefused: func(err error) {
 			d.meter.Count("peers.links_refused", 1)
 			d.log.Warn().Err(err).Msg("refused link of peer or operator")
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -16,13 +16,14 @@
 
 // Request and response headers of the caller interfaces.
 const (
-	// HeaderKey holds the idempotency key of a request that may run only once.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey holds the idempotency key of a request that may run
+	// only once.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderProfile selects the profile when the model name does not include
 	// it.
 	HeaderProfile = "Hibiscuscart-Profile"
-	// HeaderRequest holds the request ID in responses.
-	HeaderRequest = "X-Request-Id"
+	// HeaderRequestID holds the request ID in responses.
+	HeaderRequestID = "X-Request-Id"
 )
 
 const (
@@ -32,12 +33,12 @@
 
 // Limits bounds the size and the transfer time of requests and responses.
 type Limits struct {
-	HeaderBytes  int
-	BodyBytes    int64
-	PromptBytes  int
-	AnswerBytes  int64
-	ReadTimeout  time.Duration
-	WriteTimeout time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	PromptBytes   int
+	ResponseBytes int64
+	ReadTimeout   time.Duration
+	WriteTimeout  time.Duration
 }
 
 // completionBody is the JSON body of both completion interfaces. Unknown
@@ -220,13 +221,13 @@
 }
 
 func parseKey(req *hibiscuscart.Request, h http.Header) error {
-	values := h.Values(HeaderKey)
+	values := h.Values(HeaderIdempotencyKey)
 	if len(values) > 1 {
-		return badInput(HeaderKey, "the header stands more than once")
+		return badInput(HeaderIdempotencyKey, "the header stands more than once")
 	}
-	req.Key = h.Get(HeaderKey)
+	req.Key = h.Get(HeaderIdempotencyKey)
 	if len(req.Key) > maxIdempotencyKeyBytes {
-		return badInput(HeaderKey, "the key has more than %d bytes", maxIdempotencyKeyBytes)
+		return badInput(HeaderIdempotencyKey, "the key has more than %d bytes", maxIdempotencyKeyBytes)
 	}
 	return nil
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -62,12 +62,12 @@
 
 func newPeers(d *Daemon) *peers {
 	p := &peers{
-		d: d, incarnation: int(d.now().UnixMilli()), rng: rand.New(rand.NewPCG(d.config.Seed, 2)),
+		d: d, incarnation: int(d.now().UnixMilli()), rng: rand.New(rand.NewPCG(d.config.RandomSeed, 2)),
 		links: make(map[string]*peerLink), lastOfferAt: make(map[string]time.Time),
 		list: member.List{Name: d.config.Name, Domain: d.config.FailureDomain, DeadAfter: d.config.DeadAfter, Fanout: d.config.Fanout},
 	}
 	p.remoteDemand.Store(&remoteDemand{})
-	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.Keys.Peer, TLS: d.config.TLS, MaxFrameBytes: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, CountBytes: p.countBytes}
+	p.dialer = &link.Dialer{Hello: p.hello, Key: d.config.LinkKeys.Peer, TLS: d.config.TLS, MaxFrameBytes: d.config.MaxFrameBytes, DialContext: d.config.PeerDial, CountBytes: p.countBytes}
 	return p
 }
 
@@ -83,7 +83,7 @@
 // run gossips heartbeats until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	p.mu.Lock()
-	p.list.MergePlatformList(p.d.now(), p.d.config.Seeds)
+	p.list.MergePlatformList(p.d.now(), p.d.config.SeedVMs)
 	p.mu.Unlock()
 	var listedAt time.Time
 	for {
@@ -92,7 +92,7 @@
 			go p.refreshVMList(ctx)
 		}
 		p.gossipRound(ctx)
-		if !pause.For(ctx, p.d.config.Heartbeat) {
+		if !pause.For(ctx, p.d.config.HeartbeatInterval) {
 			break
 		}
 	}
--- a/entry/profile.go
+++ b/entry/profile.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	if p.Once() && req.Key == "" && !isReadOnly(req) {
-		return badInput(HeaderKey, "the profile %q runs a request at most once and needs this header", req.Profile)
+		return badInput(HeaderIdempotencyKey, "the profile %q runs a request at most once and needs this header", req.Profile)
 	}
 	return nil
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -239,7 +239,7 @@
 }
 
 func (s *relayStage) deliverResponse(x *Exchange) error {
-	if err := x.sink.Whole(x.response); err != nil {
+	if err := x.sink.WriteResponse(x.response); err != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller did not take the answer").WithError(err)
 	}
 	return nil
@@ -332,10 +332,10 @@
 	}
 	x.lastTokenAt = now
 	x.tokenCount++
-	if x.sink.Text == nil {
+	if x.sink.WriteText == nil {
 		return nil
 	}
-	if err := x.sink.Text(text); err != nil {
+	if err := x.sink.WriteText(text); err != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller did not take the stream").WithError(err)
 	}
 	return nil
--- a/entry/sinks.go
+++ b/entry/sinks.go
@@ -57,11 +57,11 @@
 func (w *responseWriter) sink() Sink {
 	switch {
 	case w.request.Kind == hibiscuscart.KindPass:
-		return Sink{Whole: w.writeServiceResponse}
+		return Sink{WriteResponse: w.writeServiceResponse}
 	case w.request.Stream:
-		return Sink{Text: w.writeStreamText, Whole: w.writeStreamEnd}
+		return Sink{WriteText: w.writeStreamText, WriteResponse: w.writeStreamEnd}
 	}
-	return Sink{Whole: w.writeJSONResponse}
+	return Sink{WriteResponse: w.writeJSONResponse}
 }
 
 // extendDeadline gives the caller time to read the next part. A caller that
@@ -75,7 +75,7 @@
 	w.started = true
 	h := w.http.Header()
 	h.Set("Content-Type", contentType)
-	h.Set(HeaderRequest, w.request.ID)
+	h.Set(HeaderRequestID, w.request.ID)
 	w.http.WriteHeader(status)
 }
 
--- a/entry/spans_test.go
+++ b/entry/spans_test.go
@@ -25,7 +25,7 @@
 	const requests = 8
 	for i := range requests {
 		id := fmt.Sprint("traced", i)
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
+		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
 		require.Equal(t, 200, r.status, r.body)
 	}
 	names := make(map[string]int)
