--- a/node/follow.go
+++ b/node/follow.go
@@ -13,76 +13,76 @@
 )
 
 const (
-	// storeAgain is the pause before the store is tried again, half to one and
-	// a half of it, so that all VMs do not call in the same moment.
-	storeAgain = 300 * time.Millisecond
-	// onceMore is the longest pause before the second try, over another connection: the first
-	// may have failed since a connection was silent or this VM stood still.
-	onceMore = 50 * time.Millisecond
-	// awayTries is how many calls in a row must fail for the store to count as away.
-	awayTries = 2
-	// startAlone is how long a VM that starts waits for the controller to tell
-	// it everything before it asks the store: with many VMs that start at once,
-	// each asking for all servers would use the store's rate up.
-	startAlone = 500 * time.Millisecond
-	// coverEvery is how often a VM that is told everything looks whether it
-	// still is.
-	coverEvery = 50 * time.Millisecond
-	// gatherChanges is the pause after a watch that brought changes, so that
-	// those which follow at once come with one call.
-	gatherChanges = 40 * time.Millisecond
-	// gatherPerVM lengthens it: with more VMs there are more servers, each of
-	// whose changes would else be a call.
-	gatherPerVM = 1500 * time.Microsecond
-	// aloneFactor stretches the wait of a watch on a VM that watches for itself
-	// only.
-	aloneFactor = 2
-	// lostWait is the wait of a watch on a store that did not answer the one before.
-	lostWait = time.Millisecond
-	// askAnyway is how long the servers' follower leaves it to that of the configuration to
-	// find the store again. Where the store answers for the one kind only, the VM would go by
-	// servers of long ago; five seconds cost a fifth of the calls.
-	askAnyway = 5 * time.Second
+	// storeRetryDelay is the average delay before the store is called again during an outage. The
+	// delay varies from half to one and a half times this, so that the VMs do not all call at once.
+	storeRetryDelay = 300 * time.Millisecond
+	// maxFirstRetryDelay is the maximum delay before the first retry, which uses another connection.
+	// The failed call may have been caused by a broken connection or a suspension of this VM.
+	maxFirstRetryDelay = 50 * time.Millisecond
+	// outageFailures is the number of consecutive failed calls after which the store counts as
+	// unreachable.
+	outageFailures = 2
+	// startupHubWait is how long a starting VM waits for the data of the controller before it reads
+	// the store itself. When many VMs start at once, listing all servers from each of them would
+	// exhaust the store's rate limit.
+	startupHubWait = 500 * time.Millisecond
+	// hubCheckInterval is the interval between checks whether this VM must call the store itself.
+	hubCheckInterval = 50 * time.Millisecond
+	// changeBatchDelay is the pause after a watch that returned changes, so that the next call
+	// returns the changes of the meantime together.
+	changeBatchDelay = 40 * time.Millisecond
+	// changeBatchDelayPerVM extends changeBatchDelay for each VM. More VMs come with more servers,
+	// and each change of a server would otherwise need a call of its own.
+	changeBatchDelayPerVM = 1500 * time.Microsecond
+	// localWatchWaitFactor extends the wait of a watch whose changes only this VM uses.
+	localWatchWaitFactor = 2
+	// recoveryWatchWait is the wait of a watch after a failed call.
+	recoveryWatchWait = time.Millisecond
+	// serverPollInterval is the interval at which the follower of the servers calls an unreachable
+	// store, while the follower of the configuration polls it for both. Without these calls, a VM
+	// would use an outdated list of servers if the store served only the servers' kind. At an
+	// interval of 5 s they add a fifth to the calls.
+	serverPollInterval = 5 * time.Second
 )
 
-// watcher follows one kind of objects.
+// watcher holds the handlers for the objects of one kind.
 type watcher struct {
-	kind    string
-	listed  func(now time.Time, l store.Listing)
-	changed func(now time.Time, c store.Change)
-	// current is told that all changes up to now are known.
-	current func(now time.Time)
+	kind     string
+	onList   func(now time.Time, l store.Listing)
+	onChange func(now time.Time, c store.Change)
+	// onCurrent is called when a response of the store includes all changes up to now.
+	onCurrent func(now time.Time)
 }
 
-// follow lists a kind and watches it until ctx ends, except while the
-// controller tells this VM what changes.
+// follow lists a kind and watches it until ctx ends, except while the controller sends this VM the
+// changes.
 func (n *Node) follow(ctx context.Context, w watcher) {
-	known := false
-	from := 0
-	begun := n.now()
-	var asked time.Time
+	synced := false
+	version := 0
+	startedAt := n.now()
+	var lastCallAt time.Time
 	for ctx.Err() == nil {
-		if now := n.now(); n.covered(now) || !n.peers.Leading() && now.Sub(begun) < startAlone {
-			known = false
-			n.forgetOne(w.kind)
-			pause.For(ctx, coverEvery)
+		if now := n.now(); n.coveredByController(now) || !n.peers.Leading() && now.Sub(startedAt) < startupHubWait {
+			synced = false
+			n.discardSingleFailure(w.kind)
+			pause.For(ctx, hubCheckInterval)
 			continue
 		}
-		if w.kind != n.config.ConfigKind && n.isLost(w.kind) && n.storeAway() && n.now().Sub(asked) < askAnyway {
-			pause.For(ctx, coverEvery)
+		if w.kind != n.config.ConfigKind && n.kindUnreachable(w.kind) && n.storeUnreachable() && n.now().Sub(lastCallAt) < serverPollInterval {
+			pause.For(ctx, hubCheckInterval)
 			continue
 		}
-		asked = n.now()
+		lastCallAt = n.now()
 		var err error
-		if known {
-			from, err = n.watchOnce(ctx, w, from)
+		if synced {
+			version, err = n.watchOnce(ctx, w, version)
 		} else {
-			from, err = n.listOnce(ctx, w)
+			version, err = n.listOnce(ctx, w)
 		}
 		if err == nil {
-			known = true
-			if n.answered(w.kind) >= awayTries {
-				n.log.Info().Str("kind", w.kind).Int("version", from).Msg("store regained")
+			synced = true
+			if n.resetFailures(w.kind) >= outageFailures {
+				n.log.Info().Str("kind", w.kind).Int("version", version).Msg("store reachable again")
 			}
 			continue
 		}
@@ -90,89 +90,90 @@
 			return
 		}
 		if store.IsGone(err) {
-			known = false
-			n.log.Info().Str("kind", w.kind).Int("version", from).Msg("history gone, listing again")
+			synced = false
+			n.log.Info().Str("kind", w.kind).Int("version", version).Msg("watch version expired; listing again")
 			continue
 		}
 		n.config.CloseIdle()
-		failures := n.unanswered(w.kind)
-		if failures < awayTries {
-			n.log.Info().Str("kind", w.kind).Int("version", from).Err(err).Msg("store did not answer")
-			pause.For(ctx, rand.N(onceMore))
+		failures := n.recordFailure(w.kind)
+		if failures < outageFailures {
+			n.log.Info().Str("kind", w.kind).Int("version", version).Err(err).Msg("store call failed; retrying")
+			pause.For(ctx, rand.N(maxFirstRetryDelay))
 			continue
 		}
-		if failures == awayTries {
-			n.log.Warn().Str("kind", w.kind).Int("version", from).Err(err).Msg("store lost")
+		if failures == outageFailures {
+			n.log.Warn().Str("kind", w.kind).Int("version", version).Err(err).Msg("store unreachable")
 		}
-		n.servers.MarkStoreDown()
-		pause.For(ctx, time.Duration(n.peers.PollIntervalFactor()*float64(storeAgain/2+rand.N(storeAgain))))
+		n.serverView.MarkStoreDown()
+		pause.For(ctx, time.Duration(n.peers.PollIntervalFactor()*float64(storeRetryDelay/2+rand.N(storeRetryDelay))))
 	}
 }
 
-// Load pattern: the store is away, and all VMs ask it whether it is back: each for the
-// configuration, for the servers and for the lease. With 195 VMs that is 650 calls a second
-// while it struggles, in place of 20. The one question for the configuration says as much;
-// the others wait for its answer. The VM that steers asks for all of them, as the others
-// are told by it within milliseconds.
+// If every VM polled an unreachable store for the configuration, the servers and the lease, 195 VMs
+// would send it 650 calls per second during the outage instead of 20. A poll for the configuration
+// detects the recovery just as well, so the other calls wait for its response. The controller makes
+// all three calls, because the other VMs get its data within milliseconds.
 
-// storeAway reports whether the store did not answer this VM when it was asked last. The
-// configuration's follower goes on asking.
-func (n *Node) storeAway() bool { return !n.peers.Leading() && n.isLost(n.config.ConfigKind) }
+// storeUnreachable reports whether the store is unreachable and this VM, not being the controller,
+// polls it only for the configuration.
+func (n *Node) storeUnreachable() bool {
+	return !n.peers.Leading() && n.kindUnreachable(n.config.ConfigKind)
+}
 
-// isLost reports whether the store counts as away for a kind.
-func (n *Node) isLost(kind string) bool { return n.failures(kind) >= awayTries }
+// kindUnreachable reports whether the store counts as unreachable for a kind.
+func (n *Node) kindUnreachable(kind string) bool { return n.failureCount(kind) >= outageFailures }
 
-// failures returns how many calls for a kind failed since the last answer.
-func (n *Node) failures(kind string) int {
+// failureCount returns the number of consecutive failed calls for a kind.
+func (n *Node) failureCount(kind string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.failed[kind]
+	return n.failedCalls[kind]
 }
 
-// unanswered counts a call for a kind that failed, and returns how many did in a row.
-func (n *Node) unanswered(kind string) int {
+// recordFailure records a failed call for a kind and returns the number of consecutive ones.
+func (n *Node) recordFailure(kind string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.failed[kind]++
-	return n.failed[kind]
+	n.failedCalls[kind]++
+	return n.failedCalls[kind]
 }
 
-// forgetOne drops a single failure of long ago.
-func (n *Node) forgetOne(kind string) {
+// discardSingleFailure resets the failure count of a kind, unless the store counts as unreachable.
+// Otherwise an old failure would count as consecutive with the next one.
+func (n *Node) discardSingleFailure(kind string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.failed[kind] < awayTries {
-		n.failed[kind] = 0
+	if n.failedCalls[kind] < outageFailures {
+		n.failedCalls[kind] = 0
 	}
 }
 
-// answered notes that the store answered for a kind, and returns how many calls had failed
-// before.
-func (n *Node) answered(kind string) (before int) {
+// resetFailures records a response for a kind and returns the number of calls that failed before.
+func (n *Node) resetFailures(kind string) (failures int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	before = n.failed[kind]
-	n.failed[kind] = 0
-	return before
+	failures = n.failedCalls[kind]
+	n.failedCalls[kind] = 0
+	return failures
 }
 
-// covered reports whether the controller, another VM, tells this one what
-// changes.
-func (n *Node) covered(now time.Time) bool { return !n.peers.Leading() && n.peers.HubDataFresh(now) }
+// coveredByController reports whether another VM is the controller and keeps this VM's data current.
+func (n *Node) coveredByController(now time.Time) bool {
+	return !n.peers.Leading() && n.peers.HubDataFresh(now)
+}
 
-// heard notes that the store told what is current of a kind.
-func (n *Node) heard(now time.Time, kind string) {
+// recordConfirmation records that the store confirmed the data of a kind as current.
+func (n *Node) recordConfirmation(now time.Time, kind string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.contact[kind] = now
+	n.confirmedAt[kind] = now
 }
 
-// current returns when the store told last that all that this VM knows is
-// current.
-func (n *Node) current() time.Time {
+// dataConfirmedAt returns when the store last confirmed that all data of this VM is current.
+func (n *Node) dataConfirmedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	config, servers := n.contact[n.config.ConfigKind], n.contact[n.config.ServerKind]
+	config, servers := n.confirmedAt[n.config.ConfigKind], n.confirmedAt[n.config.ServerKind]
 	if config.Before(servers) {
 		return config
 	}
@@ -180,170 +181,172 @@
 }
 
 func (n *Node) listOnce(ctx context.Context, w watcher) (int, error) {
-	l, err := n.config.Objects.List(ctx, w.kind)
+	listing, err := n.config.Objects.List(ctx, w.kind)
 	if err != nil {
 		return 0, err
 	}
 	now := n.now()
-	n.heard(now, w.kind)
-	w.current(now)
-	w.listed(now, l)
-	return l.Version, nil
+	n.recordConfirmation(now, w.kind)
+	w.onCurrent(now)
+	w.onList(now, listing)
+	return listing.Version, nil
 }
 
-func (n *Node) watchOnce(ctx context.Context, w watcher, from int) (int, error) {
+func (n *Node) watchOnce(ctx context.Context, w watcher, version int) (int, error) {
 	wait := n.settings().Duration("store", "wait")
 	if !n.peers.Leading() {
-		wait *= aloneFactor
+		wait *= localWatchWaitFactor
 	}
-	if n.failures(w.kind) > 0 {
-		// The first answer tells that the store is there; others wait for it.
-		wait = lostWait
+	if n.failureCount(w.kind) > 0 {
+		// A response shows that the store has recovered. Other calls wait for it, so it must not be
+		// delayed by a long poll.
+		wait = recoveryWatchWait
 	}
-	list, next, err := n.config.Objects.Watch(ctx, w.kind, from, wait)
+	changes, next, err := n.config.Objects.Watch(ctx, w.kind, version, wait)
 	if err != nil {
-		return from, err
+		return version, err
 	}
 	now := n.now()
-	n.heard(now, w.kind)
-	w.current(now)
-	for _, c := range list {
-		w.changed(now, c)
+	n.recordConfirmation(now, w.kind)
+	w.onCurrent(now)
+	for _, c := range changes {
+		w.onChange(now, c)
 	}
-	if len(list) > 0 {
-		pause.For(ctx, gatherChanges+time.Duration(n.peers.VMs())*gatherPerVM)
+	if len(changes) > 0 {
+		pause.For(ctx, changeBatchDelay+time.Duration(n.peers.VMs())*changeBatchDelayPerVM)
 	}
 	return next, nil
 }
 
-// configWatcher puts the newest configuration in force. A lower version never
+// configWatcher returns the watcher that applies the newest configuration. A lower revision never
 // replaces a higher one.
 func (n *Node) configWatcher() watcher {
 	return watcher{
 		kind: n.config.ConfigKind,
-		listed: func(_ time.Time, l store.Listing) {
+		onList: func(_ time.Time, l store.Listing) {
 			for _, o := range l.Items {
-				n.takeConfig(o)
+				n.applyConfigObject(o)
 			}
 		},
-		changed: func(_ time.Time, c store.Change) {
+		onChange: func(_ time.Time, c store.Change) {
 			if !c.Deleted {
-				n.takeConfig(c.Object)
+				n.applyConfigObject(c.Object)
 			}
 		},
-		current: func(time.Time) {},
+		onCurrent: func(time.Time) {},
 	}
 }
 
-func (n *Node) adopt(table *routes.Table, revision int, value []byte) {
+func (n *Node) activateConfig(table *routes.Table, revision int, value []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if revision <= n.revision {
+	if revision <= n.configRevision {
 		return
 	}
-	n.revision, n.value = revision, value
+	n.configRevision, n.storedConfig = revision, value
 	n.table.Store(table)
-	close(n.configured)
-	n.configured = make(chan struct{})
+	close(n.configChange)
+	n.configChange = make(chan struct{})
 	n.log.Info().Int("config_version", table.Version()).Int("revision", revision).Msg("configuration in force")
 }
 
-// configValue returns the configuration in force as the store holds it.
-func (n *Node) configValue() (int, []byte) {
+// currentConfig returns the configuration in force, as stored, and its revision.
+func (n *Node) currentConfig() (int, []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.revision, n.value
+	return n.configRevision, n.storedConfig
 }
 
 func (n *Node) configChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.configured
+	return n.configChange
 }
 
-// configure puts a configuration in force that the controller told.
-func (n *Node) configure(revision int, value []byte) {
-	n.takeConfig(store.Object{Kind: n.config.ConfigKind, Name: n.config.ConfigName, Version: revision, Value: value})
+// applyHubConfig applies a configuration received from the controller.
+func (n *Node) applyHubConfig(revision int, value []byte) {
+	n.applyConfigObject(store.Object{Kind: n.config.ConfigKind, Name: n.config.ConfigName, Version: revision, Value: value})
 }
 
-func (n *Node) takeConfig(o store.Object) {
+func (n *Node) applyConfigObject(o store.Object) {
 	if o.Name != n.config.ConfigName {
 		return
 	}
 	table, err := n.config.Table(o)
 	if err != nil {
-		n.log.Error().Err(err).Int("version", o.Version).Msg("configuration not readable, the one in force stays")
+		n.log.Error().Err(err).Int("version", o.Version).Msg("cannot decode configuration; keeping the one in force")
 		return
 	}
-	n.adopt(table, o.Version, o.Value)
+	n.activateConfig(table, o.Version, o.Value)
 }
 
-// serverWatcher keeps the view of the backend servers.
+// serverWatcher returns the watcher that updates the view of the backend servers.
 func (n *Node) serverWatcher() watcher {
 	return watcher{
 		kind: n.config.ServerKind,
-		listed: func(now time.Time, l store.Listing) {
+		onList: func(now time.Time, l store.Listing) {
 			entries := make([]backs.Entry, 0, len(l.Items))
 			var unreadable []string
 			for _, o := range l.Items {
-				if e, ok := n.entry(o); ok {
+				if e, ok := n.decodeEntry(o); ok {
 					entries = append(entries, e)
 				} else {
 					unreadable = append(unreadable, o.Name)
 				}
 			}
-			n.servers.Replace(now, entries, unreadable...)
+			n.serverView.Replace(now, entries, unreadable...)
 		},
-		changed: n.serverChanged,
-		current: n.servers.MarkCurrent,
+		onChange:  n.serverChanged,
+		onCurrent: n.serverView.MarkCurrent,
 	}
 }
 
-func (n *Node) entry(o store.Object) (backs.Entry, bool) {
+func (n *Node) decodeEntry(o store.Object) (backs.Entry, bool) {
 	e, err := n.config.Entry(o)
 	if err != nil {
-		n.log.Error().Err(err).Int("version", o.Version).Msg("entry names no server to use")
+		n.log.Error().Err(err).Int("version", o.Version).Msg("ignoring invalid server entry")
 		return backs.Entry{}, false
 	}
 	return e, true
 }
 
-// noteMissing logs what becomes of a server whose entry went missing, also where another
-// VM told of it or left it out of its list.
-func (n *Node) noteMissing(m backs.Missing) {
-	text := "server gone"
+// handleMissing logs whether a server whose entry is missing stays in use. It is also called when
+// another VM reported the removal or omitted the server from its list.
+func (n *Node) handleMissing(m backs.Missing) {
+	message := "entry missing; server no longer used"
 	if m.Kept {
-		text = "entry missing, server kept in use"
+		message = "entry missing; server kept in use"
 	} else {
-		n.poison.ProcessEnded(n.now(), m.ID)
+		n.crashTracker.ProcessEnded(n.now(), m.ID)
 	}
-	n.log.Info().Str("server", m.ID).Msg(text)
+	n.log.Info().Str("server", m.ID).Msg(message)
 }
 
-// noteCrash logs and counts a server crash that this VM detected during a request.
-func (n *Node) noteCrash(c poison.Crash, crashes int) {
+// recordCrash logs and counts a server crash that this VM detected during a request. crashes is the
+// number of crashes attributed to the request.
+func (n *Node) recordCrash(c poison.Crash, crashes int) {
 	n.meter.Count("poison.crashes", 1)
 	n.log.Info().Str("fingerprint", string(c.Request)).Str("server", c.Server).Int("crashes", crashes).Msg("server crashed while processing a request")
 }
 
-// noteBlock logs and counts a request that has become blocked on this VM.
-func (n *Node) noteBlock(s poison.Suspect) {
+// recordBlock logs and counts a request that is now blocked on this VM.
+func (n *Node) recordBlock(s poison.Suspect) {
 	n.meter.Count("poison.blocked", 1)
 	n.log.Warn().Str("fingerprint", string(s.Request)).Int("crashes", s.Crashes).Dur("for", s.BlockedFor).Msg("request blocked")
 }
 
 func (n *Node) serverChanged(now time.Time, c store.Change) {
 	if c.Deleted {
-		n.servers.Remove(now, c.Object.Name)
+		n.serverView.Remove(now, c.Object.Name)
 		n.log.Info().Str("server", c.Object.Name).Int("version", c.Object.Version).Msg("server removed")
 		return
 	}
-	e, ok := n.entry(c.Object)
+	e, ok := n.decodeEntry(c.Object)
 	if !ok {
-		n.servers.MarkUnreadable(c.Object.Name)
+		n.serverView.MarkUnreadable(c.Object.Name)
 		return
 	}
-	n.servers.Put(now, e)
+	n.serverView.Put(now, e)
 	n.log.Info().Str("server", e.ID).Str("address", e.Address).Str("service", e.Service).Bool("draining", e.Draining).
 		Int("models", len(e.Models)).Int("version", c.Object.Version).Msg("server changed")
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -18,34 +18,34 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// The store goes away for half a minute. Each of hundreds of VMs asked it every second
-// for the configuration, the servers and the lease, and it came back under more calls than
-// it takes in peace. One question in three says as much. When it is answered, the servers
-// are asked for at once.
-func TestOneQuestionToAStoreThatIsAway(t *testing.T) {
+// The store is unreachable for half a minute. If hundreds of VMs each call it every second for the
+// configuration, the servers and the lease, the recovering store gets more calls than in normal
+// operation. One call of the three is enough to detect the recovery. Once it succeeds, the servers
+// must be read immediately.
+func TestStoreOutageCallRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := conf.ParseNode([]byte(lockSettings))
+		settings, err := conf.ParseNode([]byte(testSettings))
 		require.NoError(t, err)
 		var mu sync.Mutex
-		away := false
-		asked := make(map[string]int)
-		take := func() map[string]int {
+		down := false
+		callCounts := make(map[string]int)
+		takeCounts := func() map[string]int {
 			mu.Lock()
 			defer mu.Unlock()
-			taken := asked
-			asked = make(map[string]int)
-			return taken
+			counts := callCounts
+			callCounts = make(map[string]int)
+			return counts
 		}
-		turn := func(off bool) {
+		setDown := func(value bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			away = off
+			down = value
 		}
-		answer := func(kind string) error {
+		recordCall := func(kind string) error {
 			mu.Lock()
 			defer mu.Unlock()
-			asked[kind]++
-			if away {
+			callCounts[kind]++
+			if down {
 				return &store.AwayError{Err: errors.New("no answer")}
 			}
 			return nil
@@ -53,9 +53,9 @@
 		n := New(Config{
 			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
 			Objects: store.Objects{
-				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, answer(kind) },
+				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, recordCall(kind) },
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
-					if err := answer(kind); err != nil {
+					if err := recordCall(kind); err != nil {
 						return nil, from, err
 					}
 					pause.For(ctx, wait)
@@ -68,73 +68,73 @@
 		go n.followConfig(ctx)
 		go n.followServers(ctx)
 		time.Sleep(10 * time.Second)
-		require.False(t, n.storeAway())
+		require.False(t, n.storeUnreachable())
 
-		turn(true)
+		setDown(true)
 		time.Sleep(10 * time.Second)
-		take()
+		takeCounts()
 		time.Sleep(30 * time.Second)
-		require.True(t, n.storeAway())
-		calls := take()
+		require.True(t, n.storeUnreachable())
+		calls := takeCounts()
 		require.Greater(t, calls["config"], 30)
 		require.LessOrEqual(t, calls["servers"], 6)
 
-		// Within two seconds all is known again, so that a change is in force in time.
-		turn(false)
+		// All data must be current within two seconds, so that changes take effect in time.
+		setDown(false)
 		time.Sleep(2 * time.Second)
-		require.False(t, n.storeAway())
-		require.Positive(t, take()["servers"])
+		require.False(t, n.storeUnreachable())
+		require.Positive(t, takeCounts()["servers"])
 		cancel()
 	})
 }
 
-// The store is away and comes back for the servers' kind only: the configuration's can not be
-// read on. The follower of the servers waited for that of the configuration for good, and the
-// VM sent requests to servers of long ago. It asks by itself every five seconds.
-func TestServersAreFollowedWhereTheConfigurationCanNotBeRead(t *testing.T) {
+// The store recovers from an outage for the servers' kind only; the configuration stays unreadable.
+// If the follower of the servers waits for that of the configuration, the VM sends requests to an
+// outdated list of servers forever. It must call the store itself every five seconds.
+func TestServersFollowedWithoutConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := conf.ParseNode([]byte(lockSettings))
+		settings, err := conf.ParseNode([]byte(testSettings))
 		require.NoError(t, err)
-		var away, told atomic.Bool
-		answer := func(kind string) error {
-			if away.Load() || kind == "config" {
+		var down, serversRead atomic.Bool
+		recordCall := func(kind string) error {
+			if down.Load() || kind == "config" {
 				return &store.AwayError{Err: errors.New("no answer")}
 			}
-			told.Store(true)
+			serversRead.Store(true)
 			return nil
 		}
 		n := New(Config{
 			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
 			Objects: store.Objects{
-				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, answer(kind) },
+				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, recordCall(kind) },
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
 					pause.For(ctx, wait)
-					return nil, from, answer(kind)
+					return nil, from, recordCall(kind)
 				},
 			},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		away.Store(true)
+		down.Store(true)
 		go n.followConfig(ctx)
 		go n.followServers(ctx)
 		time.Sleep(20 * time.Second)
-		require.False(t, told.Load())
-		away.Store(false)
-		time.Sleep(askAnyway + 2*time.Second)
-		require.True(t, told.Load())
+		require.False(t, serversRead.Load())
+		down.Store(false)
+		time.Sleep(serverPollInterval + 2*time.Second)
+		require.True(t, serversRead.Load())
 		cancel()
 	})
 }
 
-// A VM's connection to the store falls silent, and a server leaves meanwhile; the VM took one
-// call without an answer for an outage, in which entries lapse, and sent to that server for
-// two seconds more.
-func TestServerThatLeftIsUsedAfterOneLostCall(t *testing.T) {
+// A VM's connection to the store breaks, and a server's entry is removed in the meantime. If one
+// failed call counts as an outage, in which entries can expire, the VM keeps the server in use for
+// two more seconds.
+func TestServerRemovedAfterOneFailedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := conf.ParseNode([]byte(lockSettings))
+		settings, err := conf.ParseNode([]byte(testSettings))
 		require.NoError(t, err)
-		var silent, left atomic.Bool
+		var silent, removalPending atomic.Bool
 		n := New(Config{
 			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() { silent.Store(false) }, Now: time.Now, Log: zerolog.Nop(),
 			Entry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
@@ -146,7 +146,7 @@
 					return store.Listing{Items: []store.Object{{Name: "a"}, {Name: "b"}}}, nil
 				},
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
-					if kind == "servers" && !silent.Load() && left.Swap(false) {
+					if kind == "servers" && !silent.Load() && removalPending.Swap(false) {
 						return []store.Change{{Object: store.Object{Name: "b"}, Deleted: true}}, from + 1, nil
 					}
 					if silent.Load() {
@@ -163,25 +163,25 @@
 		go n.followConfig(ctx)
 		go n.followServers(ctx)
 		time.Sleep(10 * time.Second)
-		require.True(t, n.servers.Usable(n.now(), "b"))
+		require.True(t, n.serverView.Usable(n.now(), "b"))
 
 		silent.Store(true)
-		left.Store(true)
+		removalPending.Store(true)
 		time.Sleep(2 * time.Second)
-		require.False(t, n.servers.Usable(n.now(), "b"))
-		require.True(t, n.servers.Usable(n.now(), "a"))
+		require.False(t, n.serverView.Usable(n.now(), "b"))
+		require.True(t, n.serverView.Usable(n.now(), "a"))
 		cancel()
 	})
 }
 
-// The VM that steers is slow, and its calls for the servers get no answer in time for four
-// seconds while others do, so the store was there; servers that left meanwhile were used by
-// all VMs for two seconds more.
-func TestServerThatLeftIsUsedThoughTheStoreWasThere(t *testing.T) {
+// The controller VM is slow, and its watches of the servers time out for four seconds while its other
+// calls succeed, so the store is reachable. If this counts as an outage, all VMs keep servers that were
+// removed in the meantime in use for two more seconds.
+func TestServerRemovedAfterFailedWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := conf.ParseNode([]byte(lockSettings))
+		settings, err := conf.ParseNode([]byte(testSettings))
 		require.NoError(t, err)
-		var slow, left atomic.Bool
+		var watchFails, removalPending atomic.Bool
 		n := New(Config{
 			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
 			Entry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
@@ -195,9 +195,9 @@
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
 					pause.For(ctx, wait)
 					switch {
-					case kind == "servers" && slow.Load():
+					case kind == "servers" && watchFails.Load():
 						return nil, from, &store.AwayError{Err: errors.New("no answer")}
-					case kind == "servers" && left.Swap(false):
+					case kind == "servers" && removalPending.Swap(false):
 						return []store.Change{{Object: store.Object{Name: "b"}, Deleted: true}}, from + 1, nil
 					}
 					return nil, from, nil
@@ -209,14 +209,14 @@
 		go n.followConfig(ctx)
 		go n.followServers(ctx)
 		time.Sleep(10 * time.Second)
-		slow.Store(true)
+		watchFails.Store(true)
 		time.Sleep(4 * time.Second)
-		left.Store(true)
-		slow.Store(false)
+		removalPending.Store(true)
+		watchFails.Store(false)
 		time.Sleep(time.Second)
-		require.False(t, left.Load())
-		require.False(t, n.servers.Usable(n.now(), "b"))
-		require.True(t, n.servers.Usable(n.now(), "a"))
+		require.False(t, removalPending.Load())
+		require.False(t, n.serverView.Usable(n.now(), "b"))
+		require.True(t, n.serverView.Usable(n.now(), "a"))
 		cancel()
 	})
 }
--- a/node/lock_test.go
+++ b/node/lock_test.go
@@ -18,7 +18,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-const lockSettings = `
+const testSettings = `
 [vm]
 name = a
 failure_domain = d
@@ -29,10 +29,10 @@
 address = 127.0.0.1:4
 `
 
-// leading returns a node that holds the lease and has not started.
-func leading(t *testing.T) (*Node, string) {
+// newLeader returns a node that holds the lease but is not started, and the address of its links.
+func newLeader(t *testing.T) (*Node, string) {
 	t.Helper()
-	settings, err := conf.ParseNode([]byte(lockSettings))
+	settings, err := conf.ParseNode([]byte(testSettings))
 	require.NoError(t, err)
 	o := &stand.Objects{}
 	n := New(Config{Settings: settings, Objects: o.Client(), Now: clock.Now, Log: zerolog.Nop()})
@@ -45,12 +45,12 @@
 	return n, strings.TrimPrefix(s.URL, "http://")
 }
 
-// Links open at the controller while requests and its clean-up divide the retry
-// budget. Each side asked the other under its own lock: both waited for ever, and
-// the VM that held the lease served nobody while it kept all others linked.
-func TestLinksOpenWhileBudgetsAreDivided(t *testing.T) {
-	n, address := leading(t)
-	n.servers.Replace(n.now(), nil)
+// Links to the controller are opened while its requests and its cleanup divide the retry budget. If
+// Node and Peers each call the other with their own lock held, they deadlock: the lease holder serves
+// no requests while all other VMs stay linked to it.
+func TestLinksAndBudgetsDeadlock(t *testing.T) {
+	n, address := newLeader(t)
+	n.serverView.Replace(n.now(), nil)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -59,34 +59,34 @@
 			case <-stop:
 				return
 			default:
-				n.budget(fmt.Sprint(i % 5000))
+				n.retryBudget(fmt.Sprint(i % 5000))
 			}
 		}
 	}()
-	opened := make(chan error, 1)
-	go func() { opened <- openLinks(t.Context(), n, address) }()
+	result := make(chan error, 1)
+	go func() { result <- openLinks(t.Context(), n, address) }()
 	select {
-	case err := <-opened:
+	case err := <-result:
 		require.NoError(t, err)
 	case <-time.After(time.Minute):
-		require.Fail(t, "links do not open")
+		require.Fail(t, "links were not opened")
 	}
 	close(stop)
 	<-stopped
 }
 
-// The controller's process is started anew and goes on with its lease at once,
-// before it has listed the servers. A VM that linked to it was told that there are
-// none: it refused all requests, and gave the servers no work for four seconds
-// after they had risen again. Links wait until the servers are known.
-func TestNoLinksBeforeTheServersAreKnown(t *testing.T) {
-	n, address := leading(t)
+// The controller's process restarts and continues its lease before it has listed the servers. If it
+// accepts a link then, it reports an empty list of servers. The linked VM rejects all requests, and
+// sends the servers none for four seconds after they reappear. Links must be refused until the servers
+// are listed.
+func TestNoLinksBeforeServerList(t *testing.T) {
+	n, address := newLeader(t)
 	require.Error(t, openLinks(t.Context(), n, address))
-	n.servers.Replace(n.now(), nil)
+	n.serverView.Replace(n.now(), nil)
 	require.NoError(t, openLinks(t.Context(), n, address))
 }
 
-// openLinks opens links one after the other, as VMs that start do.
+// openLinks opens links one after the other, as starting VMs do.
 func openLinks(ctx context.Context, n *Node, address string) error {
 	for i := range 200 {
 		n.lease.Step(ctx)
--- a/node/log.go
+++ b/node/log.go
@@ -8,33 +8,32 @@
 )
 
 const (
-	// logQueue is how many lines wait to be written, logBatch how many bytes
-	// are gathered into one write and logPause how long.
-	logQueue = 2048
-	logBatch = 16 << 10
-	logPause = 50 * time.Millisecond
+	// logQueueLines is the capacity of the queue. A batch, which is written at once, is complete
+	// from logBatchBytes on or after logBatchDelay.
+	logQueueLines = 2048
+	logBatchBytes = 16 << 10
+	logBatchDelay = 50 * time.Millisecond
 )
 
-// LogWriter hands lines to another writer in the background. A line that finds
-// the queue full is dropped and counted: a reader of the log that has stopped
-// reading must not hold up requests.
+// LogWriter writes lines to another writer in the background. Lines that do not fit in the queue are
+// dropped and counted, because a stalled reader of the log must not block requests.
 type LogWriter struct {
 	out   io.Writer
 	lines chan []byte
-	// quit is closed to end the writer; lines is never closed, as goroutines
-	// that outlive the daemon may still log.
+	// quit is closed to stop the writer. lines is never closed, because goroutines that outlive the
+	// daemon may still log.
 	quit, done chan struct{}
 	dropped    atomic.Int64
 }
 
-// NewLogWriter starts writing to out.
+// NewLogWriter returns a LogWriter that writes to out in the background.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{out: out, lines: make(chan []byte, logQueue), quit: make(chan struct{}), done: make(chan struct{})}
+	w := &LogWriter{out: out, lines: make(chan []byte, logQueueLines), quit: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues a copy of a line.
+// Write queues a copy of a line. It never blocks or fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -44,11 +43,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines dropped.
 func (w *LogWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer. What is written after it is
-// dropped.
+// Close writes the queued lines and stops the writer. It does not close the underlying writer. Lines
+// written later are discarded.
 func (w *LogWriter) Close() error {
 	close(w.quit)
 	<-w.done
@@ -66,39 +65,39 @@
 	for {
 		select {
 		case line := <-w.lines:
-			batch = w.gather(append(batch[:0], line...), logPause)
+			batch = w.fillBatch(append(batch[:0], line...), logBatchDelay)
 		case <-w.quit:
 			w.drain(batch)
 			return
 		}
-		// Nothing can be done about a log that can not be written; the next
-		// batch is tried again.
+		// A failed write of the log cannot be reported anywhere. The next batch is tried again.
 		_, _ = w.out.Write(batch)
 	}
 }
 
-// drain writes what is queued at the end.
+// drain writes all queued lines. The buffer of batch is reused.
 func (w *LogWriter) drain(batch []byte) {
 	for {
-		if batch = w.gather(batch[:0], 0); len(batch) == 0 {
+		if batch = w.fillBatch(batch[:0], 0); len(batch) == 0 {
 			return
 		}
 		_, _ = w.out.Write(batch)
 	}
 }
 
-// gather adds the lines that come within a pause, up to a batch.
-func (w *LogWriter) gather(batch []byte, pause time.Duration) []byte {
-	wait := time.NewTimer(pause)
-	defer wait.Stop()
-	for len(batch) < logBatch {
+// fillBatch adds the lines that arrive within the delay to a batch, up to logBatchBytes. With a
+// delay of 0 it adds only the queued lines.
+func (w *LogWriter) fillBatch(batch []byte, delay time.Duration) []byte {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	for len(batch) < logBatchBytes {
 		select {
 		case line := <-w.lines:
 			batch = append(batch, line...)
 			continue
 		default:
 		}
-		if pause == 0 {
+		if delay == 0 {
 			return batch
 		}
 		select {
@@ -106,7 +105,7 @@
 			batch = append(batch, line...)
 		case <-w.quit:
 			return batch
-		case <-wait.C:
+		case <-timer.C:
 			return batch
 		}
 	}
--- a/node/log_test.go
+++ b/node/log_test.go
@@ -11,22 +11,22 @@
 	"github.com/hibiscuscart/hibiscuscart/node"
 )
 
-// stuck is a writer that waits until it is let go.
-type stuck struct {
+// blockedWriter is a writer that blocks while mu is locked.
+type blockedWriter struct {
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
 }
 
-// What reads the log has stopped reading. Requests must go on: lines beyond the
-// queue are dropped, and the end of the log says how many.
-func TestLogNeverBlocks(t *testing.T) {
-	s := &stuck{}
+// The reader of the log stalls. Requests must not block: lines that do not fit in the queue are
+// dropped, and the last line of the log reports how many.
+func TestFullLogQueueDropsLines(t *testing.T) {
+	s := &blockedWriter{}
 	s.mu.Lock()
 	w := node.NewLogWriter(s)
 	for range 10_000 {
--- a/node/node.go
+++ b/node/node.go
@@ -1,7 +1,6 @@
-// Package node is the daemon of a VM that finds everything else in the
-// platform's store: it joins the path of requests (pass), the steering of the
-// backend servers (steer) and the links between VMs (peers), and starts and
-// stops them.
+// Package node is the daemon of an entry VM that discovers its configuration, the backend servers
+// and the other VMs through the platform's store. It connects, starts and stops the request path
+// (pass), the control of the backend servers (steer) and the links between VMs (peers).
 package node
 
 import (
@@ -37,43 +36,45 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are for callers. They are longer than the
-	// operators' limits, which callers keep: a connection that is closed
-	// sooner meets requests on their way.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 60 * time.Second
-	headerBytes   = 64 << 10
-	// memoryShare is the part of the VM's memory that the collector keeps the
-	// heap under; stacks, buffers of the kernel and the binary have the rest.
-	memoryShare = 0.6
-	// tidyEvery is how often idle connections and forgotten servers are
-	// cleared away, and the settings file is looked at.
-	tidyEvery = time.Second
-	// stopSlack is left of the grace time for the process to end by itself.
-	stopSlack = 400 * time.Millisecond
-	// restartLease is how long the lease of a VM that stops lasts: a process
-	// starts again within a second or two.
-	restartLease = 2500 * time.Millisecond
-	// budgetShare is the part of the retry budget that is used: the VMs' counts
-	// of each other are some seconds old.
-	budgetShare = 0.8
+	// headerTimeout and idleTimeout apply to callers' connections. They are longer than the limits
+	// in the operators' configuration, which callers respect. Closing a connection earlier could
+	// reject a request that is already in transit.
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 64 << 10
+	// heapMemoryShare is the share of the VM's memory to which the garbage collector limits the
+	// heap. The rest is for stacks, kernel buffers and the binary.
+	heapMemoryShare = 0.6
+	// cleanupInterval is the interval between removals of idle connections and of the state of
+	// removed servers.
+	cleanupInterval = time.Second
+	// exitReserve is the part of the grace time reserved for the process to exit by itself.
+	exitReserve = 400 * time.Millisecond
+	// restartLeaseDuration is the duration of the lease of a VM that stops. A process restarts
+	// within one to two seconds.
+	restartLeaseDuration = 2500 * time.Millisecond
+	// usableBudgetShare is the share of the retry budget that VMs use. The number of VMs by which
+	// each VM divides the budget is some seconds old.
+	usableBudgetShare = 0.8
 )
 
-// Config says what a Node runs on. The functions translate between the
-// platform and the product.
+// Config holds the dependencies of a Node. Its functions translate between the platform's types and
+// those of this module.
 type Config struct {
 	Settings *conf.Settings
 	Objects  store.Objects
 	Commands steer.Commands
 	Names    *pass.HeaderNames
-	// ConfigKind and ConfigName are where the configuration lies, ServerKind
-	// where the servers' entries do.
+	// ConfigKind and ConfigName identify the object that holds the configuration. ServerKind is the
+	// kind of the server entries.
 	ConfigKind, ConfigName, ServerKind string
-	Table                              func(store.Object) (*routes.Table, error)
-	Entry                              func(store.Object) (backs.Entry, error)
-	// CloseIdle closes connections to the store that may have gone silent.
+	// Table decodes the configuration, Entry a server entry.
+	Table func(store.Object) (*routes.Table, error)
+	Entry func(store.Object) (backs.Entry, error)
+	// CloseIdle closes the idle connections to the store, which may be broken without having been
+	// reset.
 	CloseIdle func()
-	// Dropped returns how many lines of the log were dropped; nil for none.
+	// Dropped returns the number of log lines dropped. It may be nil.
 	Dropped func() int64
 	Now     func() time.Time
 	Log     zerolog.Logger
@@ -81,131 +82,131 @@
 
 // Node is the daemon of one VM.
 type Node struct {
-	config  Config
-	active  atomic.Pointer[conf.Settings]
-	log     zerolog.Logger
-	now     func() time.Time
-	meter   *meter.Set
-	servers *backs.View
-	book    *pick.Balancer
-	pool    *conns.Pool
-	gateway *pass.Gateway
-	control *steer.Controller
-	peers   *peers.Peers
-	lease   *peers.Lease
-	poison  *poison.Tracker
-	limits  *limit.Limits
-	table   atomic.Pointer[routes.Table]
+	config         Config
+	activeSettings atomic.Pointer[conf.Settings]
+	log            zerolog.Logger
+	now            func() time.Time
+	meter          *meter.Set
+	serverView     *backs.View
+	balancer       *pick.Balancer
+	connPool       *conns.Pool
+	gateway        *pass.Gateway
+	controller     *steer.Controller
+	peers          *peers.Peers
+	lease          *peers.Lease
+	crashTracker   *poison.Tracker
+	rateLimits     *limit.Limits
+	table          atomic.Pointer[routes.Table]
 
 	mu sync.Mutex
-	// revision and value are the configuration in force as the store holds it;
-	// configured is closed when it changes.
-	revision   int
-	value      []byte
-	configured chan struct{}
-	// contact is when the store told last that what is known of a kind is
-	// current.
-	contact map[string]time.Time
-	// failed counts the calls in a row that the store did not answer, by kind.
-	failed  map[string]int
-	budgets map[string]*retry.SlidingWindow
+	// configRevision and storedConfig are the configuration in force, as stored. configChange is
+	// closed when it changes.
+	configRevision int
+	storedConfig   []byte
+	configChange   chan struct{}
+	// confirmedAt is when the store last confirmed that this VM's data is current, by kind.
+	confirmedAt map[string]time.Time
+	// failedCalls is the number of consecutive store calls that failed, by kind.
+	failedCalls  map[string]int
+	retryBudgets map[string]*retry.SlidingWindow
 
 	stopping atomic.Bool
-	// closing is done when requests that wait for a server are given up.
-	closing  context.Context
-	endWaits context.CancelFunc
-	listened []*http.Server
-	callers  *http.Server
-	jobs     sync.WaitGroup
-	cancel   context.CancelFunc
+	// waitContext is canceled to end the waits of requests for a server.
+	waitContext    context.Context
+	cancelWaits    context.CancelFunc
+	httpServers    []*http.Server
+	callerServer   *http.Server
+	background     sync.WaitGroup
+	stopBackground context.CancelFunc
 }
 
 // New returns a Node that has not started.
 func New(c Config) *Node {
 	s := c.Settings
 	n := &Node{
-		config: c, now: c.Now, meter: meter.New(), servers: &backs.View{Heartbeat: s.Duration("servers", "heartbeat")}, pool: &conns.Pool{}, limits: &limit.Limits{},
-		log:     c.Log.With().Str("vm", s.Text("vm", "name")).Logger(),
-		book:    &pick.Balancer{Domain: s.Text("vm", "failure_domain"), Seed: xxhash.Sum64String(s.Text("vm", "name"))},
-		budgets: make(map[string]*retry.SlidingWindow), configured: make(chan struct{}), contact: make(map[string]time.Time),
-		failed: make(map[string]int),
+		config: c, now: c.Now, meter: meter.New(), serverView: &backs.View{Heartbeat: s.Duration("servers", "heartbeat")}, connPool: &conns.Pool{}, rateLimits: &limit.Limits{},
+		log:          c.Log.With().Str("vm", s.Text("vm", "name")).Logger(),
+		balancer:     &pick.Balancer{Domain: s.Text("vm", "failure_domain"), Seed: xxhash.Sum64String(s.Text("vm", "name"))},
+		retryBudgets: make(map[string]*retry.SlidingWindow), configChange: make(chan struct{}), confirmedAt: make(map[string]time.Time),
+		failedCalls: make(map[string]int),
 	}
-	n.active.Store(s)
-	n.config.Objects = c.Objects.Noting(func() { n.servers.RecordStoreAnswer(n.now()) })
-	n.servers.OnMissing = n.noteMissing
-	n.poison = &poison.Tracker{CrashLimit: s.Int("poison", "crashes"), BlockDuration: s.Duration("poison", "block"), OnCrash: n.noteCrash, OnBlock: n.noteBlock}
-	n.book.HasIdleConn = n.pool.Idle
+	n.activeSettings.Store(s)
+	n.config.Objects = c.Objects.Noting(func() { n.serverView.RecordStoreAnswer(n.now()) })
+	n.serverView.OnMissing = n.handleMissing
+	n.crashTracker = &poison.Tracker{CrashLimit: s.Int("poison", "crashes"), BlockDuration: s.Duration("poison", "block"), OnCrash: n.recordCrash, OnBlock: n.recordBlock}
+	n.balancer.HasIdleConn = n.connPool.Idle
 	n.lease = &peers.Lease{
 		Name: s.Text("vm", "name"), Address: s.Text("vm", "peer_listen"), Objects: n.config.Objects,
-		AcquireDelay: weakness(s.Float("limits", "cpu")), Poison: n.poison,
+		AcquireDelay: acquireDelay(s.Float("limits", "cpu")), Poison: n.crashTracker,
 		Duration: s.Duration("steering", "lease"), Handover: s.Duration("steering", "handover"), Now: c.Now, Log: n.log,
 	}
-	n.control = &steer.Controller{
-		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.servers, Table: n.table.Load, Fence: n.lease.FencingToken,
-		Term: n.lease.Term, PredecessorEnd: n.lease.PreviousTermEnd, Contended: n.limits.Contended,
+	n.controller = &steer.Controller{
+		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.serverView, Table: n.table.Load, Fence: n.lease.FencingToken,
+		Term: n.lease.Term, PredecessorEnd: n.lease.PreviousTermEnd, Contended: n.rateLimits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	n.peers = &peers.Peers{
 		Name: s.Text("vm", "name"), Domain: s.Text("vm", "failure_domain"), Boot: uuid.NewString(), Lease: n.lease,
 		Address: s.Text("vm", "peer_listen"), Cores: s.Float("limits", "cpu"),
-		Config: n.configValue, ConfigChanged: n.configChanged, ApplyConfig: n.configure, ConfirmedAt: n.current, StoreUnreachable: n.storeAway,
-		Controller: n.control, Servers: n.servers, Book: n.book, Poison: n.poison, Limits: n.limits, Now: c.Now, Log: n.log, Meter: n.meter,
+		Config: n.currentConfig, ConfigChanged: n.configChanged, ApplyConfig: n.applyHubConfig, ConfirmedAt: n.dataConfirmedAt, StoreUnreachable: n.storeUnreachable,
+		Controller: n.controller, Servers: n.serverView, Book: n.balancer, Poison: n.crashTracker, Limits: n.rateLimits, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	n.lease.CountVMs = n.peers.VMs
-	n.closing, n.endWaits = context.WithCancel(context.Background())
+	n.waitContext, n.cancelWaits = context.WithCancel(context.Background())
 	n.gateway = &pass.Gateway{
-		ShutdownContext: n.closing,
-		HeaderNames:     c.Names, Table: n.table.Load, Servers: n.servers, Balancer: n.book, Pool: n.pool, Poison: n.poison, RateLimits: n.limits, RetryBudget: n.budget,
+		ShutdownContext: n.waitContext,
+		HeaderNames:     c.Names, Table: n.table.Load, Servers: n.serverView, Balancer: n.balancer, Pool: n.connPool, Poison: n.crashTracker, RateLimits: n.rateLimits, RetryBudget: n.retryBudget,
 		RecordDemand: n.peers.RecordDemand, FindServer: n.peers.Find, ReportSuspect: n.peers.RequestVerification, RequestPermit: n.peers.Permit, VMCount: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	return n
 }
 
-// weakness is how long a VM leaves a free lease to stronger ones: none with a
-// core or more, a second with an eighth of one.
-func weakness(cores float64) time.Duration {
-	return max(0, time.Duration(weakest/8*(1/cores-1)*float64(time.Second)))
+// acquireDelay returns how long a VM waits before it acquires an expired lease, so that VMs with
+// more CPU acquire it first. It is 0 with one core or more, and one second with an eighth of a core.
+func acquireDelay(cores float64) time.Duration {
+	return max(0, time.Duration(smallVMAcquireDelaySeconds/8*(1/cores-1)*float64(time.Second)))
 }
 
-// weakest is the wait in seconds, nearly, of a VM with an eighth of a core.
-const weakest = 1.14
+// smallVMAcquireDelaySeconds is approximately the delay of a VM with an eighth of a core. The exact
+// delay is 7/8 of it.
+const smallVMAcquireDelaySeconds = 1.14
 
-// budget returns the retry budget of a service.
-func (n *Node) budget(service string) *retry.SlidingWindow {
+// retryBudget returns the retry budget of a service.
+func (n *Node) retryBudget(service string) *retry.SlidingWindow {
 	vms := n.peers.VMs()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := n.budgets[service]
+	b := n.retryBudgets[service]
 	if b == nil {
 		b = &retry.SlidingWindow{}
-		n.limit(b, vms)
-		n.budgets[service] = b
+		n.setBudgetLimit(b, vms)
+		n.retryBudgets[service] = b
 	}
 	return b
 }
 
-// limit gives a budget this VM's part of what all may retry. The number of VMs
-// is asked of the peers before n.mu is taken: the peers ask this node for its
-// configuration under their own lock.
-func (n *Node) limit(b *retry.SlidingWindow, vms int) {
+// setBudgetLimit sets a budget to this VM's share of the retries of all VMs. Callers must get the
+// number of VMs from n.peers before they lock n.mu, because Peers calls this node's configuration
+// functions with its own lock held.
+func (n *Node) setBudgetLimit(b *retry.SlidingWindow, vms int) {
 	s := n.settings()
-	b.SetLimit(budgetShare*s.Float("retries", "share"), budgetShare*s.Float("retries", "extra")/float64(vms), s.Duration("retries", "window"))
+	b.SetLimit(usableBudgetShare*s.Float("retries", "share"), usableBudgetShare*s.Float("retries", "extra")/float64(vms), s.Duration("retries", "window"))
 }
 
-// Start listens and begins to serve.
+// Start opens the listeners and starts all background work.
 func (n *Node) Start(ctx context.Context) error {
-	n.apply()
-	ctx, n.cancel = context.WithCancel(ctx)
-	n.callers = &http.Server{
-		Handler: http.HandlerFunc(n.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
+	n.applySettings()
+	ctx, n.stopBackground = context.WithCancel(ctx)
+	n.callerServer = &http.Server{
+		Handler: http.HandlerFunc(n.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: pass.WithConn,
 	}
 	listeners := []struct {
 		key    string
 		server *http.Server
 	}{
-		{"listen", n.callers},
-		{"ready_listen", &http.Server{Handler: http.HandlerFunc(n.ready), ReadHeaderTimeout: headerTimeout}},
+		{"listen", n.callerServer},
+		{"ready_listen", &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: headerTimeout}},
 		{"peer_listen", &http.Server{Handler: n.peers.Handler(), ReadHeaderTimeout: headerTimeout}},
 		{"metrics_listen", &http.Server{Handler: http.HandlerFunc(n.meter.ServeText), ReadHeaderTimeout: headerTimeout}},
 	}
@@ -216,20 +217,20 @@
 		}
 		if err := n.listen(l.server, address); err != nil {
 			n.Kill()
-			return fmt.Errorf("listen at %s %s: %w", l.key, address, err)
+			return fmt.Errorf("listen on %s %s: %w", l.key, address, err)
 		}
 	}
-	for _, job := range []func(context.Context){n.followConfig, n.followServers, n.peers.Run, n.control.Run, n.tidy, n.probe} {
-		n.jobs.Go(func() { job(ctx) })
+	for _, job := range []func(context.Context){n.followConfig, n.followServers, n.peers.Run, n.controller.Run, n.cleanUp, n.probeDomains} {
+		n.background.Go(func() { job(ctx) })
 	}
 	n.log.Info().Str("listen", n.settings().Text("vm", "listen")).Str("store", n.settings().Text("store", "address")).Msg("started")
 	return nil
 }
 
-// apply puts the settings of the process in force.
-func (n *Node) apply() {
+// applySettings applies the limits on threads and memory to the process.
+func (n *Node) applySettings() {
 	runtime.GOMAXPROCS(n.settings().Int("limits", "threads"))
-	debug.SetMemoryLimit(int64(memoryShare * float64(n.settings().Int("limits", "memory_mb")) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapMemoryShare * float64(n.settings().Int("limits", "memory_mb")) * (1 << 20)))
 }
 
 func (n *Node) listen(s *http.Server, address string) error {
@@ -237,10 +238,10 @@
 	if err != nil {
 		return err
 	}
-	n.listened = append(n.listened, s)
-	n.jobs.Go(func() {
+	n.httpServers = append(n.httpServers, s)
+	n.background.Go(func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error().Err(err).Str("address", address).Msg("listener ended")
+			n.log.Error().Err(err).Str("address", address).Msg("listener failed")
 		}
 	})
 	return nil
@@ -249,45 +250,45 @@
 func (n *Node) followConfig(ctx context.Context)  { n.follow(ctx, n.configWatcher()) }
 func (n *Node) followServers(ctx context.Context) { n.follow(ctx, n.serverWatcher()) }
 
-// serve is the callers' door. While the VM stops, each answer asks its caller
-// to go elsewhere.
-func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
+// serveCaller serves a caller's request. While the VM stops, each response closes its connection, so
+// that the caller moves to another VM.
+func (n *Node) serveCaller(w http.ResponseWriter, r *http.Request) {
 	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	n.gateway.ServeHTTP(w, r)
 }
 
-// Ready reports whether the VM may get requests: it knows the configuration and
-// the servers, is not stopping, and is not cut off from most servers.
+// Ready reports whether the VM can serve new callers: it has the configuration and the list of
+// servers, is not stopping, and is not partitioned from most servers.
 func (n *Node) Ready() bool {
-	return n.table.Load() != nil && n.servers.Synced() && !n.stopping.Load() && !n.cutOff(n.now())
+	return n.table.Load() != nil && n.serverView.Synced() && !n.stopping.Load() && !n.partitioned(n.now())
 }
 
-// cutOff reports whether the VM reaches neither the controller nor the servers
-// of any other failure domain, while those are most of all servers. It goes on
-// serving what it can for the callers it has; new ones are better off with the
-// VMs of another domain, to which the balancer sends them.
-func (n *Node) cutOff(now time.Time) bool {
+// partitioned reports whether the VM reaches neither the controller nor any server of another
+// failure domain, while most servers are in other domains. The VM continues to serve its existing
+// callers. The load balancer sends new callers to the VMs of another domain, which reach more
+// servers.
+func (n *Node) partitioned(now time.Time) bool {
 	if n.peers.HubDataFresh(now) || n.peers.Leading() {
 		return false
 	}
-	own := n.settings().Text("vm", "failure_domain")
-	near, far := 0, 0
-	for _, e := range n.servers.All(now) {
-		if e.Domain == own {
-			near++
+	ownDomain := n.settings().Text("vm", "failure_domain")
+	ownDomainServers, otherDomainServers := 0, 0
+	for _, e := range n.serverView.All(now) {
+		if e.Domain == ownDomain {
+			ownDomainServers++
 			continue
 		}
-		far++
-		if !n.book.DomainUnreachable(now, e.Domain) {
+		otherDomainServers++
+		if !n.balancer.DomainUnreachable(now, e.Domain) {
 			return false
 		}
 	}
-	return far > near
+	return otherDomainServers > ownDomainServers
 }
 
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
@@ -295,64 +296,63 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Reload puts changed settings in force: the memory limit, the retry budget and
-// the times of draining and steering. Addresses stay until the next start.
+// Reload applies changed settings: the limits on threads and memory, the retry budget, the drain
+// times and the wait of store watches. Addresses and all other settings change at the next start.
 func (n *Node) Reload(s *conf.Settings) {
 	for _, key := range []string{"listen", "ready_listen", "peer_listen", "metrics_listen"} {
 		if old := n.settings().Text("vm", key); old != s.Text("vm", key) {
-			n.log.Warn().Str("key", key).Str("old", old).Str("new", s.Text("vm", key)).Msg("address changes with the next start only")
+			n.log.Warn().Str("key", key).Str("old", old).Str("new", s.Text("vm", key)).Msg("address change takes effect at the next start")
 		}
 	}
-	n.active.Store(s)
-	n.apply()
+	n.activeSettings.Store(s)
+	n.applySettings()
 	n.log.Info().Msg("settings reloaded")
 }
 
-// ReloadFailed notes that changed settings were wrong.
+// ReloadFailed logs that changed settings are invalid.
 func (n *Node) ReloadFailed(err error) {
-	n.log.Error().Err(err).Msg("settings not reloaded, the old ones stay")
+	n.log.Error().Err(err).Msg("cannot reload settings; keeping the old ones")
 }
 
-func (n *Node) settings() *conf.Settings { return n.active.Load() }
+func (n *Node) settings() *conf.Settings { return n.activeSettings.Load() }
 
-// tidy clears away what is not needed any more and divides the retry budget
-// anew.
-func (n *Node) tidy(ctx context.Context) {
+// cleanUp removes unused state, reports the dropped log lines and divides the retry budget by the
+// current number of VMs, at intervals.
+func (n *Node) cleanUp(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, tidyEvery)
+		pause.For(ctx, cleanupInterval)
 		now := n.now()
-		n.pool.Sweep(now)
-		n.book.Retain(n.servers.All(now))
-		n.limits.Retain(func(id string) bool { return n.servers.Usable(now, id) })
+		n.connPool.Sweep(now)
+		n.balancer.Retain(n.serverView.All(now))
+		n.rateLimits.Retain(func(id string) bool { return n.serverView.Usable(now, id) })
 		if n.config.Dropped != nil {
 			n.meter.Gauge("log.dropped", n.config.Dropped())
 		}
 		vms := n.peers.VMs()
 		n.mu.Lock()
-		for _, b := range n.budgets {
-			n.limit(b, vms)
+		for _, b := range n.retryBudgets {
+			n.setBudgetLimit(b, vms)
 		}
 		n.mu.Unlock()
 	}
 }
 
-// Stop ends the VM in peace: readiness goes off at once, new requests are taken
-// until callers are sent elsewhere, and those in progress may end within the
-// grace time.
+// Stop shuts the VM down gracefully. It becomes unready immediately, accepts new requests until the
+// load balancer has moved the callers, and lets running requests complete within the grace time.
 func (n *Node) Stop() error {
-	begun := n.now()
+	startedAt := n.now()
 	n.stopping.Store(true)
 	n.log.Info().Msg("stopping")
 	background := context.Background()
 	pause.For(background, n.settings().Duration("drain", "notice"))
-	n.endWaits()
-	left := n.settings().Duration("drain", "grace") - stopSlack - n.now().Sub(begun)
-	ctx, cancel := context.WithTimeout(background, left)
+	n.cancelWaits()
+	remaining := n.settings().Duration("drain", "grace") - exitReserve - n.now().Sub(startedAt)
+	ctx, cancel := context.WithTimeout(background, remaining)
 	defer cancel()
-	err := n.callers.Shutdown(ctx)
-	// From here on this VM must not renew by itself.
-	n.cancel()
-	n.lease.Extend(background, restartLease)
+	err := n.callerServer.Shutdown(ctx)
+	// The background renewal of the lease must end before its final renewal.
+	n.stopBackground()
+	n.lease.Extend(background, restartLeaseDuration)
 	n.Kill()
 	n.log.Info().Err(err).Msg("stopped")
 	if err != nil {
@@ -361,14 +361,14 @@
 	return nil
 }
 
-// Kill ends the VM at once.
+// Kill stops the VM immediately and closes all connections.
 func (n *Node) Kill() {
-	n.cancel()
-	for _, s := range n.listened {
+	n.stopBackground()
+	for _, s := range n.httpServers {
 		_ = s.Close()
 	}
-	n.jobs.Wait()
+	n.background.Wait()
 }
 
-// Leading reports whether this VM steers the servers.
+// Leading reports whether this VM is the controller of the servers.
 func (n *Node) Leading() bool { return n.peers.Leading() }
--- a/node/probe.go
+++ b/node/probe.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// probeEvery is how often a VM that no controller covers looks whether it
-	// is cut off, and probeDial how long a server has to take a connection.
-	probeEvery = 250 * time.Millisecond
-	probeDial  = 200 * time.Millisecond
+	// probeInterval is the interval between probes while the VM has no current data from a
+	// controller. probeDialTimeout is how long a server may take to accept a connection.
+	probeInterval    = 250 * time.Millisecond
+	probeDialTimeout = 200 * time.Millisecond
 )
 
-// probe finds out whether this VM is cut off from the other failure domains. In
-// a cut its kept connections go silent and are given up one by one, after a
-// second and more each; meanwhile it says that it is ready, and the balancer
-// sends it callers that it can not serve. One dial to a server of each domain
-// tells in a fifth of a second. While a controller covers the VM it makes none.
-func (n *Node) probe(ctx context.Context) {
+// probeDomains detects a network partition between this VM and the other failure domains. In a
+// partition, the idle connections of the pool get no response, and each is closed only after a second
+// or more. Until then the VM would report that it is ready, and the load balancer would send it
+// callers that it cannot serve. A dial to one server of each domain detects the partition in a fifth
+// of a second. The VM makes no dials while a controller keeps its data current.
+func (n *Node) probeDomains(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, probeEvery)
+		pause.For(ctx, probeInterval)
 		now := n.now()
-		if !n.servers.Synced() || n.peers.HubDataFresh(now) || n.peers.Leading() {
+		if !n.serverView.Synced() || n.peers.HubDataFresh(now) || n.peers.Leading() {
 			continue
 		}
-		for _, e := range n.oneOfEachDomain(now) {
-			go n.dialProbe(ctx, e)
+		for _, e := range n.serverPerDomain(now) {
+			go n.probeServer(ctx, e)
 		}
 	}
 }
 
-// oneOfEachDomain returns a serving server of each other failure domain.
-func (n *Node) oneOfEachDomain(now time.Time) map[string]backs.Entry {
-	own := n.settings().Text("vm", "failure_domain")
+// serverPerDomain returns one server of each other failure domain that is not draining.
+func (n *Node) serverPerDomain(now time.Time) map[string]backs.Entry {
+	ownDomain := n.settings().Text("vm", "failure_domain")
 	chosen := make(map[string]backs.Entry)
-	for _, e := range n.servers.All(now) {
-		if e.Domain != own && !e.Draining {
+	for _, e := range n.serverView.All(now) {
+		if e.Domain != ownDomain && !e.Draining {
 			chosen[e.Domain] = e
 		}
 	}
 	return chosen
 }
 
-func (n *Node) dialProbe(ctx context.Context, e backs.Entry) {
-	ctx, cancel := context.WithTimeout(ctx, probeDial)
+func (n *Node) probeServer(ctx context.Context, e backs.Entry) {
+	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
-	conn, err := n.pool.Dial(ctx, e.ID, e.Address)
+	conn, err := n.connPool.Dial(ctx, e.ID, e.Address)
 	if err != nil {
-		n.book.ConnectFailed(n.now(), e)
+		n.balancer.ConnectFailed(n.now(), e)
 		return
 	}
-	n.book.ConnectSucceeded(n.now(), e)
-	n.pool.Keep(n.now(), conn, 0)
+	n.balancer.ConnectSucceeded(n.now(), e)
+	n.connPool.Keep(n.now(), conn, 0)
 }
