--- a/cmd/hibiscuscart/node.go
+++ b/cmd/hibiscuscart/node.go
@@ -115,12 +115,12 @@
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	store, servers := plainClient(), plainClient()
 	return node.Config{
-		Settings: settings, Names: &platform.Names,
-		Objects:    platform.Store(store, settings.Text("store", "address")),
-		Commands:   platform.Commands(servers),
-		ConfigKind: platform.KindConfig, ConfigName: platform.NameConfig, ServerKind: platform.KindServers,
-		Table: platform.Table, Entry: platform.Entry,
-		CloseIdle: store.CloseIdleConnections, Dropped: out.Dropped,
+		Settings: settings, HeaderNames: &platform.HeaderNames,
+		Objects:    platform.NewStoreClient(store, settings.Text("store", "address")),
+		Commands:   platform.NewCommands(servers),
+		ConfigKind: platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
+		DecodeTable: platform.DecodeTable, DecodeEntry: platform.DecodeEntry,
+		CloseIdleStoreConns: store.CloseIdleConnections, DroppedLogLines: out.Dropped,
 		Now: clock.Now, Log: zerolog.New(out).Level(level).With().Timestamp().Logger(),
 	}
 }
--- a/demo/backends.go
+++ b/demo/backends.go
@@ -36,7 +36,7 @@
 
 // startBackend serves a backend server at a new address.
 func (s *Site) startBackend(b *stand.Backend) error {
-	server, address, err := s.serve(platform.ServeBackend(b))
+	server, address, err := s.serve(platform.NewBackendHandler(b))
 	if err != nil {
 		return fmt.Errorf("start backend server: %w", err)
 	}
@@ -81,12 +81,12 @@
 	s.mu.Lock()
 	e.Address = s.address[b.ID]
 	s.mu.Unlock()
-	value, err := platform.EntryValue(e)
+	value, err := platform.EncodeEntry(e)
 	if err != nil {
 		s.options.Log.Error().Err(err).Msg("entry not written")
 		return
 	}
-	if _, err := s.Objects.Put(platform.KindServers, b.ID, -1, value); err != nil {
+	if _, err := s.Objects.Put(platform.ServerKind, b.ID, -1, value); err != nil {
 		s.options.Log.Error().Err(err).Msg("entry not written")
 	}
 }
--- a/demo/site.go
+++ b/demo/site.go
@@ -132,7 +132,7 @@
 
 func (s *Site) start(ctx context.Context) error {
 	var err error
-	if s.storeAt, err = s.listen(platform.ServeStore(s.Objects)); err != nil {
+	if s.storeAt, err = s.listen(platform.NewStoreHandler(s.Objects)); err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
 	if err := s.Configure(1, s.options.Routes); err != nil {
@@ -162,11 +162,11 @@
 
 // Configure writes the operators' configuration.
 func (s *Site) Configure(version int, all []routes.Route) error {
-	value, err := platform.TableValue(version, all, siteServices(), routes.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20})
+	value, err := platform.EncodeTable(version, all, siteServices(), routes.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20})
 	if err != nil {
 		return fmt.Errorf("configure: %w", err)
 	}
-	if _, err := s.Objects.Put(platform.KindConfig, platform.NameConfig, -1, value); err != nil {
+	if _, err := s.Objects.Put(platform.ConfigKind, platform.ConfigName, -1, value); err != nil {
 		return fmt.Errorf("configure: %w", err)
 	}
 	return nil
@@ -298,10 +298,10 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	n.idle = client.CloseIdleConnections
 	n.node = node.New(node.Config{
-		Settings: n.settings, Names: &platform.Names,
-		Objects: platform.Store(client, s.storeAt), Commands: platform.Commands(client),
-		ConfigKind: platform.KindConfig, ConfigName: platform.NameConfig, ServerKind: platform.KindServers,
-		Table: platform.Table, Entry: platform.Entry, CloseIdle: client.CloseIdleConnections, Now: clock.Now, Log: s.options.Log,
+		Settings: n.settings, HeaderNames: &platform.HeaderNames,
+		Objects: platform.NewStoreClient(client, s.storeAt), Commands: platform.NewCommands(client),
+		ConfigKind: platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
+		DecodeTable: platform.DecodeTable, DecodeEntry: platform.DecodeEntry, CloseIdleStoreConns: client.CloseIdleConnections, Now: clock.Now, Log: s.options.Log,
 	})
 	if err := n.node.Start(context.WithoutCancel(ctx)); err != nil {
 		return fmt.Errorf("start VM %d: %w", i, err)
@@ -370,15 +370,15 @@
 		return nil, fmt.Errorf("build request: %w", err)
 	}
 	req.Host = SiteHost
-	req.Header.Set(platform.Names.AttemptID, id)
-	req.Header.Set(platform.Names.Deadline, "6000")
+	req.Header.Set(platform.HeaderNames.AttemptID, id)
+	req.Header.Set(platform.HeaderNames.Deadline, "6000")
 	if model != "" {
-		req.Header.Set(platform.Names.Model, model)
-		req.Header.Set(platform.Names.TokenUsage, "100,32")
-		req.Header.Set(platform.Names.PromptPrefix, "aa:60,"+id+":40")
+		req.Header.Set(platform.HeaderNames.Model, model)
+		req.Header.Set(platform.HeaderNames.TokenUsage, "100,32")
+		req.Header.Set(platform.HeaderNames.PromptPrefix, "aa:60,"+id+":40")
 	}
 	return client.Do(req)
 }
 
 // StampOf returns the proof that an answer is a server's own, "" for none.
-func StampOf(resp *http.Response) string { return resp.Header.Get(platform.Names.ServerStamp) }
+func StampOf(resp *http.Response) string { return resp.Header.Get(platform.HeaderNames.ServerStamp) }
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -340,7 +340,7 @@
 	backends := s.Backends(demo.SitePlain)
 	for i, value := range bad {
 		for _, name := range []string{fmt.Sprint("stranger", i), backends[i%len(backends)].ID} {
-			_, err := s.Objects.Put(platform.KindServers, name, -1, json.RawMessage(value))
+			_, err := s.Objects.Put(platform.ServerKind, name, -1, json.RawMessage(value))
 			require.NoError(t, err)
 		}
 		for k, address := range s.Addresses() {
--- a/node/follow.go
+++ b/node/follow.go
@@ -94,7 +94,7 @@
 			n.log.Info().Str("kind", w.kind).Int("version", version).Msg("watch version expired; listing again")
 			continue
 		}
-		n.config.CloseIdle()
+		n.config.CloseIdleStoreConns()
 		failures := n.recordFailure(w.kind)
 		if failures < outageFailures {
 			n.log.Info().Str("kind", w.kind).Int("version", version).Err(err).Msg("store call failed; retrying")
@@ -272,7 +272,7 @@
 	if o.Name != n.config.ConfigName {
 		return
 	}
-	table, err := n.config.Table(o)
+	table, err := n.config.DecodeTable(o)
 	if err != nil {
 		n.log.Error().Err(err).Int("version", o.Version).Msg("cannot decode configuration; keeping the one in force")
 		return
@@ -302,7 +302,7 @@
 }
 
 func (n *Node) decodeEntry(o store.Object) (backs.Entry, bool) {
-	e, err := n.config.Entry(o)
+	e, err := n.config.DecodeEntry(o)
 	if err != nil {
 		n.log.Error().Err(err).Int("version", o.Version).Msg("ignoring invalid server entry")
 		return backs.Entry{}, false
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -51,7 +51,7 @@
 			return nil
 		}
 		n := New(Config{
-			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
+			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdleStoreConns: func() {}, Now: time.Now, Log: zerolog.Nop(),
 			Objects: store.Objects{
 				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, recordCall(kind) },
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
@@ -104,7 +104,7 @@
 			return nil
 		}
 		n := New(Config{
-			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
+			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdleStoreConns: func() {}, Now: time.Now, Log: zerolog.Nop(),
 			Objects: store.Objects{
 				List: func(_ context.Context, kind string) (store.Listing, error) { return store.Listing{}, recordCall(kind) },
 				Watch: func(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
@@ -136,8 +136,8 @@
 		require.NoError(t, err)
 		var silent, removalPending atomic.Bool
 		n := New(Config{
-			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() { silent.Store(false) }, Now: time.Now, Log: zerolog.Nop(),
-			Entry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
+			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdleStoreConns: func() { silent.Store(false) }, Now: time.Now, Log: zerolog.Nop(),
+			DecodeEntry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
 			Objects: store.Objects{
 				List: func(_ context.Context, kind string) (store.Listing, error) {
 					if kind == "config" {
@@ -183,8 +183,8 @@
 		require.NoError(t, err)
 		var watchFails, removalPending atomic.Bool
 		n := New(Config{
-			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdle: func() {}, Now: time.Now, Log: zerolog.Nop(),
-			Entry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
+			Settings: settings, ConfigKind: "config", ServerKind: "servers", CloseIdleStoreConns: func() {}, Now: time.Now, Log: zerolog.Nop(),
+			DecodeEntry: func(o store.Object) (backs.Entry, error) { return backs.Entry{ID: o.Name, Service: "s"}, nil },
 			Objects: store.Objects{
 				List: func(_ context.Context, kind string) (store.Listing, error) {
 					if kind == "config" {
--- a/node/node.go
+++ b/node/node.go
@@ -61,23 +61,23 @@
 // Config holds the dependencies of a Node. Its functions translate between the platform's types and
 // those of this module.
 type Config struct {
-	Settings *conf.Settings
-	Objects  store.Objects
-	Commands steer.Commands
-	Names    *pass.HeaderNames
+	Settings    *conf.Settings
+	Objects     store.Objects
+	Commands    steer.Commands
+	HeaderNames *pass.HeaderNames
 	// ConfigKind and ConfigName identify the object that holds the configuration. ServerKind is the
 	// kind of the server entries.
 	ConfigKind, ConfigName, ServerKind string
-	// Table decodes the configuration, Entry a server entry.
-	Table func(store.Object) (*routes.Table, error)
-	Entry func(store.Object) (backs.Entry, error)
-	// CloseIdle closes the idle connections to the store, which may be broken without having been
-	// reset.
-	CloseIdle func()
-	// Dropped returns the number of log lines dropped. It may be nil.
-	Dropped func() int64
-	Now     func() time.Time
-	Log     zerolog.Logger
+	// DecodeTable decodes the configuration, DecodeEntry a server entry.
+	DecodeTable func(store.Object) (*routes.Table, error)
+	DecodeEntry func(store.Object) (backs.Entry, error)
+	// CloseIdleStoreConns closes the idle connections to the store, which may be broken without
+	// having been reset.
+	CloseIdleStoreConns func()
+	// DroppedLogLines returns the number of log lines dropped. It may be nil.
+	DroppedLogLines func() int64
+	Now             func() time.Time
+	Log             zerolog.Logger
 }
 
 // Node is the daemon of one VM.
@@ -155,7 +155,7 @@
 	n.waitContext, n.cancelWaits = context.WithCancel(context.Background())
 	n.gateway = &pass.Gateway{
 		ShutdownContext: n.waitContext,
-		HeaderNames:     c.Names, Table: n.table.Load, Servers: n.serverView, Balancer: n.balancer, Pool: n.connPool, Poison: n.crashTracker, RateLimits: n.rateLimits, RetryBudget: n.retryBudget,
+		HeaderNames:     c.HeaderNames, Table: n.table.Load, Servers: n.serverView, Balancer: n.balancer, Pool: n.connPool, Poison: n.crashTracker, RateLimits: n.rateLimits, RetryBudget: n.retryBudget,
 		RecordDemand: n.peers.RecordDemand, FindServer: n.peers.Find, ReportSuspect: n.peers.RequestVerification, RequestPermit: n.peers.Permit, VMCount: n.peers.VMs, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	return n
@@ -325,8 +325,8 @@
 		n.connPool.Sweep(now)
 		n.balancer.Retain(n.serverView.All(now))
 		n.rateLimits.Retain(func(id string) bool { return n.serverView.Usable(now, id) })
-		if n.config.Dropped != nil {
-			n.meter.Gauge("log.dropped", n.config.Dropped())
+		if n.config.DroppedLogLines != nil {
+			n.meter.Gauge("log.dropped", n.config.DroppedLogLines())
 		}
 		vms := n.peers.VMs()
 		n.mu.Lock()
