--- a/node/node.go
+++ b/node/node.go
@@ -350,7 +350,7 @@
 	ctx, cancel := context.WithTimeout(background, remaining)
 	defer cancel()
 	err := n.callerServer.Shutdown(ctx)
-	// The background renewal of the lease must end before its final renewal.
+	// No background renewal of the lease may follow the final renewal below.
 	n.stopBackground()
 	n.lease.Extend(background, restartLeaseDuration)
 	n.Kill()
