--- a/cmd/hibiscuscart/main_test.go
+++ b/cmd/hibiscuscart/main_test.go
@@ -26,7 +26,7 @@
 		"profile, odd verb":    {[]string{"profile", "delete", "-settings", "x"}, exitUsage},
 		"standin, odd kind":    {[]string{"standin", "cloud", "-settings", "../../sample/vadodara.ini"}, exitUsage},
 		"missing file":         {[]string{"check", "no-such-file"}, exitFailed},
-		"faulty settings":      {[]string{"check", "../../conf/testdata/five_faults.ini"}, exitFailed},
+		"faulty settings":      {[]string{"check", "../../conf/testdata/five_violations.ini"}, exitFailed},
 		"good settings":        {[]string{"check", "../../sample/vidzeme.ini"}, 0},
 		"help":                 {[]string{"help"}, 0},
 		"help on a command":    {[]string{"profile", "-h"}, 0},
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	stdout := os.Stdout
 	os.Stdout = f
-	status := run(context.Background(), []string{"check", "../../conf/testdata/five_faults.ini"})
+	status := run(context.Background(), []string{"check", "../../conf/testdata/five_violations.ini"})
 	os.Stdout = stdout
 	require.NoError(t, f.Close())
 	require.Equal(t, exitFailed, status)
