--- a/stand/backend.go
+++ b/stand/backend.go
@@ -9,41 +9,43 @@
 	"github.com/hibiscuscart/hibiscuscart/steer"
 )
 
-// BackendFaults are the faults that can be switched on a Backend.
+// BackendFaults are the faults that can be injected into a Backend. Each field
+// is a number of requests, streams or orders.
 type BackendFaults struct {
-	// Fail answers the next requests with a failure after running them.
+	// Fail is how many requests get an error response after execution.
 	Fail int
-	// Lose closes the connection of the next requests after running them.
+	// Lose is how many requests have their connection closed after execution.
 	Lose int
-	// Cut breaks the next streams off in the middle of an event.
+	// Cut is how many streams break in the middle of an event.
 	Cut int
-	// Stray answers the next requests twice.
+	// Stray is how many requests get two responses.
 	Stray int
-	// Refuse refuses the next requests without running them.
+	// Refuse is how many requests are rejected without execution.
 	Refuse int
-	// LoseOrders carries the next orders out and gives no answer.
+	// LoseOrders is how many orders are executed without a reply.
 	LoseOrders int
-	// Forge answers the next requests without proof that they are the server's.
+	// Forge is how many requests get a response without the proof that it comes
+	// from this server.
 	Forge int
 }
 
-// Strikes are faults that wait to strike. Several backends may share them: each
-// fault strikes one of them. The nil value strikes never.
+// Strikes holds faults that are still to be injected. Several backends may share
+// it; each fault is injected into one of them. A nil value injects no faults.
 type Strikes struct {
-	mu   sync.Mutex
-	left BackendFaults
+	mu        sync.Mutex
+	remaining BackendFaults
 }
 
-// NewStrikes returns faults that wait to strike.
-func NewStrikes(f BackendFaults) *Strikes { return &Strikes{left: f} }
+// NewStrikes returns Strikes with the faults f.
+func NewStrikes(f BackendFaults) *Strikes { return &Strikes{remaining: f} }
 
-func (s *Strikes) take(of func(*BackendFaults) *int) bool {
+func (s *Strikes) consume(counter func(*BackendFaults) *int) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := of(&s.left)
+	n := counter(&s.remaining)
 	if *n == 0 {
 		return false
 	}
@@ -51,68 +53,67 @@
 	return true
 }
 
-// Backend stands in for a backend server of the platform: it runs requests that
-// are passed on unchanged, holds models and adapters in bounded memory, and takes
-// orders with an expected sequence. It speaks no protocol; an adapter serves it.
-// ID, Service and the bounds must be set.
+// Backend is a fake backend server of the platform. It executes requests that the
+// gateway forwards unchanged, holds models and adapters in limited memory, and
+// accepts orders with an expected sequence number. It implements no wire protocol;
+// another package exposes it over HTTP. ID, Service and the limits must be set.
 type Backend struct {
 	ID, Service, Domain string
 	Slots               int
 	MemoryMB            float64
 	AdapterSlots        int
-	// SizeMB are the sizes of the models; nil for a service without models.
+	// SizeMB maps each model to its size; nil for a service without models.
 	SizeMB map[string]float64
-	// Work is how long a request or an event takes, LoadTime a model's load.
+	// Work is the processing time of a request or an event, LoadTime the time to load a model.
 	Work, LoadTime time.Duration
-	// Events is how many events a stream has.
+	// Events is the number of events of a stream.
 	Events int
-	// Runs takes each run of a request.
+	// Runs records each execution of a request.
 	Runs *Ledger
 	// CrashBody is the body of requests that crash the process when their execution begins; empty
 	// for none. Crash, when set, then closes the process's listener and connections.
 	CrashBody string
 	Crash     func()
-	// Changed, when set, is called after the models changed, without the lock.
+	// Changed, when set, is called after the loaded models or the drain state changed, without the lock.
 	Changed func()
 
-	mu       sync.Mutex
-	models   map[string]map[string]bool
-	sequence int
-	busy     bool
-	draining bool
-	crashed  bool
-	// limit is the rate limit that answers contain if limited is set, in requests per second.
+	mu              sync.Mutex
+	models          map[string]map[string]bool
+	orderSequence   int
+	orderInProgress bool
+	draining        bool
+	overcommitted   bool
+	// rateLimit is the rate limit that responses contain if rateLimited is set, in requests per second.
 	// arrivals holds the arrival times of the requests since the limit was set.
-	limit    float64
-	limited  bool
-	arrivals []time.Time
-	// crashes counts the executed requests with CrashBody.
-	crashes int
-	strikes *Strikes
-	// born is when it started again under its ID, the zero time before.
-	born time.Time
+	rateLimit   float64
+	rateLimited bool
+	arrivals    []time.Time
+	// crashCount counts the executed requests with CrashBody.
+	crashCount    int
+	pendingFaults *Strikes
+	// startedAt is the time of the last restart with the same ID; zero before the first restart.
+	startedAt time.Time
 }
 
-// Restart ends the process and starts the next one under the same ID: it holds and
-// knows nothing of before, and counts its orders from none. What a model order was
-// about to do is not done.
+// Restart simulates a restart of the process with the same ID. All models and the
+// order sequence are lost, and a model order in progress is not completed.
 func (b *Backend) Restart(now time.Time) {
 	b.mu.Lock()
-	b.born, b.models, b.sequence, b.busy, b.draining = now, nil, 0, false, false
+	b.startedAt, b.models, b.orderSequence, b.orderInProgress, b.draining = now, nil, 0, false, false
 	b.mu.Unlock()
-	b.changed()
+	b.notifyChange()
 }
 
-// Hold makes the backend hold models from its start.
+// Hold adds models without an order, as loaded from the start.
 func (b *Backend) Hold(models ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range models {
-		b.hold(m)
+		b.addModelLocked(m)
 	}
 }
 
-func (b *Backend) hold(model string) {
+func (b *Backend) addModelLocked(model string) {
 	if b.models == nil {
 		b.models = make(map[string]map[string]bool)
 	}
@@ -121,26 +122,26 @@
 	}
 }
 
-// SetStrikes lets faults strike this backend; nil ends them.
+// SetStrikes sets the faults to inject into this backend; nil injects none.
 func (b *Backend) SetStrikes(s *Strikes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.strikes = s
+	b.pendingFaults = s
 }
 
-// SetLimit sets the rate limit that answers contain, in requests per second, or removes it if limited
+// SetLimit sets the rate limit that responses contain, in requests per second, or removes it if limited
 // is false. It also clears the recorded arrivals.
 func (b *Backend) SetLimit(rate float64, limited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit, b.limited, b.arrivals = rate, limited, nil
+	b.rateLimit, b.rateLimited, b.arrivals = rate, limited, nil
 }
 
-// Limit returns the rate limit that answers contain, and whether they contain one.
+// Limit returns the rate limit that responses contain, and whether they contain one.
 func (b *Backend) Limit() (rate float64, limited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limit, b.limited
+	return b.rateLimit, b.rateLimited
 }
 
 // Arrivals returns the arrival times of the requests since the limit was set.
@@ -150,42 +151,42 @@
 	return slices.Clone(b.arrivals)
 }
 
-// Drain makes the backend say that it leaves.
+// Drain makes the backend announce that it is draining.
 func (b *Backend) Drain() {
 	b.mu.Lock()
 	b.draining = true
 	b.mu.Unlock()
-	b.changed()
+	b.notifyChange()
 }
 
-// Crashed reports whether the backend was ordered beyond its memory.
+// Crashed reports whether an order exceeded the backend's memory or adapter slots.
 func (b *Backend) Crashed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.crashed
+	return b.overcommitted
 }
 
 // Crashes returns how often a request has crashed the process.
 func (b *Backend) Crashes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.crashes
+	return b.crashCount
 }
 
-func (b *Backend) changed() {
+func (b *Backend) notifyChange() {
 	if b.Changed != nil {
 		b.Changed()
 	}
 }
 
-// Entry returns the backend as it lists itself, but for its address.
+// Entry returns the backend's entry in the server list, without the address.
 func (b *Backend) Entry() backs.Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return backs.Entry{ID: b.ID, StartedAt: b.born, Service: b.Service, Domain: b.Domain, Slots: b.Slots, Draining: b.draining, Models: b.held()}
+	return backs.Entry{ID: b.ID, StartedAt: b.startedAt, Service: b.Service, Domain: b.Domain, Slots: b.Slots, Draining: b.draining, Models: b.loadedModelsLocked()}
 }
 
-func (b *Backend) held() []backs.LoadedModel {
+func (b *Backend) loadedModelsLocked() []backs.LoadedModel {
 	var list []backs.LoadedModel
 	for m, adapters := range b.models {
 		h := backs.LoadedModel{Model: m, Version: 1, Adapters: []string{}}
@@ -204,125 +205,125 @@
 	return list
 }
 
-// Report returns the state that a report gives.
+// Report returns the backend's state report.
 func (b *Backend) Report() steer.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return steer.Report{Born: b.born, Models: b.held(), Busy: b.busy, Sequence: b.sequence}
+	return steer.Report{Born: b.startedAt, Models: b.loadedModelsLocked(), Busy: b.orderInProgress, Sequence: b.orderSequence}
 }
 
-// Order takes an order. It reports whether the answer is to be lost.
+// Order handles an order. It also reports whether the reply is to be dropped.
 func (b *Backend) Order(o steer.Order) (steer.OrderResult, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	lose := b.strikes.take(func(f *BackendFaults) *int { return &f.LoseOrders })
-	if b.busy || o.ExpectedSequence != b.sequence {
-		return steer.Conflict, lose
+	dropReply := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LoseOrders })
+	if b.orderInProgress || o.ExpectedSequence != b.orderSequence {
+		return steer.Conflict, dropReply
 	}
 	if o.Adapter != "" {
-		return b.adapter(o), lose
+		return b.applyAdapterOrderLocked(o), dropReply
 	}
-	_, has := b.models[o.Model]
-	if has != o.Unload {
-		return steer.Done, lose
+	_, loaded := b.models[o.Model]
+	if loaded != o.Unload {
+		return steer.Done, dropReply
 	}
-	b.sequence++
-	b.busy = true
+	b.orderSequence++
+	b.orderInProgress = true
 	if !o.Unload {
-		b.charge(b.SizeMB[o.Model])
+		b.checkMemoryLocked(b.SizeMB[o.Model])
 	}
-	go b.carryOut(b.born, o)
-	return steer.Accepted, lose
+	go b.executeOrder(b.startedAt, o)
+	return steer.Accepted, dropReply
 }
 
-// charge crashes the backend when what it holds and what is added exceed its
-// memory. b.mu is held.
-func (b *Backend) charge(mb float64) {
+// checkMemoryLocked records an overcommit when the loaded models and addedMB exceed the
+// memory. The caller holds b.mu.
+func (b *Backend) checkMemoryLocked(addedMB float64) {
 	for m := range b.models {
-		mb += b.SizeMB[m]
+		addedMB += b.SizeMB[m]
 	}
-	if mb > b.MemoryMB {
-		b.crashed = true
+	if addedMB > b.MemoryMB {
+		b.overcommitted = true
 	}
 }
 
-func (b *Backend) carryOut(born time.Time, o steer.Order) {
+func (b *Backend) executeOrder(startedAt time.Time, o steer.Order) {
 	time.Sleep(b.LoadTime)
 	b.mu.Lock()
-	if !b.born.Equal(born) {
+	if !b.startedAt.Equal(startedAt) {
 		b.mu.Unlock()
 		return
 	}
-	b.busy = false
+	b.orderInProgress = false
 	if o.Unload {
 		delete(b.models, o.Model)
 	} else {
-		b.hold(o.Model)
+		b.addModelLocked(o.Model)
 	}
 	b.mu.Unlock()
-	b.changed()
+	b.notifyChange()
 }
 
-func (b *Backend) adapter(o steer.Order) steer.OrderResult {
+func (b *Backend) applyAdapterOrderLocked(o steer.Order) steer.OrderResult {
 	adapters, ok := b.models[o.Model]
 	if !ok {
 		return steer.Refused
 	}
 	if o.Unload {
 		delete(adapters, o.Adapter)
-		b.sequence++
+		b.orderSequence++
 		return steer.Done
 	}
 	if adapters[o.Adapter] {
 		return steer.Done
 	}
-	places := 0
+	loadedAdapters := 0
 	for _, a := range b.models {
-		places += len(a)
+		loadedAdapters += len(a)
 	}
-	if places >= b.AdapterSlots {
-		b.crashed = true
+	if loadedAdapters >= b.AdapterSlots {
+		b.overcommitted = true
 	}
 	adapters[o.Adapter] = true
-	b.sequence++
+	b.orderSequence++
 	return steer.Accepted
 }
 
-// Turn is what a backend does with one request.
+// Turn is how a backend handles one request.
 type Turn int
 
-// The turns.
+// Values of Turn.
 const (
-	// TurnAnswer runs it and answers.
+	// TurnAnswer executes the request and responds.
 	TurnAnswer Turn = iota
-	// TurnRefuse says that it was not run.
+	// TurnRefuse responds that the request was not executed.
 	TurnRefuse
-	// TurnMisdirect says that the model is not held, or that another server is
-	// meant.
+	// TurnMisdirect responds that the model is not loaded, or that the request is
+	// addressed to another server.
 	TurnMisdirect
-	// TurnFail runs it and answers with a failure.
+	// TurnFail executes the request and responds with an error.
 	TurnFail
-	// TurnLose runs it and closes the connection.
+	// TurnLose executes the request and closes the connection.
 	TurnLose
-	// TurnCut runs it and breaks its stream off.
+	// TurnCut executes the request and breaks its stream.
 	TurnCut
-	// TurnStray answers it twice.
+	// TurnStray responds twice.
 	TurnStray
-	// TurnForge answers without proof.
+	// TurnForge responds without proof that the response comes from this server.
 	TurnForge
 	// TurnCrash crashes the process.
 	TurnCrash
 )
 
-// Accept decides what happens with a request that names a server, a model and an
-// adapter, and notes its run.
-func (b *Backend) Accept(now time.Time, id, expect, model, adapter, body string) Turn {
+// Accept decides how to handle a request for a server, a model and an adapter. It
+// records the execution, if there is one.
+func (b *Backend) Accept(now time.Time, requestID, expectedServer, model, adapter, body string) Turn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limited {
+	if b.rateLimited {
 		b.arrivals = append(b.arrivals, now)
 	}
-	if expect != "" && expect != b.ID {
+	if expectedServer != "" && expectedServer != b.ID {
 		return TurnMisdirect
 	}
 	if b.SizeMB != nil && model != "" {
@@ -331,47 +332,47 @@
 			return TurnMisdirect
 		}
 	}
-	if b.strikes.take(func(f *BackendFaults) *int { return &f.Refuse }) {
+	if b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Refuse }) {
 		return TurnRefuse
 	}
-	b.Runs.Note(id, b.ID)
+	b.Runs.Note(requestID, b.ID)
 	switch {
 	case b.CrashBody != "" && body == b.CrashBody:
-		b.crashes++
+		b.crashCount++
 		return TurnCrash
-	case b.strikes.take(func(f *BackendFaults) *int { return &f.Fail }):
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Fail }):
 		return TurnFail
-	case b.strikes.take(func(f *BackendFaults) *int { return &f.Lose }):
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Lose }):
 		return TurnLose
-	case b.strikes.take(func(f *BackendFaults) *int { return &f.Cut }):
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Cut }):
 		return TurnCut
-	case b.strikes.take(func(f *BackendFaults) *int { return &f.Stray }):
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Stray }):
 		return TurnStray
-	case b.strikes.take(func(f *BackendFaults) *int { return &f.Forge }):
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Forge }):
 		return TurnForge
 	}
 	return TurnAnswer
 }
 
-// Ledger notes which backends ran which requests. The zero value works.
+// Ledger records which backends executed which requests. The zero value is ready for use.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string][]string
 }
 
-// Note adds a run.
-func (l *Ledger) Note(id, server string) {
+// Note records an execution of a request by a server.
+func (l *Ledger) Note(requestID, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
 		l.runs = make(map[string][]string)
 	}
-	l.runs[id] = append(l.runs[id], server)
+	l.runs[requestID] = append(l.runs[requestID], server)
 }
 
-// Of returns the servers that ran a request.
-func (l *Ledger) Of(id string) []string {
+// Of returns the servers that executed a request, once for each execution.
+func (l *Ledger) Of(requestID string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.runs[id])
+	return slices.Clone(l.runs[requestID])
 }
--- a/stand/cache.go
+++ b/stand/cache.go
@@ -7,54 +7,54 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// prefixCache remembers the prompt prefixes seen last and the events of their
-// coming and going.
+// prefixCache is a FIFO cache of prompt prefixes. It keeps the latest events of
+// insertions and evictions.
 type prefixCache struct {
-	limit int
+	capacity int
 
-	mu       sync.Mutex
-	order    []uint64
-	present  map[uint64]bool
-	sequence int
-	events   []wire.CacheEvent
+	mu             sync.Mutex
+	insertionOrder []uint64
+	cached         map[uint64]bool
+	sequence       int
+	events         []wire.CacheEvent
 }
 
-// touch enters a prefix and reports whether it was there.
-func (c *prefixCache) touch(prefix uint64) bool {
+// add inserts a prefix and reports whether it was already cached.
+func (c *prefixCache) add(prefix uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.present == nil {
-		c.present = make(map[uint64]bool)
+	if c.cached == nil {
+		c.cached = make(map[uint64]bool)
 	}
-	if c.present[prefix] {
+	if c.cached[prefix] {
 		return true
 	}
-	c.present[prefix] = true
-	c.order = append(c.order, prefix)
-	c.publish(prefix, false)
-	if len(c.order) > c.limit {
-		c.publish(c.order[0], true)
-		delete(c.present, c.order[0])
-		c.order = c.order[1:]
+	c.cached[prefix] = true
+	c.insertionOrder = append(c.insertionOrder, prefix)
+	c.recordEvent(prefix, false)
+	if len(c.insertionOrder) > c.capacity {
+		c.recordEvent(c.insertionOrder[0], true)
+		delete(c.cached, c.insertionOrder[0])
+		c.insertionOrder = c.insertionOrder[1:]
 	}
 	return false
 }
 
-func (c *prefixCache) publish(prefix uint64, evicted bool) {
+func (c *prefixCache) recordEvent(prefix uint64, evicted bool) {
 	c.sequence++
 	c.events = append(c.events, wire.CacheEvent{Sequence: c.sequence, Prefix: fmt.Sprintf("%016x", prefix), Evicted: evicted})
-	if drop := len(c.events) - 2*c.limit; drop > 0 {
-		c.events = c.events[drop:]
+	if excess := len(c.events) - 2*c.capacity; excess > 0 {
+		c.events = c.events[excess:]
 	}
 }
 
-// since returns the events after a sequence number that are still kept.
-func (c *prefixCache) since(from int) []wire.CacheEvent {
+// eventsAfter returns the retained events after a sequence number.
+func (c *prefixCache) eventsAfter(sequence int) []wire.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	events := []wire.CacheEvent{}
 	for _, e := range c.events {
-		if e.Sequence > from {
+		if e.Sequence > sequence {
 			events = append(events, e)
 		}
 	}
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -9,41 +9,41 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Defaults of an Engine, chosen small so that tests are short.
+// Defaults of an Engine. The durations are short so that tests are fast.
 const (
-	defaultSlots        = 32
-	defaultFirstToken   = 10 * time.Millisecond
-	defaultBetween      = 2 * time.Millisecond
-	defaultReportLag    = 100 * time.Millisecond
-	defaultResumeWindow = 2 * time.Second
-	defaultMemoryBytes  = 80 << 30
-	defaultCacheEntries = 256
+	defaultSlots           = 32
+	defaultFirstTokenDelay = 10 * time.Millisecond
+	defaultTokenInterval   = 2 * time.Millisecond
+	defaultMaxReportAge    = 100 * time.Millisecond
+	defaultResumeWindow    = 2 * time.Second
+	defaultMemoryBytes     = 80 << 30
+	defaultCacheCapacity   = 256
 )
 
-// EngineFaults are the faults that can be switched on an Engine.
+// EngineFaults are the faults that can be injected into an Engine.
 type EngineFaults struct {
-	// CutShare is the share of frames before which a stream's connection
-	// breaks.
+	// CutShare is the fraction of frames before which the connection of the
+	// stream breaks.
 	CutShare float64 `json:"cut_share"`
-	// CrossShare is the share of frames before which a frame of another
+	// CrossShare is the fraction of frames before which a frame of another
 	// attempt is sent.
 	CrossShare float64 `json:"cross_share"`
-	// RepeatShare is the share of frames that are sent twice.
+	// RepeatShare is the fraction of frames that are sent twice.
 	RepeatShare float64 `json:"repeat_share"`
-	// Draining refuses new requests.
+	// Draining rejects new requests.
 	Draining bool `json:"draining"`
-	// Hang accepts connections and answers nothing.
+	// Hang accepts connections and sends no responses.
 	Hang bool `json:"hang"`
-	// LoseOrders is the share of orders whose connection breaks before they
-	// take effect.
+	// LoseOrders is the fraction of orders whose connection breaks before
+	// they are executed. These orders are never executed.
 	LoseOrders float64 `json:"lose_orders"`
-	// LateOrders is the share of orders that take effect LateOrdersMs after
-	// their connection broke.
+	// LateOrders is the fraction of orders that are executed LateOrdersMs
+	// after their connection broke.
 	LateOrders   float64 `json:"late_orders"`
 	LateOrdersMs int     `json:"late_orders_ms"`
 }
 
-// EngineCounts are the figures an Engine keeps of itself.
+// EngineCounts are the counters of an Engine.
 type EngineCounts struct {
 	Started     int64 `json:"started"`
 	Finished    int64 `json:"finished"`
@@ -58,53 +58,56 @@
 	PeakBytes   int64 `json:"peak_bytes"`
 }
 
-// Engine is the stand-in of a model engine. The zero value works: 80 GiB, 32
-// slots, no fencing check.
+// Engine is a fake model engine. The zero value is ready for use: 80 GiB of
+// memory, 32 slots, no check of fencing numbers.
 type Engine struct {
 	Name string
-	// MemoryBytes is the accelerator memory; KVBytes of it are kept for the KV
-	// cache.
+	// MemoryBytes is the accelerator memory; KVBytes of it are reserved for the
+	// KV cache.
 	MemoryBytes, KVBytes int
-	// Slots is how many streams are batched at once, QueueLimit how many may
-	// wait; 0 waits without bound.
+	// Slots is how many streams are batched at once, QueueLimit how many may be
+	// queued; a QueueLimit of 0 is no limit.
 	Slots, QueueLimit         int
 	FirstToken, BetweenTokens time.Duration
-	// ReportLag is how old a load report can be.
+	// ReportLag is the maximum age of a load report.
 	ReportLag time.Duration
-	// ResumeWindow is how long a stream without a reader goes on.
+	// ResumeWindow is how long a stream without a reader continues, and how
+	// long an ended stream can be resumed.
 	ResumeWindow  time.Duration
 	ChecksFencing bool
-	// Fetch brings weights; nil has them at once.
+	// Fetch fetches the weights for an order; nil makes them available
+	// immediately.
 	Fetch func(ctx context.Context, order wire.Order) error
-	// Runs counts the runs of marked requests; nil counts none.
+	// Runs counts the executions of marked requests; nil counts none.
 	Runs *Runs
-	// Chance returns a number in [0,1) for faults that strike at random.
+	// Chance returns a random number in [0,1) for fault injection; nil injects
+	// every fault whose share is positive.
 	Chance func() float64
-	// CutBefore tells whether a stream's connection breaks before a frame;
-	// nil follows the faults.
+	// CutBefore reports whether the connection of a stream breaks before a
+	// frame; nil uses the faults.
 	CutBefore func(attempt string, sequence int) bool
 
 	once   sync.Once
-	slots  slots
+	slots  slotPool
 	cache  prefixCache
 	counts engineCounters
 
-	mu        sync.Mutex
-	faults    EngineFaults
-	fence     int
-	role      string
-	residents map[residentKey]*resident
-	orders    map[string]bool
-	streams   map[string]*stream
-	report    wire.LoadReport
-	reported  time.Time
-	lastStart time.Time
+	mu            sync.Mutex
+	faults        EngineFaults
+	fence         int
+	role          string
+	residents     map[residentKey]*resident
+	appliedOrders map[string]bool
+	streams       map[string]*stream
+	lastReport    wire.LoadReport
+	reportedAt    time.Time
+	lastRunStart  time.Time
 }
 
 type engineCounters struct {
-	started, finished, canceled, tokens  atomic.Int64
-	overcommits, oldFences               atomic.Int64
-	loads, unloads, cut, late, peakBytes atomic.Int64
+	started, finished, canceled, tokens                   atomic.Int64
+	overcommits, staleFences                              atomic.Int64
+	loads, unloads, disconnects, delayedOrders, peakBytes atomic.Int64
 }
 
 type residentKey struct {
@@ -113,24 +116,24 @@
 }
 
 type resident struct {
-	bytes     int
-	loaded    bool
-	users     int
-	unloading bool
+	bytes      int
+	loaded     bool
+	activeRuns int
+	unloading  bool
 }
 
 func (e *Engine) init() {
 	e.once.Do(func() {
 		e.MemoryBytes = orDefault(e.MemoryBytes, defaultMemoryBytes)
 		e.Slots = orDefault(e.Slots, defaultSlots)
-		e.FirstToken = orDefault(e.FirstToken, defaultFirstToken)
-		e.BetweenTokens = orDefault(e.BetweenTokens, defaultBetween)
-		e.ReportLag = orDefault(e.ReportLag, defaultReportLag)
+		e.FirstToken = orDefault(e.FirstToken, defaultFirstTokenDelay)
+		e.BetweenTokens = orDefault(e.BetweenTokens, defaultTokenInterval)
+		e.ReportLag = orDefault(e.ReportLag, defaultMaxReportAge)
 		e.ResumeWindow = orDefault(e.ResumeWindow, defaultResumeWindow)
 		e.slots.free = e.Slots
-		e.cache.limit = defaultCacheEntries
+		e.cache.capacity = defaultCacheCapacity
 		e.residents = make(map[residentKey]*resident)
-		e.orders = make(map[string]bool)
+		e.appliedOrders = make(map[string]bool)
 		e.streams = make(map[string]*stream)
 	})
 }
@@ -143,7 +146,7 @@
 	e.faults = f
 }
 
-// Faults returns the faults now switched on.
+// Faults returns the faults that are currently injected.
 func (e *Engine) Faults() EngineFaults {
 	e.init()
 	e.mu.Lock()
@@ -151,38 +154,38 @@
 	return e.faults
 }
 
-// Counts returns the figures so far.
+// Counts returns the current values of the counters.
 func (e *Engine) Counts() EngineCounts {
 	c := &e.counts
 	return EngineCounts{
 		Started: c.started.Load(), Finished: c.finished.Load(), Canceled: c.canceled.Load(),
-		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), OldFences: c.oldFences.Load(),
-		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Cut: c.cut.Load(),
-		LateOrders: c.late.Load(), PeakBytes: c.peakBytes.Load(),
+		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), OldFences: c.staleFences.Load(),
+		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Cut: c.disconnects.Load(),
+		LateOrders: c.delayedOrders.Load(), PeakBytes: c.peakBytes.Load(),
 	}
 }
 
-func (e *Engine) strikes(share float64) bool {
+func (e *Engine) shouldInject(share float64) bool {
 	if share <= 0 {
 		return false
 	}
 	return e.Chance == nil || e.Chance() < share
 }
 
-// LastStart returns when the last run began.
+// LastStart returns when the last run started.
 func (e *Engine) LastStart() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.lastStart
+	return e.lastRunStart
 }
 
-// SetResident makes a model or adapter resident at once, for tests.
+// SetResident makes a model or adapter resident immediately, for tests.
 func (e *Engine) SetResident(model, adapter string, version, bytes int) {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.residents[residentKey{model, adapter, version}] = &resident{bytes: bytes, loaded: true}
-	e.accountLocked()
+	e.checkMemoryLocked()
 }
 
 // Has reports whether a model or adapter is loaded, in any version.
@@ -190,7 +193,7 @@
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, r := e.residentLocked(model, adapter)
+	_, r := e.newestLoadedLocked(model, adapter)
 	return r != nil
 }
 
@@ -208,23 +211,24 @@
 	return n
 }
 
-// residentLocked returns the newest loaded version.
-func (e *Engine) residentLocked(model, adapter string) (residentKey, *resident) {
+// newestLoadedLocked returns the newest loaded version of a model or adapter, or
+// nil if there is none.
+func (e *Engine) newestLoadedLocked(model, adapter string) (residentKey, *resident) {
 	var key residentKey
-	var best *resident
+	var newest *resident
 	for k, r := range e.residents {
 		if k.model != model || k.adapter != adapter || !r.loaded || r.unloading {
 			continue
 		}
-		if best == nil || k.version > key.version {
-			key, best = k, r
+		if newest == nil || k.version > key.version {
+			key, newest = k, r
 		}
 	}
-	return key, best
+	return key, newest
 }
 
-// usedLocked is the memory in use: the weights and the KV cache.
-func (e *Engine) usedLocked() int {
+// usedMemoryLocked returns the memory in use, for the weights and the KV cache.
+func (e *Engine) usedMemoryLocked() int {
 	used := e.KVBytes
 	for _, r := range e.residents {
 		used += r.bytes
@@ -232,11 +236,11 @@
 	return used
 }
 
-// accountLocked counts an overcommit when the memory in use exceeds what there
-// is. A real engine would fail here; the stand-in goes on, so that the fault
+// checkMemoryLocked counts an overcommit when the memory in use exceeds the
+// capacity. A real engine would fail here; the fake continues so that overcommits
 // can be counted.
-func (e *Engine) accountLocked() {
-	used := e.usedLocked()
+func (e *Engine) checkMemoryLocked() {
+	used := e.usedMemoryLocked()
 	if used > e.MemoryBytes {
 		e.counts.overcommits.Add(1)
 	}
@@ -245,28 +249,28 @@
 	}
 }
 
-// Report returns the load report, up to ReportLag old.
+// Report returns the load report. It may be up to ReportLag old.
 func (e *Engine) Report() wire.LoadReport {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.reported) >= e.ReportLag {
-		e.report, e.reported = e.reportLocked(), now
+	if now := time.Now(); now.Sub(e.reportedAt) >= e.ReportLag {
+		e.lastReport, e.reportedAt = e.newReportLocked(), now
 	}
-	return e.report
+	return e.lastReport
 }
 
-func (e *Engine) reportLocked() wire.LoadReport {
+func (e *Engine) newReportLocked() wire.LoadReport {
 	running := 0
 	for _, s := range e.streams {
 		if s.active() {
 			running++
 		}
 	}
-	queued := e.slots.queued()
+	queued := e.slots.queueLength()
 	report := wire.LoadReport{
 		Running: max(running-queued, 0), Queued: queued, Slots: e.Slots,
-		MemoryBytes: e.MemoryBytes, UsedBytes: e.usedLocked(),
+		MemoryBytes: e.MemoryBytes, UsedBytes: e.usedMemoryLocked(),
 		Draining: e.faults.Draining, Role: e.role, Fence: e.fence,
 		Residents: []wire.Resident{},
 	}
--- a/stand/engine_http.go
+++ b/stand/engine_http.go
@@ -14,20 +14,20 @@
 
 // Headers of the engine's protocol.
 const (
-	headerAttempt = "Attempt-Id"
-	headerFencing = "Fencing-Number"
-	headerLast    = "Last-Event-ID"
+	headerAttemptID     = "Attempt-Id"
+	headerFencingNumber = "Fencing-Number"
+	headerLastEventID   = "Last-Event-ID"
 )
 
-// Handler serves the engine's protocol and the control path.
+// Handler returns the handler of the engine's protocol and its control path.
 func (e *Engine) Handler() http.Handler {
 	e.init()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.complete)
 	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("GET /v1/streams/{attempt}", e.resume)
+	mux.HandleFunc("GET /v1/streams/{attempt}", e.resumeStream)
 	mux.HandleFunc("DELETE /v1/streams/{attempt}", e.cancelStream)
-	mux.HandleFunc("POST /v1/streams/{attempt}/export", e.export)
+	mux.HandleFunc("POST /v1/streams/{attempt}/export", e.exportStream)
 	mux.HandleFunc("POST /v1/streams/import", e.importStream)
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Report()) })
 	mux.HandleFunc("GET /events", e.cacheEvents)
@@ -36,7 +36,7 @@
 	mux.HandleFunc("PUT /control/faults", e.controlFaults)
 	mux.HandleFunc("GET /control/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Counts()) })
 	mux.HandleFunc("GET /control/runs", func(w http.ResponseWriter, _ *http.Request) { writeRuns(w, e.Runs) })
-	return e.hangable(mux)
+	return e.hangMiddleware(mux)
 }
 
 func writeRuns(w http.ResponseWriter, r *Runs) {
@@ -46,9 +46,9 @@
 	writeJSON(w, http.StatusOK, r.All())
 }
 
-// hangable holds back every answer but those of the control path while the
-// engine hangs.
-func (e *Engine) hangable(next http.Handler) http.Handler {
+// hangMiddleware sends no response, except on the control path, while the Hang
+// fault is set.
+func (e *Engine) hangMiddleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.Faults().Hang && !strings.HasPrefix(r.URL.Path, "/control/") {
 			<-r.Context().Done()
@@ -58,8 +58,8 @@
 	})
 }
 
-// completionBody is the request of both completion paths.
-type completionBody struct {
+// completionRequest is the request body of both completion paths.
+type completionRequest struct {
 	Model     string                 `json:"model"`
 	Adapter   string                 `json:"adapter"`
 	Prompt    string                 `json:"prompt"`
@@ -69,24 +69,24 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var body completionBody
+	var body completionRequest
 	if !readJSON(w, r, &body) {
 		return
 	}
 	gen := generation{
-		Attempt: r.Header.Get(headerAttempt), Model: body.Model, Adapter: body.Adapter, Prompt: body.Prompt,
+		Attempt: r.Header.Get(headerAttemptID), Model: body.Model, Adapter: body.Adapter, Prompt: body.Prompt,
 		MaxTokens: body.MaxTokens, Priority: body.Priority, messages: body.Messages,
 	}
 	if len(body.Messages) > 0 {
 		gen.Chat = true
 		gen.Prompt = ChatPrompt(body.Messages)
 	}
-	s, err := e.start(gen)
+	s, err := e.startRun(gen)
 	if err != nil {
 		writeEngineError(w, err)
 		return
 	}
-	e.send(w, r, s, 0)
+	e.sendEvents(w, r, s, 0)
 }
 
 func writeEngineError(w http.ResponseWriter, err error) {
@@ -100,7 +100,7 @@
 	writeJSON(w, status, map[string]any{"error": map[string]any{"message": err.Error(), "type": "engine_error", "code": err.Error()}})
 }
 
-// chunk is one event of a stream.
+// chunk is the data of one event of a stream.
 type chunk struct {
 	ID      string        `json:"id"`
 	Choices []chunkChoice `json:"choices"`
@@ -112,33 +112,33 @@
 	Finish string `json:"finish_reason,omitempty"`
 }
 
-// send writes the events after sequence number from to the connection.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, from int) {
-	s.attach(1)
-	defer s.attach(-1)
+// sendEvents writes the events after a sequence number to the connection.
+func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, sequence int) {
+	s.addReaders(1)
+	defer s.addReaders(-1)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(w)
-	_ = flush.Flush()
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
 	for {
-		produced, done, canceled, changed := s.read()
-		for from < produced {
-			from++
-			if e.cuts(s.gen.Attempt, from) {
-				e.counts.cut.Add(1)
+		produced, done, canceled, changed := s.progress()
+		for sequence < produced {
+			sequence++
+			if e.shouldDisconnect(s.gen.Attempt, sequence) {
+				e.counts.disconnects.Add(1)
 				panic(http.ErrAbortHandler)
 			}
-			e.sendWord(w, s, from)
+			e.sendToken(w, s, sequence)
 		}
 		if done {
-			if e.cuts(s.gen.Attempt, from+1) {
-				e.counts.cut.Add(1)
+			if e.shouldDisconnect(s.gen.Attempt, sequence+1) {
+				e.counts.disconnects.Add(1)
 				panic(http.ErrAbortHandler)
 			}
-			fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", from+1)
+			fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", sequence+1)
 			return
 		}
-		_ = flush.Flush()
+		_ = controller.Flush()
 		if canceled {
 			panic(http.ErrAbortHandler)
 		}
@@ -150,24 +150,24 @@
 	}
 }
 
-func (e *Engine) cuts(attempt string, sequence int) bool {
+func (e *Engine) shouldDisconnect(attempt string, sequence int) bool {
 	if e.CutBefore != nil {
 		return e.CutBefore(attempt, sequence)
 	}
-	return e.strikes(e.Faults().CutShare)
+	return e.shouldInject(e.Faults().CutShare)
 }
 
-func (e *Engine) sendWord(w http.ResponseWriter, s *stream, sequence int) {
+func (e *Engine) sendToken(w http.ResponseWriter, s *stream, sequence int) {
 	faults := e.Faults()
-	if e.strikes(faults.CrossShare) {
+	if e.shouldInject(faults.CrossShare) {
 		writeChunk(w, sequence, chunk{ID: "crossed-" + s.gen.Attempt, Choices: []chunkChoice{{Text: "crossed "}}})
 	}
-	c := chunk{ID: s.gen.Attempt, Choices: []chunkChoice{{Text: s.words[sequence-1]}}}
-	if sequence == len(s.words) {
+	c := chunk{ID: s.gen.Attempt, Choices: []chunkChoice{{Text: s.tokens[sequence-1]}}}
+	if sequence == len(s.tokens) {
 		c.Choices[0].Finish = "stop"
 	}
 	writeChunk(w, sequence, c)
-	if e.strikes(faults.RepeatShare) {
+	if e.shouldInject(faults.RepeatShare) {
 		writeChunk(w, sequence, c)
 	}
 }
@@ -180,18 +180,18 @@
 	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", sequence, data)
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	from, err := strconv.Atoi(r.Header.Get(headerLast))
+func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request) {
+	from, err := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if err != nil || from < 0 {
 		writeProblem(w, http.StatusBadRequest, "Last-Event-ID is not a number")
 		return
 	}
-	s, err := e.stream(r.PathValue("attempt"))
+	s, err := e.findStream(r.PathValue("attempt"))
 	if err != nil {
 		writeEngineError(w, err)
 		return
 	}
-	e.send(w, r, s, from)
+	e.sendEvents(w, r, s, from)
 }
 
 func (e *Engine) cancelStream(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +202,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (e *Engine) export(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) exportStream(w http.ResponseWriter, r *http.Request) {
 	state, err := e.exportKV(r.PathValue("attempt"))
 	if err != nil {
 		writeEngineError(w, err)
@@ -224,11 +224,11 @@
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	from, err := strconv.Atoi(r.Header.Get(headerLast))
+	from, err := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if err != nil {
 		from = 0
 	}
-	writeJSON(w, http.StatusOK, e.cache.since(from))
+	writeJSON(w, http.StatusOK, e.cache.eventsAfter(from))
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
@@ -236,13 +236,13 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	fence, err := strconv.Atoi(r.Header.Get(headerFencing))
+	fence, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
 	}
-	if e.interfere(order, fence) {
-		drop(w)
+	if e.injectOrderFault(order, fence) {
+		closeConnection(w)
 		return
 	}
 	if err := e.Apply(order, fence); err != nil {
@@ -253,7 +253,7 @@
 }
 
 func (e *Engine) raiseFence(w http.ResponseWriter, r *http.Request) {
-	fence, err := strconv.Atoi(r.Header.Get(headerFencing))
+	fence, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -15,7 +15,7 @@
 	return wire.Order{Order: id, Action: wire.OrderActionLoad, Model: model, Version: 1, Bytes: bytes}
 }
 
-func TestOvercommitIsCounted(t *testing.T) {
+func TestOvercommitCount(t *testing.T) {
 	e := &stand.Engine{MemoryBytes: 100, KVBytes: 20}
 	require.NoError(t, e.Apply(loadOrder("1", "a", 50), 0))
 	require.NoError(t, e.Apply(loadOrder("1", "a", 50), 0))
@@ -26,7 +26,7 @@
 }
 
 func TestFencing(t *testing.T) {
-	for name, checks := range map[string]bool{"checks": true, "ignores": false} {
+	for name, checks := range map[string]bool{"fencing checked": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			e := &stand.Engine{ChecksFencing: checks}
 			require.NoError(t, e.RaiseFence(7))
@@ -36,9 +36,9 @@
 	}
 }
 
-// The weight store starts few loads a second and slows each beyond its number
-// at full speed; one that is given up takes no place.
-func TestWeights(t *testing.T) {
+// The weight store slows down loads beyond its number at full speed. A load with
+// a canceled context fails.
+func TestWeightStoreSlowdown(t *testing.T) {
 	s := &stand.Weights{LoadsPerSecond: 1000, LoadsAtFullSpeed: 1, ModelLoad: 20 * time.Millisecond}
 	began := time.Now()
 	done := make(chan time.Duration, 2)
@@ -49,14 +49,14 @@
 		}()
 	}
 	<-done
-	require.GreaterOrEqual(t, <-done, 40*time.Millisecond, "two at once take twice as long")
+	require.GreaterOrEqual(t, <-done, 40*time.Millisecond, "two concurrent loads take twice as long")
 	require.Equal(t, 2, s.Loads())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.Error(t, s.Fetch(ctx, loadOrder("2", "b", 1)))
 }
 
-func TestAnswerIsAFunctionOfTheRequest(t *testing.T) {
+func TestAnswerDeterministic(t *testing.T) {
 	a := stand.Answer("m", "", "p", 20)
 	require.Equal(t, a, stand.Answer("m", "", "p", 20))
 	for name, other := range map[string][]string{
--- a/stand/http.go
+++ b/stand/http.go
@@ -28,8 +28,8 @@
 	return true
 }
 
-// drop breaks the connection without an answer.
-func drop(w http.ResponseWriter) {
+// closeConnection closes the connection without a response.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/stand/net.go
+++ b/stand/net.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Net is the network between named hosts of one process. A cut swallows what
-// is sent and lets nothing arrive, as a broken switch does; connections that
-// met a cut break when it heals. The zero value has no cuts.
+// Net simulates the network between named hosts of one process. A partition
+// drops all data in one direction, as a broken switch does. A connection that
+// lost data fails after the partition heals. The zero value has no partitions.
 type Net struct {
-	mu    sync.Mutex
-	hosts map[string]string
-	cuts  map[[2]string]bool
-	delay func(from, to string) time.Duration
+	mu          sync.Mutex
+	hosts       map[string]string
+	partitions  map[[2]string]bool
+	oneWayDelay func(from, to string) time.Duration
 }
 
-// SetDelay sets the one-way delay between hosts, added to each dial.
+// SetDelay sets the one-way delay between hosts. Each dial takes one round trip.
 func (n *Net) SetDelay(delay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delay = delay
+	n.oneWayDelay = delay
 }
 
-// Name tells the Net which host an address belongs to.
+// Name assigns an address to a host.
 func (n *Net) Name(address, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,25 +35,26 @@
 	n.hosts[address] = host
 }
 
-// Cut cuts what goes from one host to another; the way back is another cut.
-func (n *Net) Cut(from, to string) { n.set(from, to, true) }
+// Cut drops the data from one host to another. The reverse direction is a
+// separate partition.
+func (n *Net) Cut(from, to string) { n.setPartition(from, to, true) }
 
-// Heal ends a cut.
-func (n *Net) Heal(from, to string) { n.set(from, to, false) }
+// Heal ends the partition in one direction.
+func (n *Net) Heal(from, to string) { n.setPartition(from, to, false) }
 
-func (n *Net) set(from, to string, cut bool) {
+func (n *Net) setPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts == nil {
-		n.cuts = make(map[[2]string]bool)
+	if n.partitions == nil {
+		n.partitions = make(map[[2]string]bool)
 	}
-	n.cuts[[2]string{from, to}] = cut
+	n.partitions[[2]string{from, to}] = partitioned
 }
 
-func (n *Net) isCut(from, to string) bool {
+func (n *Net) partitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[[2]string{from, to}]
+	return n.partitions[[2]string{from, to}]
 }
 
 func (n *Net) host(address string) string {
@@ -62,9 +63,9 @@
 	return n.hosts[address]
 }
 
-func (n *Net) latency(from, to string) time.Duration {
+func (n *Net) delayBetween(from, to string) time.Duration {
 	n.mu.Lock()
-	delay := n.delay
+	delay := n.oneWayDelay
 	n.mu.Unlock()
 	if delay == nil {
 		return 0
@@ -72,83 +73,84 @@
 	return delay(from, to)
 }
 
-// Dialer returns the dial function of a host.
+// Dialer returns the dial function for connections from a host.
 func (n *Net) Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to := n.host(address)
-		if n.isCut(from, to) || n.isCut(to, from) {
-			return nil, n.dialCut(ctx)
+		if n.partitioned(from, to) || n.partitioned(to, from) {
+			return nil, n.failDial(ctx)
 		}
-		if wait := 2 * n.latency(from, to); wait > 0 {
+		if wait := 2 * n.delayBetween(from, to); wait > 0 {
 			time.Sleep(wait)
 		}
 		conn, err := d.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &cutConn{Conn: conn, net: n, from: from, to: to}, nil
+		return &partitionedConn{Conn: conn, net: n, from: from, to: to}, nil
 	}
 }
 
-const dialCutTimeout = time.Second
+const partitionedDialTimeout = time.Second
 
-func (n *Net) dialCut(ctx context.Context) error {
-	t := time.NewTimer(dialCutTimeout)
+func (n *Net) failDial(ctx context.Context) error {
+	t := time.NewTimer(partitionedDialTimeout)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	return &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("no answer")}
+	return &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("timeout: hosts are partitioned")}
 }
 
-// cutConn is a connection that a cut of the Net stops.
-type cutConn struct {
+// partitionedConn is a connection that drops data during a partition of the Net.
+type partitionedConn struct {
 	net.Conn
 	net      *Net
 	from, to string
 
-	mu   sync.Mutex
-	lost bool
+	mu       sync.Mutex
+	dataLost bool
 }
 
-var errLost = errors.New("connection broke while the link was cut")
+var errDataLost = errors.New("connection lost data in a network partition")
 
-func (c *cutConn) note(lost bool) bool {
+// recordLoss records a loss if lost is true, and reports whether data was ever lost.
+func (c *partitionedConn) recordLoss(lost bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost = c.lost || lost
-	return c.lost
+	c.dataLost = c.dataLost || lost
+	return c.dataLost
 }
 
-// Write swallows what is sent into a cut.
-func (c *cutConn) Write(p []byte) (int, error) {
-	if c.net.isCut(c.from, c.to) {
-		c.note(true)
+// Write drops the data while the hosts are partitioned.
+func (c *partitionedConn) Write(p []byte) (int, error) {
+	if c.net.partitioned(c.from, c.to) {
+		c.recordLoss(true)
 		return len(p), nil
 	}
-	if c.note(false) {
+	if c.recordLoss(false) {
 		_ = c.Close()
-		return 0, errLost
+		return 0, errDataLost
 	}
 	return c.Conn.Write(p)
 }
 
-// Read lets nothing arrive through a cut: what came is dropped.
-func (c *cutConn) Read(p []byte) (int, error) {
+// Read drops data that arrives while the hosts are partitioned.
+func (c *partitionedConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil {
 			return n, err
 		}
-		if c.net.isCut(c.to, c.from) {
-			c.note(true)
+		if c.net.partitioned(c.to, c.from) {
+			c.recordLoss(true)
 			continue
 		}
-		if c.note(false) {
+		if c.recordLoss(false) {
 			_ = c.Close()
-			return 0, errLost
+			return 0, errDataLost
 		}
 		return n, nil
 	}
--- a/stand/objects.go
+++ b/stand/objects.go
@@ -13,51 +13,51 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// ObjectFaults are the faults that can be switched on Objects.
+// ObjectFaults are the faults that can be injected into Objects.
 type ObjectFaults struct {
-	// Away are the callers that get no service; "*" is everyone.
+	// Away lists the callers whose calls are rejected; "*" rejects all callers.
 	Away []string
-	// LoseAnswers is how many of the next changes take effect without an answer.
+	// LoseAnswers is how many of the next changes are applied without a reply.
 	LoseAnswers int
 }
 
-// Objects stands in for a platform's store of objects: one revision counter,
-// conditional changes and long-poll watches over a bounded history. It speaks no
-// protocol; an adapter serves it. The zero value works.
+// Objects is a fake of the platform's object store: one revision counter,
+// conditional changes and long-poll watches over a history. It implements no wire
+// protocol; another package exposes it over HTTP. The zero value is ready for use.
 type Objects struct {
 	mu       sync.Mutex
 	revision int
-	kinds    map[string]map[string]store.Object
+	objects  map[string]map[string]store.Object
 	history  []objectChange
-	// floor is the revision up to which history is gone.
-	floor   int
-	faults  ObjectFaults
-	changed chan struct{}
-	calls   int
+	// compactedRevision is the last revision that is no longer in history.
+	compactedRevision int
+	faults            ObjectFaults
+	changed           chan struct{}
+	calls             int
 }
 
 type objectChange struct {
-	kind   string
-	change store.Change
-	at     int
+	kind     string
+	change   store.Change
+	revision int
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults.
 func (o *Objects) SetFaults(f ObjectFaults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.faults = f
-	o.wake()
+	o.notifyWatches()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (o *Objects) Calls() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.calls
 }
 
-// Admit notes a call and reports whether its caller is served.
+// Admit counts a call and reports whether the caller is served.
 func (o *Objects) Admit(caller string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// LoseAnswer reports whether the answer to the change just made is to be lost.
+// LoseAnswer reports whether the reply to the last change is to be dropped.
 func (o *Objects) LoseAnswer() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,7 +81,8 @@
 	return true
 }
 
-// Client returns the calls of a caller in the same process, without a protocol.
+// Client returns a store client for callers in the same process, without a wire
+// protocol.
 func (o *Objects) Client() store.Objects {
 	return store.Objects{
 		Get: func(_ context.Context, kind, name string) (store.Object, error) { return o.Get(kind, name) },
@@ -99,43 +100,43 @@
 	}
 }
 
-// Compact drops the history: watches from before get a GoneError.
+// Compact discards the history. Watches from older revisions get a GoneError.
 func (o *Objects) Compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.history, o.floor = nil, o.revision
-	o.wake()
+	o.history, o.compactedRevision = nil, o.revision
+	o.notifyWatches()
 }
 
-// List returns the objects of a kind by name.
+// List returns the objects of a kind, sorted by name.
 func (o *Objects) List(kind string) store.Listing {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	l := store.Listing{Version: o.revision}
-	for _, obj := range o.kinds[kind] {
+	for _, obj := range o.objects[kind] {
 		l.Items = append(l.Items, obj)
 	}
 	sort.Slice(l.Items, func(i, j int) bool { return l.Items[i].Name < l.Items[j].Name })
 	return l
 }
 
-// Get returns an object; one that does not exist is a trace.NotFound.
+// Get returns an object, or a trace.NotFound error if it does not exist.
 func (o *Objects) Get(kind, name string) (store.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	obj, ok := o.kinds[kind][name]
+	obj, ok := o.objects[kind][name]
 	if !ok {
 		return store.Object{}, trace.NotFound("%s/%s does not exist", kind, name)
 	}
 	return obj, nil
 }
 
-// Put writes an object when it has version ifVersion, 0 for one that does not
-// exist, or any version when ifVersion is negative.
+// Put writes an object if its current version is ifVersion. An object that does
+// not exist has version 0; a negative ifVersion matches any version.
 func (o *Objects) Put(kind, name string, ifVersion int, value json.RawMessage) (store.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	old := o.kinds[kind][name]
+	old := o.objects[kind][name]
 	if ifVersion >= 0 && old.Version != ifVersion {
 		return old, &store.ConflictError{Current: old.Version}
 	}
@@ -144,14 +145,14 @@
 	}
 	o.revision++
 	obj := store.Object{Kind: kind, Name: name, Version: o.revision, Value: value}
-	if o.kinds == nil {
-		o.kinds = make(map[string]map[string]store.Object)
+	if o.objects == nil {
+		o.objects = make(map[string]map[string]store.Object)
 	}
-	if o.kinds[kind] == nil {
-		o.kinds[kind] = make(map[string]store.Object)
+	if o.objects[kind] == nil {
+		o.objects[kind] = make(map[string]store.Object)
 	}
-	o.kinds[kind][name] = obj
-	o.note(kind, store.Change{Object: obj})
+	o.objects[kind][name] = obj
+	o.recordChange(kind, store.Change{Object: obj})
 	return obj, nil
 }
 
@@ -159,58 +160,59 @@
 func (o *Objects) Delete(kind, name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	obj, ok := o.kinds[kind][name]
+	obj, ok := o.objects[kind][name]
 	if !ok {
 		return
 	}
-	delete(o.kinds[kind], name)
+	delete(o.objects[kind], name)
 	o.revision++
-	o.note(kind, store.Change{Object: obj, Deleted: true})
+	o.recordChange(kind, store.Change{Object: obj, Deleted: true})
 }
 
-func (o *Objects) note(kind string, c store.Change) {
-	o.history = append(o.history, objectChange{kind: kind, change: c, at: o.revision})
-	o.wake()
+func (o *Objects) recordChange(kind string, c store.Change) {
+	o.history = append(o.history, objectChange{kind: kind, change: c, revision: o.revision})
+	o.notifyWatches()
 }
 
-func (o *Objects) wake() {
+func (o *Objects) notifyWatches() {
 	if o.changed != nil {
 		close(o.changed)
 		o.changed = nil
 	}
 }
 
-// Watch waits up to wait for changes of a kind after a revision.
-func (o *Objects) Watch(ctx context.Context, kind string, from int, wait time.Duration) ([]store.Change, int, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// Watch returns the changes of a kind after a revision, and the latest revision.
+// It waits up to timeout for the first change.
+func (o *Objects) Watch(ctx context.Context, kind string, revision int, timeout time.Duration) ([]store.Change, int, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		list, at, changed, err := o.since(kind, from)
-		if err != nil || len(list) > 0 {
-			return list, at, err
+		changes, latest, changed, err := o.changesAfter(kind, revision)
+		if err != nil || len(changes) > 0 {
+			return changes, latest, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, at, nil
+			return nil, latest, nil
 		case <-changed:
 		}
 	}
 }
 
-func (o *Objects) since(kind string, from int) ([]store.Change, int, <-chan struct{}, error) {
+func (o *Objects) changesAfter(kind string, revision int) ([]store.Change, int, <-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if from < o.floor {
-		return nil, from, nil, &store.GoneError{}
+	if revision < o.compactedRevision {
+		return nil, revision, nil, &store.GoneError{}
 	}
-	var list []store.Change
+	var changes []store.Change
 	for _, h := range o.history {
-		if h.kind == kind && h.at > from {
-			list = append(list, h.change)
+		if h.kind == kind && h.revision > revision {
+			changes = append(changes, h.change)
 		}
 	}
 	if o.changed == nil {
 		o.changed = make(chan struct{})
 	}
-	return list, o.revision, o.changed, nil
+	return changes, o.revision, o.changed, nil
 }
--- a/stand/orders.go
+++ b/stand/orders.go
@@ -8,44 +8,45 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// errOldFence: the order came with a fencing number below the highest seen.
-type errOldFence struct{ fence int }
+// staleFenceError reports that a call had a fencing number below the highest
+// one received.
+type staleFenceError struct{ fence int }
 
-func (e *errOldFence) Error() string { return fmt.Sprintf("the fencing number is now %d", e.fence) }
+func (e *staleFenceError) Error() string { return fmt.Sprintf("the fencing number is now %d", e.fence) }
 
-// RaiseFence sets the fencing number, when it is not lower than the present
-// one.
+// RaiseFence sets the fencing number. It returns an error if the number is lower
+// than the current one.
 func (e *Engine) RaiseFence(number int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.fenceLocked(number)
+	return e.checkFenceLocked(number)
 }
 
-func (e *Engine) fenceLocked(number int) error {
+func (e *Engine) checkFenceLocked(number int) error {
 	if !e.ChecksFencing {
 		return nil
 	}
 	if number < e.fence {
-		e.counts.oldFences.Add(1)
-		return &errOldFence{fence: e.fence}
+		e.counts.staleFences.Add(1)
+		return &staleFenceError{fence: e.fence}
 	}
 	e.fence = number
 	return nil
 }
 
-// Apply carries out an order. An order that was seen before has no effect.
+// Apply executes an order. A repeated order has no effect.
 func (e *Engine) Apply(order wire.Order, fence int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.fenceLocked(fence); err != nil {
+	if err := e.checkFenceLocked(fence); err != nil {
 		return err
 	}
-	if e.orders[order.Order] {
+	if e.appliedOrders[order.Order] {
 		return nil
 	}
-	e.orders[order.Order] = true
+	e.appliedOrders[order.Order] = true
 	switch order.Action {
 	case wire.OrderActionLoad:
 		e.loadLocked(order)
@@ -63,11 +64,11 @@
 		return
 	}
 	e.residents[key] = &resident{bytes: order.Bytes}
-	e.accountLocked()
-	go e.fetch(key, order)
+	e.checkMemoryLocked()
+	go e.fetchWeights(key, order)
 }
 
-func (e *Engine) fetch(key residentKey, order wire.Order) {
+func (e *Engine) fetchWeights(key residentKey, order wire.Order) {
 	var err error
 	if e.Fetch != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -81,17 +82,17 @@
 		return
 	}
 	if err != nil {
-		// Forgetting the order lets its sender try again.
+		// The sender can retry an order that is no longer recorded.
 		delete(e.residents, key)
-		delete(e.orders, order.Order)
+		delete(e.appliedOrders, order.Order)
 		return
 	}
 	r.loaded = true
 	e.counts.loads.Add(1)
-	e.reported = time.Time{}
+	e.reportedAt = time.Time{}
 }
 
-// unloadLocked drops the weights once the requests that use them have ended.
+// unloadLocked unloads the weights after the requests that use them have ended.
 func (e *Engine) unloadLocked(order wire.Order) {
 	key := residentKey{order.Model, order.Adapter, order.Version}
 	r := e.residents[key]
@@ -99,29 +100,29 @@
 		return
 	}
 	r.unloading = true
-	e.dropIfIdleLocked(key, r)
+	e.unloadIfUnusedLocked(key, r)
 }
 
-func (e *Engine) dropIfIdleLocked(key residentKey, r *resident) {
-	if !r.unloading || r.users > 0 {
+func (e *Engine) unloadIfUnusedLocked(key residentKey, r *resident) {
+	if !r.unloading || r.activeRuns > 0 {
 		return
 	}
 	delete(e.residents, key)
 	e.counts.unloads.Add(1)
-	e.reported = time.Time{}
+	e.reportedAt = time.Time{}
 }
 
-// interfere lets the faults lose or delay an order; it reports whether the
-// order's connection breaks.
-func (e *Engine) interfere(order wire.Order, fence int) bool {
+// injectOrderFault loses or delays an order, depending on the faults. It reports
+// whether the order's connection breaks.
+func (e *Engine) injectOrderFault(order wire.Order, fence int) bool {
 	faults := e.Faults()
-	if e.strikes(faults.LoseOrders) {
+	if e.shouldInject(faults.LoseOrders) {
 		return true
 	}
-	if !e.strikes(faults.LateOrders) {
+	if !e.shouldInject(faults.LateOrders) {
 		return false
 	}
-	e.counts.late.Add(1)
+	e.counts.delayedOrders.Add(1)
 	time.AfterFunc(time.Duration(faults.LateOrdersMs)*time.Millisecond, func() { _ = e.Apply(order, fence) })
 	return true
 }
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	defaultHistory      = 4096
+	maxHistoryEvents    = 4096
 	defaultWritesPerSec = 300
 	defaultReadsPerSec  = 2000
 	maxValueBytes       = 1 << 20
 )
 
-// PlatformFaults are the faults that can be switched on a Platform.
+// PlatformFaults are the faults that can be injected into a Platform.
 type PlatformFaults struct {
-	// Outage answers every call with 503.
+	// Outage responds to every call with status 503.
 	Outage bool `json:"outage"`
-	// Delay is added to each call.
+	// DelayMs delays each call.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is the share of writes whose connection breaks after they
-	// have taken effect.
+	// LoseAnswers is the fraction of writes whose connection breaks after
+	// they were applied.
 	LoseAnswers float64 `json:"lose_answers"`
 	// WatchLagMs delays each watch event.
 	WatchLagMs int `json:"watch_lag_ms"`
-	// ListLagMs is how far the list of VMs is behind.
+	// ListLagMs delays changes of the VM list.
 	ListLagMs int `json:"list_lag_ms"`
-	// CutNodes are the VMs that can not reach the platform.
+	// CutNodes are the VMs that cannot reach the platform.
 	CutNodes []string `json:"cut_nodes"`
 }
 
-// PlatformCounts counts the calls that reached a Platform.
+// PlatformCounts are the counters of a Platform.
 type PlatformCounts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -45,43 +45,44 @@
 	Lost    int64 `json:"lost"`
 }
 
-// Platform is the stand-in of the platform's object API. The zero value works,
-// with the rates of the brief.
+// Platform is a fake of the platform's object API. The zero value is ready for
+// use, with the rate limits that the platform is specified to have.
 type Platform struct {
-	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 takes the
-	// defaults.
+	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 is the
+	// default.
 	WritesPerSecond, ReadsPerSecond float64
-	// Key is what callers must present; "" lets everyone in.
+	// Key is the API key that callers must send; "" accepts all callers.
 	Key string
-	// Chance returns a number in [0,1) for faults that strike at random; nil
-	// strikes every time.
+	// Chance returns a random number in [0,1) for fault injection; nil injects
+	// every fault whose share is positive.
 	Chance func() float64
 
-	once    sync.Once
-	writes  *rate.Limiter
-	reads   *rate.Limiter
-	counts  struct{ reads, writes, watches, limited, lost atomic.Int64 }
-	waiting atomic.Int64
-	mu      sync.Mutex
-	faults  PlatformFaults
-	version int
-	objects map[string]map[string]store.Object
-	history []kindEvent
-	floor   int
-	changed chan struct{}
-	vms     map[string]wire.VM
-	vmLog   []vmChange
+	once sync.Once
+	// writes and reads limit the rates of calls.
+	writes           *rate.Limiter
+	reads            *rate.Limiter
+	counts           struct{ reads, writes, watches, limited, lost atomic.Int64 }
+	activeWatches    atomic.Int64
+	mu               sync.Mutex
+	faults           PlatformFaults
+	version          int
+	objects          map[string]map[string]store.Object
+	history          []loggedEvent
+	compactedVersion int
+	changed          chan struct{}
+	vms              map[string]wire.VM
+	vmHistory        []vmListVersion
 }
 
-type kindEvent struct {
-	kind  string
-	at    time.Time
-	event store.Event
+type loggedEvent struct {
+	kind       string
+	recordedAt time.Time
+	event      store.Event
 }
 
-type vmChange struct {
-	at   time.Time
-	list []wire.VM
+type vmListVersion struct {
+	recordedAt time.Time
+	list       []wire.VM
 }
 
 func (p *Platform) init() {
@@ -106,10 +107,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.wake()
+	p.notifyWatches()
 }
 
-// Faults returns the faults now switched on.
+// Faults returns the faults that are currently injected.
 func (p *Platform) Faults() PlatformFaults {
 	p.init()
 	p.mu.Lock()
@@ -117,7 +118,7 @@
 	return p.faults
 }
 
-// Counts returns the calls seen so far.
+// Counts returns the current values of the counters.
 func (p *Platform) Counts() PlatformCounts {
 	return PlatformCounts{
 		Reads:   p.counts.reads.Load(),
@@ -128,17 +129,17 @@
 	}
 }
 
-// Watching returns how many watches are waiting.
-func (p *Platform) Watching() int64 { return p.waiting.Load() }
+// Watching returns the number of open watches.
+func (p *Platform) Watching() int64 { return p.activeWatches.Load() }
 
-// wake lets the waiting watches look again. The caller holds p.mu.
-func (p *Platform) wake() {
+// notifyWatches wakes up the open watches. The caller holds p.mu.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Put is the conditional update: it takes effect when the object has version
-// ifVersion. It returns the object's version afterwards and whether it did.
+// Put writes an object if its current version is ifVersion. It returns the
+// resulting version of the object and whether the write was applied.
 func (p *Platform) Put(kind, name string, ifVersion int, value json.RawMessage) (int, bool) {
 	p.init()
 	p.mu.Lock()
@@ -152,11 +153,12 @@
 	}
 	p.version++
 	p.objects[kind][name] = store.Object{Kind: kind, Name: name, Version: p.version, Value: value}
-	p.record(kind, store.Event{Type: store.EventPut, Name: name, Version: p.version, Value: value})
+	p.recordEvent(kind, store.Event{Type: store.EventPut, Name: name, Version: p.version, Value: value})
 	return p.version, true
 }
 
-// Delete removes the object when it has version ifVersion.
+// Delete removes an object if its current version is ifVersion. It returns the
+// version and whether the object was removed.
 func (p *Platform) Delete(kind, name string, ifVersion int) (int, bool) {
 	p.init()
 	p.mu.Lock()
@@ -167,25 +169,25 @@
 	}
 	delete(p.objects[kind], name)
 	p.version++
-	p.record(kind, store.Event{Type: store.EventDelete, Name: name, Version: p.version})
+	p.recordEvent(kind, store.Event{Type: store.EventDelete, Name: name, Version: p.version})
 	return p.version, true
 }
 
-func (p *Platform) record(kind string, e store.Event) {
-	p.history = append(p.history, kindEvent{kind: kind, at: time.Now(), event: e})
-	if drop := len(p.history) - defaultHistory; drop > 0 {
-		p.floor = p.history[drop-1].event.Version
-		p.history = append([]kindEvent(nil), p.history[drop:]...)
+func (p *Platform) recordEvent(kind string, e store.Event) {
+	p.history = append(p.history, loggedEvent{kind: kind, recordedAt: time.Now(), event: e})
+	if excess := len(p.history) - maxHistoryEvents; excess > 0 {
+		p.compactedVersion = p.history[excess-1].event.Version
+		p.history = append([]loggedEvent(nil), p.history[excess:]...)
 	}
-	p.wake()
+	p.notifyWatches()
 }
 
-// Compact forgets the history, so that watches from old versions get 410.
+// Compact discards the history, so that watches from old versions get status 410.
 func (p *Platform) Compact() {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.floor = p.version
+	p.compactedVersion = p.version
 	p.history = nil
 }
 
@@ -210,21 +212,22 @@
 	return list
 }
 
-// since returns the events of a kind after version from that are at least lag
-// old, the channel that closes at the next change, and whether from is kept.
-func (p *Platform) since(kind string, from int, lag time.Duration) (events []store.Event, next int, changed chan struct{}, kept bool) {
+// eventsAfter returns the events of a kind after version that are at least lag old,
+// the version to continue from, a channel that is closed at the next change, and
+// whether the history after version is retained.
+func (p *Platform) eventsAfter(kind string, version int, lag time.Duration) (events []store.Event, next int, changed chan struct{}, retained bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if from < p.floor {
-		return nil, from, nil, false
+	if version < p.compactedVersion {
+		return nil, version, nil, false
 	}
-	due := time.Now().Add(-lag)
-	next = from
+	cutoff := time.Now().Add(-lag)
+	next = version
 	for _, e := range p.history {
-		if e.event.Version <= from {
+		if e.event.Version <= version {
 			continue
 		}
-		if e.at.After(due) {
+		if e.recordedAt.After(cutoff) {
 			break
 		}
 		next = e.event.Version
@@ -235,44 +238,44 @@
 	return events, next, p.changed, true
 }
 
-// SetVM enters a VM in the list, or replaces its entry.
+// SetVM adds a VM to the list or replaces its entry.
 func (p *Platform) SetVM(vm wire.VM) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms[vm.Name] = vm
-	p.logVMs()
+	p.recordVMs()
 }
 
-// RemoveVM takes a VM from the list.
+// RemoveVM removes a VM from the list.
 func (p *Platform) RemoveVM(name string) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.vms, name)
-	p.logVMs()
+	p.recordVMs()
 }
 
-func (p *Platform) logVMs() {
+func (p *Platform) recordVMs() {
 	list := make([]wire.VM, 0, len(p.vms))
 	for _, vm := range p.vms {
 		list = append(list, vm)
 	}
-	p.vmLog = append(p.vmLog, vmChange{at: time.Now(), list: list})
+	p.vmHistory = append(p.vmHistory, vmListVersion{recordedAt: time.Now(), list: list})
 }
 
-// VMs returns the list of VMs as it was the list lag ago.
+// VMs returns the list of VMs as of ListLagMs ago.
 func (p *Platform) VMs() []wire.VM {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	due := time.Now().Add(-time.Duration(p.faults.ListLagMs) * time.Millisecond)
+	cutoff := time.Now().Add(-time.Duration(p.faults.ListLagMs) * time.Millisecond)
 	list := []wire.VM{}
-	for _, c := range p.vmLog {
-		if c.at.After(due) {
+	for _, entry := range p.vmHistory {
+		if entry.recordedAt.After(cutoff) {
 			break
 		}
-		list = c.list
+		list = entry.list
 	}
 	return list
 }
--- a/stand/platform_http.go
+++ b/stand/platform_http.go
@@ -16,16 +16,16 @@
 
 const bookmarkInterval = time.Second
 
-// Handler serves the object API and the control path.
+// Handler returns the handler of the object API and the control path.
 func (p *Platform) Handler() http.Handler {
 	p.init()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /objects/{kind}/{name}", p.guard(p.reads, p.getObject))
-	mux.HandleFunc("GET /objects/{kind}", p.guard(p.reads, p.listObjects))
-	mux.HandleFunc("PUT /objects/{kind}/{name}", p.guard(p.writes, p.putObject))
-	mux.HandleFunc("DELETE /objects/{kind}/{name}", p.guard(p.writes, p.deleteObject))
-	mux.HandleFunc("GET /watch/{kind}", p.guard(p.reads, p.watch))
-	mux.HandleFunc("GET /vms", p.guard(p.reads, p.listVMs))
+	mux.HandleFunc("GET /objects/{kind}/{name}", p.withFaults(p.reads, p.getObject))
+	mux.HandleFunc("GET /objects/{kind}", p.withFaults(p.reads, p.listObjects))
+	mux.HandleFunc("PUT /objects/{kind}/{name}", p.withFaults(p.writes, p.putObject))
+	mux.HandleFunc("DELETE /objects/{kind}/{name}", p.withFaults(p.writes, p.deleteObject))
+	mux.HandleFunc("GET /watch/{kind}", p.withFaults(p.reads, p.watchObjects))
+	mux.HandleFunc("GET /vms", p.withFaults(p.reads, p.listVMs))
 	mux.HandleFunc("PUT /control/faults", p.controlFaults)
 	mux.HandleFunc("PUT /control/vms", p.controlVM)
 	mux.HandleFunc("DELETE /control/vms/{name}", p.controlRemoveVM)
@@ -33,12 +33,12 @@
 	return mux
 }
 
-// guard applies the faults and the rate limit before a call.
-func (p *Platform) guard(limit *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults, the authentication and the rate limit to a call.
+func (p *Platform) withFaults(limiter *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults := p.Faults()
 		if slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
-			drop(w)
+			closeConnection(w)
 			return
 		}
 		if faults.DelayMs > 0 {
@@ -52,7 +52,7 @@
 			writeProblem(w, http.StatusUnauthorized, "wrong key")
 			return
 		}
-		if !limit.Allow() {
+		if !limiter.Allow() {
 			p.counts.limited.Add(1)
 			w.Header().Set("Retry-After", "0.1")
 			writeProblem(w, http.StatusTooManyRequests, "rate limit")
@@ -94,7 +94,7 @@
 		return
 	}
 	version, ok := p.Put(r.PathValue("kind"), r.PathValue("name"), ifVersion, value)
-	p.answerWrite(w, version, ok)
+	p.writeVersion(w, version, ok)
 }
 
 func (p *Platform) deleteObject(w http.ResponseWriter, r *http.Request) {
@@ -105,13 +105,13 @@
 		return
 	}
 	version, ok := p.Delete(r.PathValue("kind"), r.PathValue("name"), ifVersion)
-	p.answerWrite(w, version, ok)
+	p.writeVersion(w, version, ok)
 }
 
-func (p *Platform) answerWrite(w http.ResponseWriter, version int, ok bool) {
-	if share := p.Faults().LoseAnswers; share > 0 && p.strikes(share) {
+func (p *Platform) writeVersion(w http.ResponseWriter, version int, ok bool) {
+	if share := p.Faults().LoseAnswers; share > 0 && p.shouldInject(share) {
 		p.counts.lost.Add(1)
-		drop(w)
+		closeConnection(w)
 		return
 	}
 	status := http.StatusOK
@@ -121,51 +121,52 @@
 	writeJSON(w, status, map[string]int{"version": version})
 }
 
-func (p *Platform) strikes(share float64) bool {
+func (p *Platform) shouldInject(share float64) bool {
 	return p.Chance == nil || p.Chance() < share
 }
 
-func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) watchObjects(w http.ResponseWriter, r *http.Request) {
 	p.counts.watches.Add(1)
-	p.waiting.Add(1)
-	defer p.waiting.Add(-1)
+	p.activeWatches.Add(1)
+	defer p.activeWatches.Add(-1)
 	from, err := strconv.Atoi(r.Header.Get("From-Version"))
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, "From-Version is not a number")
 		return
 	}
 	kind := r.PathValue("kind")
-	out := json.NewEncoder(w)
-	flush := http.NewResponseController(w)
-	for started := false; ; started = true {
+	encoder := json.NewEncoder(w)
+	controller := http.NewResponseController(w)
+	for streaming := false; ; streaming = true {
 		faults := p.Faults()
 		if faults.Outage || slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
-			drop(w)
+			closeConnection(w)
 			return
 		}
 		lag := time.Duration(faults.WatchLagMs) * time.Millisecond
-		events, next, changed, kept := p.since(kind, from, lag)
-		if !kept && !started {
+		events, next, changed, retained := p.eventsAfter(kind, from, lag)
+		if !retained && !streaming {
 			writeProblem(w, http.StatusGone, "version too old")
 			return
 		}
-		if !kept {
+		if !retained {
 			return
 		}
 		for _, e := range events {
-			_ = out.Encode(e)
+			_ = encoder.Encode(e)
 		}
 		from = next
-		_ = out.Encode(store.Event{Type: store.EventBookmark, Version: from})
-		_ = flush.Flush()
-		if !waitChange(r, changed, lag) {
+		_ = encoder.Encode(store.Event{Type: store.EventBookmark, Version: from})
+		_ = controller.Flush()
+		if !waitForChange(r, changed, lag) {
 			return
 		}
 	}
 }
 
-// waitChange waits for the next change or the next bookmark.
-func waitChange(r *http.Request, changed chan struct{}, lag time.Duration) bool {
+// waitForChange waits for the next change or the next bookmark. It reports whether
+// the request is still open.
+func waitForChange(r *http.Request, changed chan struct{}, lag time.Duration) bool {
 	t := time.NewTimer(bookmarkInterval)
 	defer t.Stop()
 	select {
--- a/stand/runs.go
+++ b/stand/runs.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Runs counts how often each marked request ran, over all the stand-ins that
-// share it. The zero value works.
+// Runs counts how often each marked request was executed by the fakes that share
+// it. The zero value is ready for use.
 type Runs struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Add counts one run of the request with marker id; "" is not counted.
+// Add counts one execution of the request with marker id; "" is not counted.
 func (r *Runs) Add(id string) {
 	if id == "" {
 		return
@@ -22,14 +22,14 @@
 	r.runs[id]++
 }
 
-// Of returns how often the request ran.
+// Of returns how often the request was executed.
 func (r *Runs) Of(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[id]
 }
 
-// All returns a copy of the counts.
+// All returns a copy of the counts by request.
 func (r *Runs) All() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/stand/service.go
+++ b/stand/service.go
@@ -15,38 +15,38 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-const defaultServiceTime = 5 * time.Millisecond
+const defaultCallDuration = 5 * time.Millisecond
 
-// ServiceFaults are the faults that can be switched on a Service.
+// ServiceFaults are the faults that can be injected into a Service.
 type ServiceFaults struct {
-	// LoseAnswers is the share of calls whose connection breaks after the
-	// call has run; CutBefore of those that break before it has.
+	// LoseAnswers is the fraction of calls whose connection breaks after
+	// execution, CutBefore of those whose connection breaks before it.
 	LoseAnswers float64 `json:"lose_answers"`
 	CutBefore   float64 `json:"cut_before"`
-	// Hang runs calls and answers nothing.
+	// Hang executes calls and sends no responses.
 	Hang     bool `json:"hang"`
 	Draining bool `json:"draining"`
 }
 
-// ServiceAnswer is what a Service answers to a call.
+// ServiceAnswer is the response of a Service to a call.
 type ServiceAnswer struct {
 	Status string `json:"status"`
 	Digest string `json:"digest"`
 }
 
-// Service is the stand-in of a plain service, which runs a call each time it
-// is sent. The zero value works.
+// Service is a fake plain service, which executes a call each time it is sent.
+// The zero value is ready for use.
 type Service struct {
 	Name string
-	// Time is how long a call takes.
+	// Time is the execution time of a call.
 	Time   time.Duration
 	Runs   *Runs
 	Chance func() float64
 
-	running atomic.Int64
-	calls   atomic.Int64
-	mu      sync.Mutex
-	faults  ServiceFaults
+	runningCalls  atomic.Int64
+	executedCalls atomic.Int64
+	mu            sync.Mutex
+	faults        ServiceFaults
 }
 
 // SetFaults replaces the faults.
@@ -56,40 +56,41 @@
 	s.faults = f
 }
 
-// Faults returns the faults now switched on.
+// Faults returns the faults that are currently injected.
 func (s *Service) Faults() ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns how many calls have run.
-func (s *Service) Calls() int64 { return s.calls.Load() }
+// Calls returns how many calls were executed.
+func (s *Service) Calls() int64 { return s.executedCalls.Load() }
 
-// DigestOf returns the digest a Service answers to a body.
+// DigestOf returns the digest of a request body that a Service responds with.
 func DigestOf(body []byte) string {
 	d := xxhash.New()
 	_, _ = d.Write(body)
 	return hex.EncodeToString(d.Sum(nil))
 }
 
-// Handler serves the service's calls, its load report and the control path.
+// Handler returns the handler of the service's calls, its load report and the
+// control path.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /load", s.load)
+	mux.HandleFunc("GET /load", s.handleLoad)
 	mux.HandleFunc("PUT /control/faults", s.controlFaults)
 	mux.HandleFunc("GET /control/runs", func(w http.ResponseWriter, _ *http.Request) { writeRuns(w, s.Runs) })
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.handleCall)
 	return mux
 }
 
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, wire.LoadReport{
-		Running: int(s.running.Load()), Draining: s.Faults().Draining, Residents: []wire.Resident{},
+		Running: int(s.runningCalls.Load()), Draining: s.Faults().Draining, Residents: []wire.Resident{},
 	})
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	faults := s.Faults()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBody))
 	if err != nil {
@@ -101,33 +102,33 @@
 		writeProblem(w, http.StatusServiceUnavailable, "draining")
 		return
 	}
-	if s.strikes(faults.CutBefore) {
-		drop(w)
+	if s.shouldInject(faults.CutBefore) {
+		closeConnection(w)
 		return
 	}
-	s.run(r, body)
+	s.execute(r, body)
 	if faults.Hang {
 		<-r.Context().Done()
 		return
 	}
-	if s.strikes(faults.LoseAnswers) {
-		drop(w)
+	if s.shouldInject(faults.LoseAnswers) {
+		closeConnection(w)
 		return
 	}
 	writeJSON(w, http.StatusOK, ServiceAnswer{Status: "recorded", Digest: DigestOf(body)})
 }
 
-func (s *Service) run(r *http.Request, body []byte) {
-	s.running.Add(1)
-	defer s.running.Add(-1)
-	s.calls.Add(1)
+func (s *Service) execute(r *http.Request, body []byte) {
+	s.runningCalls.Add(1)
+	defer s.runningCalls.Add(-1)
+	s.executedCalls.Add(1)
 	if s.Runs != nil {
-		s.Runs.Add(findMarker(string(body) + r.URL.RawQuery))
+		s.Runs.Add(markedRequestID(string(body) + r.URL.RawQuery))
 	}
-	time.Sleep(orDefault(s.Time, defaultServiceTime))
+	time.Sleep(orDefault(s.Time, defaultCallDuration))
 }
 
-func (s *Service) strikes(share float64) bool {
+func (s *Service) shouldInject(share float64) bool {
 	return share > 0 && (s.Chance == nil || s.Chance() < share)
 }
 
--- a/stand/slots.go
+++ b/stand/slots.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// slots bounds how many streams an engine runs at once; those that wait are
-// served by priority, then in order of arrival.
-type slots struct {
-	mu      sync.Mutex
-	free    int
-	arrived int
-	waiting waitHeap
+// slotPool limits how many streams an engine runs at once. Queued streams get
+// slots by priority, then in order of arrival.
+type slotPool struct {
+	mu       sync.Mutex
+	free     int
+	arrivals int
+	queue    waitQueue
 }
 
 type waiter struct {
@@ -21,84 +21,84 @@
 	index             int
 }
 
-func (s *slots) acquire(ctx context.Context, priority int) error {
+func (s *slotPool) acquire(ctx context.Context, priority int) error {
 	s.mu.Lock()
 	if s.free > 0 {
 		s.free--
 		s.mu.Unlock()
 		return nil
 	}
-	s.arrived++
-	w := &waiter{priority: priority, arrival: s.arrived, granted: make(chan struct{})}
-	heap.Push(&s.waiting, w)
+	s.arrivals++
+	w := &waiter{priority: priority, arrival: s.arrivals, granted: make(chan struct{})}
+	heap.Push(&s.queue, w)
 	s.mu.Unlock()
 	select {
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		s.abandon(w)
+		s.cancel(w)
 		return ctx.Err()
 	}
 }
 
-// abandon takes w from the queue, or passes on the slot it was just given.
-func (s *slots) abandon(w *waiter) {
+// cancel removes w from the queue, or releases the slot that it was just granted.
+func (s *slotPool) cancel(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.index >= 0 {
-		heap.Remove(&s.waiting, w.index)
+		heap.Remove(&s.queue, w.index)
 		return
 	}
 	s.releaseLocked()
 }
 
-func (s *slots) release() {
+func (s *slotPool) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.releaseLocked()
 }
 
-func (s *slots) releaseLocked() {
-	if len(s.waiting) == 0 {
+func (s *slotPool) releaseLocked() {
+	if len(s.queue) == 0 {
 		s.free++
 		return
 	}
-	w := heap.Pop(&s.waiting).(*waiter)
+	w := heap.Pop(&s.queue).(*waiter)
 	close(w.granted)
 }
 
-func (s *slots) queued() int {
+func (s *slotPool) queueLength() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting)
+	return len(s.queue)
 }
 
-// waitHeap implements heap.Interface.
-type waitHeap []*waiter
+// waitQueue implements heap.Interface.
+type waitQueue []*waiter
 
-func (h waitHeap) Len() int { return len(h) }
+func (h waitQueue) Len() int { return len(h) }
 
-func (h waitHeap) Less(i, j int) bool {
+func (h waitQueue) Less(i, j int) bool {
 	if h[i].priority != h[j].priority {
 		return h[i].priority > h[j].priority
 	}
 	return h[i].arrival < h[j].arrival
 }
 
-func (h waitHeap) Swap(i, j int) {
+func (h waitQueue) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *waitHeap) Push(x any) {
+func (h *waitQueue) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(*h)
 	*h = append(*h, w)
 }
 
 // Pop implements heap.Interface.
-func (h *waitHeap) Pop() any {
+func (h *waitQueue) Pop() any {
 	old := *h
 	w := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/stand/stream.go
+++ b/stand/stream.go
@@ -11,7 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart/pause"
 )
 
-// Refusals of an engine: the request did not start.
+// Errors of calls that an engine rejects. The texts are the error codes of the
+// engine's protocol.
 var (
 	errNotLoaded  = errors.New("model_not_loaded")
 	errDraining   = errors.New("draining")
@@ -20,7 +21,7 @@
 	errNoStream   = errors.New("no_such_stream")
 )
 
-// generation is what a stream is asked to generate.
+// generation is a request to generate text.
 type generation struct {
 	Attempt   string                 `json:"attempt"`
 	Model     string                 `json:"model"`
@@ -29,10 +30,10 @@
 	MaxTokens int                    `json:"max_tokens"`
 	Priority  int                    `json:"priority"`
 	Chat      bool                   `json:"chat"`
-	messages  []hibiscuscart.Message // only on the way in
+	messages  []hibiscuscart.Message // not exported with the KV cache
 }
 
-// ChatPrompt returns the prompt that a chat amounts to.
+// ChatPrompt returns the prompt for the messages of a chat.
 func ChatPrompt(messages []hibiscuscart.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -41,19 +42,19 @@
 	return b.String()
 }
 
-// stream is one run of a generation.
+// stream is one run of a generation request.
 type stream struct {
 	gen    generation
-	words  []string
+	tokens []string
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	produced int
-	done     bool
-	canceled bool
-	readers  int
-	idle     time.Time
-	changed  chan struct{}
+	mu               sync.Mutex
+	produced         int
+	done             bool
+	canceled         bool
+	readers          int
+	lastReaderChange time.Time
+	changed          chan struct{}
 }
 
 func (s *stream) active() bool {
@@ -62,9 +63,9 @@
 	return !s.done && !s.canceled
 }
 
-// read returns how many words there are, whether the stream is over and the
-// channel that closes at the next change.
-func (s *stream) read() (produced int, done, canceled bool, changed chan struct{}) {
+// progress returns the number of generated tokens, whether the stream is complete
+// or canceled, and a channel that is closed at the next change.
+func (s *stream) progress() (produced int, done, canceled bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.produced, s.done, s.canceled, s.changed
@@ -78,22 +79,22 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) attach(n int) {
+func (s *stream) addReaders(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readers += n
-	s.idle = time.Now()
+	s.readers += delta
+	s.lastReaderChange = time.Now()
 }
 
-// abandoned reports whether no reader has come back within the window.
+// abandoned reports whether the stream has had no reader for longer than window.
 func (s *stream) abandoned(now time.Time, window time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers == 0 && now.Sub(s.idle) > window
+	return s.readers == 0 && now.Sub(s.lastReaderChange) > window
 }
 
-// start begins a run, or refuses it.
-func (e *Engine) start(gen generation) (*stream, error) {
+// startRun starts a run, or returns an error if the engine rejects it.
+func (e *Engine) startRun(gen generation) (*stream, error) {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,61 +104,61 @@
 	if e.streams[gen.Attempt] != nil {
 		return nil, errDuplicate
 	}
-	users, err := e.usersLocked(gen)
+	residents, err := e.requiredResidentsLocked(gen)
 	if err != nil {
 		return nil, err
 	}
-	if e.QueueLimit > 0 && e.slots.queued() >= e.QueueLimit {
+	if e.QueueLimit > 0 && e.slots.queueLength() >= e.QueueLimit {
 		return nil, errOverloaded
 	}
-	return e.launchLocked(gen, users, 0), nil
+	return e.startRunLocked(gen, residents, 0), nil
 }
 
-// usersLocked returns the residents a run uses.
-func (e *Engine) usersLocked(gen generation) ([]residentKey, error) {
-	key, base := e.residentLocked(gen.Model, "")
+// requiredResidentsLocked returns the model and the adapter that a run uses.
+func (e *Engine) requiredResidentsLocked(gen generation) ([]residentKey, error) {
+	key, base := e.newestLoadedLocked(gen.Model, "")
 	if base == nil {
 		return nil, errNotLoaded
 	}
-	users := []residentKey{key}
+	required := []residentKey{key}
 	if gen.Adapter == "" {
-		return users, nil
+		return required, nil
 	}
-	key, adapter := e.residentLocked(gen.Model, gen.Adapter)
+	key, adapter := e.newestLoadedLocked(gen.Model, gen.Adapter)
 	if adapter == nil {
 		return nil, errNotLoaded
 	}
-	return append(users, key), nil
+	return append(required, key), nil
 }
 
-func (e *Engine) launchLocked(gen generation, users []residentKey, produced int) *stream {
+func (e *Engine) startRunLocked(gen generation, residents []residentKey, produced int) *stream {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &stream{
-		gen: gen, cancel: cancel, produced: produced, idle: time.Now(), changed: make(chan struct{}),
-		words: Answer(gen.Model, gen.Adapter, gen.Prompt, gen.MaxTokens),
+		gen: gen, cancel: cancel, produced: produced, lastReaderChange: time.Now(), changed: make(chan struct{}),
+		tokens: Answer(gen.Model, gen.Adapter, gen.Prompt, gen.MaxTokens),
 	}
 	e.streams[gen.Attempt] = s
-	for _, k := range users {
-		e.residents[k].users++
+	for _, k := range residents {
+		e.residents[k].activeRuns++
 	}
 	e.counts.started.Add(1)
-	e.lastStart = time.Now()
+	e.lastRunStart = time.Now()
 	if e.Runs != nil && produced == 0 {
-		e.Runs.Add(findMarker(gen.Prompt))
+		e.Runs.Add(markedRequestID(gen.Prompt))
 	}
-	go e.generate(ctx, s, users)
+	go e.generate(ctx, s, residents)
 	return s
 }
 
-func (e *Engine) generate(ctx context.Context, s *stream, users []residentKey) {
-	defer e.endStream(s, users)
+func (e *Engine) generate(ctx context.Context, s *stream, residents []residentKey) {
+	defer e.releaseRun(s, residents)
 	if err := e.slots.acquire(ctx, s.gen.Priority); err != nil {
 		s.update(func() { s.canceled = true })
 		return
 	}
 	defer e.slots.release()
 	wait := e.FirstToken
-	if e.cache.touch(prefixOf(s.gen)) {
+	if e.cache.add(prefixHash(s.gen)) {
 		wait /= 2
 	}
 	for {
@@ -170,7 +171,7 @@
 		finished := false
 		s.update(func() {
 			s.produced++
-			s.done = s.produced >= len(s.words)
+			s.done = s.produced >= len(s.tokens)
 			finished = s.done
 		})
 		if finished {
@@ -181,33 +182,34 @@
 	}
 }
 
-func prefixOf(gen generation) uint64 {
+func prefixHash(gen generation) uint64 {
 	r := hibiscuscart.Request{Model: gen.Model, Prompt: gen.Prompt, Messages: gen.messages}
 	return r.PrefixHash()
 }
 
-// endStream gives back what the run used and forgets it after the window.
-func (e *Engine) endStream(s *stream, users []residentKey) {
+// releaseRun releases the model and adapter of a run, and discards its stream
+// after the resume window.
+func (e *Engine) releaseRun(s *stream, residents []residentKey) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, k := range users {
+	for _, k := range residents {
 		r := e.residents[k]
 		if r == nil {
 			continue
 		}
-		r.users--
-		e.dropIfIdleLocked(k, r)
+		r.activeRuns--
+		e.unloadIfUnusedLocked(k, r)
 	}
-	time.AfterFunc(e.ResumeWindow, func() { e.forget(s) })
+	time.AfterFunc(e.ResumeWindow, func() { e.removeStream(s) })
 }
 
-func (e *Engine) forget(s *stream) {
+func (e *Engine) removeStream(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.streams, s.gen.Attempt)
 }
 
-func (e *Engine) stream(attempt string) (*stream, error) {
+func (e *Engine) findStream(attempt string) (*stream, error) {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,7 +222,7 @@
 
 // Cancel stops a run.
 func (e *Engine) Cancel(attempt string) error {
-	s, err := e.stream(attempt)
+	s, err := e.findStream(attempt)
 	if err != nil {
 		return err
 	}
@@ -228,7 +230,7 @@
 	return nil
 }
 
-// kvState is an exported KV cache: what was generated and how far.
+// kvState is an exported KV cache: the request and the number of tokens generated.
 type kvState struct {
 	Generation generation `json:"generation"`
 	Produced   int        `json:"produced"`
@@ -237,20 +239,20 @@
 
 const kvBytesPerToken = 128 << 10
 
-// exportKV stops a run and returns its state.
+// exportKV stops a run and returns its KV cache.
 func (e *Engine) exportKV(attempt string) (kvState, error) {
-	s, err := e.stream(attempt)
+	s, err := e.findStream(attempt)
 	if err != nil {
 		return kvState{}, err
 	}
 	s.cancel()
-	produced, _, _, _ := s.read()
+	produced, _, _, _ := s.progress()
 	tokens := produced + len(s.gen.Prompt)/4
 	return kvState{Generation: s.gen, Produced: produced, Bytes: tokens * kvBytesPerToken}, nil
 }
 
-// importKV goes on with a run that another engine exported. It is the same
-// run, so it is not counted again.
+// importKV continues a run that another engine exported. It is the same
+// execution, so it is not counted again.
 func (e *Engine) importKV(state kvState) error {
 	e.init()
 	e.mu.Lock()
@@ -258,10 +260,10 @@
 	if e.streams[state.Generation.Attempt] != nil {
 		return errDuplicate
 	}
-	users, err := e.usersLocked(state.Generation)
+	residents, err := e.requiredResidentsLocked(state.Generation)
 	if err != nil {
 		return err
 	}
-	e.launchLocked(state.Generation, users, state.Produced)
+	e.startRunLocked(state.Generation, residents, state.Produced)
 	return nil
 }
--- a/stand/weights.go
+++ b/stand/weights.go
@@ -11,24 +11,24 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Weights is the stand-in of the weight store. The zero value works, with the
-// rates of Vadodara and a model load of half a second.
+// Weights is a fake weight store. The zero value is ready for use, with the load
+// limits of the example deployment vadodara and a model load time of half a second.
 type Weights struct {
-	// LoadsPerSecond bounds how many model loads may start a second.
+	// LoadsPerSecond is the maximum rate at which model loads start.
 	LoadsPerSecond float64
-	// LoadsAtFullSpeed is how many model loads run at once before each slows.
+	// LoadsAtFullSpeed is how many concurrent model loads run at full speed.
 	LoadsAtFullSpeed int
-	// ModelLoad and AdapterLoad are the times at full speed.
+	// ModelLoad and AdapterLoad are the load times at full speed.
 	ModelLoad, AdapterLoad time.Duration
-	// AdaptersInTransit is how many adapters load at once before each slows.
+	// AdaptersInTransit is how many concurrent adapter loads run at full speed.
 	AdaptersInTransit int
 
-	once     sync.Once
-	starts   *rate.Limiter
-	mu       sync.Mutex
-	models   int
-	adapters int
-	loads    int
+	once               sync.Once
+	startLimiter       *rate.Limiter
+	mu                 sync.Mutex
+	activeModelLoads   int
+	activeAdapterLoads int
+	completedLoads     int
 }
 
 func (s *Weights) init() {
@@ -38,7 +38,7 @@
 		s.AdaptersInTransit = orDefault(s.AdaptersInTransit, 30)
 		s.ModelLoad = orDefault(s.ModelLoad, 500*time.Millisecond)
 		s.AdapterLoad = orDefault(s.AdapterLoad, 7*time.Millisecond)
-		s.starts = rate.NewLimiter(rate.Limit(s.LoadsPerSecond), s.LoadsAtFullSpeed)
+		s.startLimiter = rate.NewLimiter(rate.Limit(s.LoadsPerSecond), s.LoadsAtFullSpeed)
 	})
 }
 
@@ -50,24 +50,24 @@
 	return v
 }
 
-// Loads returns how many loads have ended.
+// Loads returns the number of ended loads, canceled ones included.
 func (s *Weights) Loads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.loads
+	return s.completedLoads
 }
 
-// Fetch brings the weights of an order; it returns when they are there.
+// Fetch loads the weights for an order and returns when the load is complete.
 func (s *Weights) Fetch(ctx context.Context, order wire.Order) error {
 	s.init()
 	if order.Adapter == "" {
-		if err := s.starts.Wait(ctx); err != nil {
+		if err := s.startLimiter.Wait(ctx); err != nil {
 			return fmt.Errorf("wait for the weight store: %w", err)
 		}
 	}
-	took := s.begin(order)
-	defer s.end(order)
-	t := time.NewTimer(took)
+	duration := s.startLoad(order)
+	defer s.endLoad(order)
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -77,32 +77,33 @@
 	}
 }
 
-// begin returns the time the load takes among those in transit now.
-func (s *Weights) begin(order wire.Order) time.Duration {
+// startLoad counts a load as active and returns its duration, which depends on
+// the number of active loads.
+func (s *Weights) startLoad(order wire.Order) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if order.Adapter != "" {
-		s.adapters++
-		return slowed(s.AdapterLoad, s.adapters, s.AdaptersInTransit)
+		s.activeAdapterLoads++
+		return loadDuration(s.AdapterLoad, s.activeAdapterLoads, s.AdaptersInTransit)
 	}
-	s.models++
-	return slowed(s.ModelLoad, s.models, s.LoadsAtFullSpeed)
+	s.activeModelLoads++
+	return loadDuration(s.ModelLoad, s.activeModelLoads, s.LoadsAtFullSpeed)
 }
 
-func slowed(d time.Duration, inTransit, fullSpeed int) time.Duration {
-	if inTransit <= fullSpeed {
-		return d
+func loadDuration(fullSpeedDuration time.Duration, activeLoads, fullSpeedLoads int) time.Duration {
+	if activeLoads <= fullSpeedLoads {
+		return fullSpeedDuration
 	}
-	return d * time.Duration(inTransit) / time.Duration(fullSpeed)
+	return fullSpeedDuration * time.Duration(activeLoads) / time.Duration(fullSpeedLoads)
 }
 
-func (s *Weights) end(order wire.Order) {
+func (s *Weights) endLoad(order wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loads++
+	s.completedLoads++
 	if order.Adapter != "" {
-		s.adapters--
+		s.activeAdapterLoads--
 		return
 	}
-	s.models--
+	s.activeModelLoads--
 }
--- a/stand/weights_http.go
+++ b/stand/weights_http.go
@@ -10,8 +10,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Handler serves the weight store: an order is answered when its weights are
-// there.
+// Handler returns the handler of the weight store. It responds to an order when
+// its weights are loaded.
 func (s *Weights) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var order wire.Order
@@ -26,13 +26,13 @@
 	})
 }
 
-// WeightsClient returns the Fetch function of an engine whose weight store is
-// at base.
+// WeightsClient returns a Fetch function for engines, which loads weights from
+// the weight store at the URL base.
 func WeightsClient(base string) func(ctx context.Context, order wire.Order) error {
 	return func(ctx context.Context, order wire.Order) error {
 		req, err := sling.New().Base(base).Post("/weights").BodyJSON(order).Request()
 		if err != nil {
-			return fmt.Errorf("build request: %w", err)
+			return fmt.Errorf("build weight store request: %w", err)
 		}
 		resp, err := http.DefaultClient.Do(req.WithContext(ctx))
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("fetch weights: the store answered %d", resp.StatusCode)
+			return fmt.Errorf("fetch weights: weight store responded with status %d", resp.StatusCode)
 		}
 		return nil
 	}
