--- a/engine/client.go
+++ b/engine/client.go
@@ -1,6 +1,6 @@
-// Package engine is the client of a model engine: streams of generated text
-// that can be resumed and cancelled, load reports, cache events, orders with a
-// fencing number, and the export and import of a run's KV cache.
+// Package engine provides a client for model engines: streams of generated text
+// that can be resumed and canceled, load reports, cache events, orders with a
+// fencing number, and the export and import of the KV cache of a run.
 package engine
 
 import (
@@ -30,30 +30,30 @@
 
 const maxErrorBody = 4 << 10
 
-// Codes with which an engine refuses a request that it did not start.
+// Error codes of an engine that rejects a request without starting it.
 const (
 	RefusedNotLoaded  = "model_not_loaded"
 	RefusedDraining   = "draining"
 	RefusedOverloaded = "overloaded"
 )
 
-// Client calls engines by address. The zero value works.
+// Client calls engines by address. The zero value is ready for use.
 type Client struct {
-	// HTTP carries the calls; nil uses a Client of its own.
+	// HTTP sends the calls; nil creates a client at the first call.
 	HTTP *httpx.Client
 }
 
-// New returns a Client with its own connections.
+// New returns a Client with its own connection pool.
 func New() *Client { return &Client{HTTP: &httpx.Client{}} }
 
-func (c *Client) http() *httpx.Client {
+func (c *Client) httpClient() *httpx.Client {
 	if c.HTTP == nil {
 		c.HTTP = &httpx.Client{}
 	}
 	return c.HTTP
 }
 
-// Generation is what a stream is asked to generate.
+// Generation is a request to generate text.
 type Generation struct {
 	Model     string                 `json:"model"`
 	Adapter   string                 `json:"adapter,omitempty"`
@@ -64,60 +64,60 @@
 	Stream    bool                   `json:"stream"`
 }
 
-func base(address string) *sling.Sling { return sling.New().Base("http://" + address) }
+func requestTo(address string) *sling.Sling { return sling.New().Base("http://" + address) }
 
-// Generate starts a run and hands over its frames until the end frame. Its
-// errors are Failures whose cause tells whether the run may have started.
-func (c *Client) Generate(ctx context.Context, address, attempt string, g Generation, frame func(hibiscuscart.Frame) error) error {
+// Generate starts a run and calls onFrame for each frame until the end frame. Its
+// errors are Failures; the cause states whether the run may have started.
+func (c *Client) Generate(ctx context.Context, address, attempt string, g Generation, onFrame func(hibiscuscart.Frame) error) error {
 	g.Stream = true
 	path := "/v1/completions"
 	if len(g.Messages) > 0 {
 		path = "/v1/chat/completions"
 	}
-	s := base(address).Post(path).Set(HeaderAttempt, attempt).BodyJSON(g)
-	return c.stream(ctx, s, frame)
+	s := requestTo(address).Post(path).Set(HeaderAttempt, attempt).BodyJSON(g)
+	return c.stream(ctx, s, onFrame)
 }
 
-// Resume goes on with a run after the frame with the given sequence number.
-func (c *Client) Resume(ctx context.Context, address, attempt string, after int, frame func(hibiscuscart.Frame) error) error {
-	s := base(address).Get("/v1/streams/"+attempt).Set(HeaderLast, strconv.Itoa(after))
-	return c.stream(ctx, s, frame)
+// Resume continues a stream after the frame with the given sequence number.
+func (c *Client) Resume(ctx context.Context, address, attempt string, after int, onFrame func(hibiscuscart.Frame) error) error {
+	s := requestTo(address).Get("/v1/streams/"+attempt).Set(HeaderLast, strconv.Itoa(after))
+	return c.stream(ctx, s, onFrame)
 }
 
-func (c *Client) stream(ctx context.Context, s *sling.Sling, frame func(hibiscuscart.Frame) error) error {
-	resp, err := c.open(ctx, s)
+func (c *Client) stream(ctx context.Context, s *sling.Sling, onFrame func(hibiscuscart.Frame) error) error {
+	resp, err := c.openStream(ctx, s)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	if err := readFrames(resp.Body, frame); err != nil {
+	if err := readFrames(resp.Body, onFrame); err != nil {
 		return streamError(ctx, err)
 	}
 	return nil
 }
 
-// open sends a request and returns its answer when the engine took it up.
-func (c *Client) open(ctx context.Context, s *sling.Sling) (*http.Response, error) {
+// openStream sends a request and returns the response if the engine accepted it.
+func (c *Client) openStream(ctx context.Context, s *sling.Sling) (*http.Response, error) {
 	req, err := s.Request()
 	if err != nil {
-		return nil, fmt.Errorf("build request: %w", err)
+		return nil, fmt.Errorf("build stream request: %w", err)
 	}
 	req = req.WithContext(ctx)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	resp, written, err := c.http().Do(req)
+	resp, written, err := c.httpClient().Do(req)
 	if err != nil {
 		return nil, httpx.SendFailure(ctx, written, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, refusal(resp)
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-// refusal reads the engine's error object. Only the codes by which an engine
-// says that it did not start count as such.
-func refusal(resp *http.Response) error {
+// responseError returns the Failure for the error object of an engine. The cause is
+// CauseRefused only for the codes of requests that the engine did not start.
+func responseError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	var body struct {
 		Error struct {
@@ -144,13 +144,13 @@
 	return hibiscuscart.Fail(hibiscuscart.CauseLostInStream, "the stream broke").WithError(err)
 }
 
-// call makes a control call and decodes its JSON answer into v.
-func (c *Client) call(ctx context.Context, s *sling.Sling, v any) error {
+// callJSON makes a control call and decodes its JSON response into v.
+func (c *Client) callJSON(ctx context.Context, s *sling.Sling, v any) error {
 	req, err := s.Request()
 	if err != nil {
-		return fmt.Errorf("build request: %w", err)
+		return fmt.Errorf("build engine request: %w", err)
 	}
-	resp, _, err := c.http().Do(req.WithContext(ctx))
+	resp, _, err := c.httpClient().Do(req.WithContext(ctx))
 	if err != nil {
 		return fmt.Errorf("call engine: %w", err)
 	}
@@ -160,26 +160,26 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
-		return fmt.Errorf("engine answered %d: %s", resp.StatusCode, text)
+		return fmt.Errorf("engine responded with status %d: %s", resp.StatusCode, text)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(v); err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("decode engine response: %w", err)
 	}
 	return nil
 }
 
-// OldFenceError says that the engine has seen a higher fencing number; the
-// order had no effect and its sender is not the controller any more.
+// OldFenceError reports that the engine has received a higher fencing number. The
+// order had no effect, and its sender is no longer the controller.
 type OldFenceError struct{}
 
 // Error implements error.
-func (e *OldFenceError) Error() string { return "the engine has seen a higher fencing number" }
+func (e *OldFenceError) Error() string { return "engine has received a higher fencing number" }
 
 // Cancel stops a run.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	var ignored struct{}
-	if err := c.call(ctx, base(address).Delete("/v1/streams/"+attempt), &ignored); err != nil {
-		return fmt.Errorf("cancel %s: %w", attempt, err)
+	if err := c.callJSON(ctx, requestTo(address).Delete("/v1/streams/"+attempt), &ignored); err != nil {
+		return fmt.Errorf("cancel run %s: %w", attempt, err)
 	}
 	return nil
 }
@@ -187,8 +187,8 @@
 // Load returns the engine's load report.
 func (c *Client) Load(ctx context.Context, address string) (wire.LoadReport, error) {
 	var report wire.LoadReport
-	if err := c.call(ctx, base(address).Get("/load"), &report); err != nil {
-		return wire.LoadReport{}, fmt.Errorf("load report: %w", err)
+	if err := c.callJSON(ctx, requestTo(address).Get("/load"), &report); err != nil {
+		return wire.LoadReport{}, fmt.Errorf("get load report: %w", err)
 	}
 	return report, nil
 }
@@ -196,29 +196,29 @@
 // CacheEvents returns the cache events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int) ([]wire.CacheEvent, error) {
 	var events []wire.CacheEvent
-	s := base(address).Get("/events").Set(HeaderLast, strconv.Itoa(after))
-	if err := c.call(ctx, s, &events); err != nil {
-		return nil, fmt.Errorf("cache events: %w", err)
+	s := requestTo(address).Get("/events").Set(HeaderLast, strconv.Itoa(after))
+	if err := c.callJSON(ctx, s, &events); err != nil {
+		return nil, fmt.Errorf("get cache events: %w", err)
 	}
 	return events, nil
 }
 
-// Order sends an order under a fencing number. Sending it again is idempotent.
+// Order sends an order with a fencing number. A repeated order has no effect.
 func (c *Client) Order(ctx context.Context, address string, order wire.Order, fence int) error {
 	var ignored struct{}
-	s := base(address).Post("/orders").Set(HeaderFencing, strconv.Itoa(fence)).BodyJSON(order)
-	if err := c.call(ctx, s, &ignored); err != nil {
-		return fmt.Errorf("order %s: %w", order.Order, err)
+	s := requestTo(address).Post("/orders").Set(HeaderFencing, strconv.Itoa(fence)).BodyJSON(order)
+	if err := c.callJSON(ctx, s, &ignored); err != nil {
+		return fmt.Errorf("send order %s: %w", order.Order, err)
 	}
 	return nil
 }
 
-// RaiseFence makes the engine refuse orders with a lower fencing number.
+// RaiseFence makes the engine reject orders with a lower fencing number.
 func (c *Client) RaiseFence(ctx context.Context, address string, fence int) error {
 	var ignored struct{}
-	s := base(address).Put("/fence").Set(HeaderFencing, strconv.Itoa(fence))
-	if err := c.call(ctx, s, &ignored); err != nil {
-		return fmt.Errorf("raise fence to %d: %w", fence, err)
+	s := requestTo(address).Put("/fence").Set(HeaderFencing, strconv.Itoa(fence))
+	if err := c.callJSON(ctx, s, &ignored); err != nil {
+		return fmt.Errorf("raise fencing number to %d: %w", fence, err)
 	}
 	return nil
 }
@@ -226,17 +226,17 @@
 // Export stops a run and returns its state for Import on another engine.
 func (c *Client) Export(ctx context.Context, address, attempt string) (json.RawMessage, error) {
 	var state json.RawMessage
-	if err := c.call(ctx, base(address).Post("/v1/streams/"+attempt+"/export"), &state); err != nil {
-		return nil, fmt.Errorf("export %s: %w", attempt, err)
+	if err := c.callJSON(ctx, requestTo(address).Post("/v1/streams/"+attempt+"/export"), &state); err != nil {
+		return nil, fmt.Errorf("export run %s: %w", attempt, err)
 	}
 	return state, nil
 }
 
-// Import goes on with an exported run; Resume reads its frames.
+// Import continues an exported run; Resume reads its frames.
 func (c *Client) Import(ctx context.Context, address string, state json.RawMessage) error {
 	var ignored struct{}
-	if err := c.call(ctx, base(address).Post("/v1/streams/import").BodyJSON(state), &ignored); err != nil {
-		return fmt.Errorf("import: %w", err)
+	if err := c.callJSON(ctx, requestTo(address).Post("/v1/streams/import").BodyJSON(state), &ignored); err != nil {
+		return fmt.Errorf("import run: %w", err)
 	}
 	return nil
 }
--- a/engine/events.go
+++ b/engine/events.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	maxEventBytes = 1 << 20
-	endMarker     = "[DONE]"
-	maxTail       = 4 << 10
+	maxEventBytes    = 1 << 20
+	endOfStream      = "[DONE]"
+	maxTrailingBytes = 4 << 10
 )
 
-var errNoEnd = errors.New("the stream ended without its end frame")
+var errMissingEndFrame = errors.New("stream ended without the end frame")
 
-// readFrames reads server-sent events (WHATWG HTML, section 9.2) as frames
-// until the end frame.
-func readFrames(r io.Reader, frame func(hibiscuscart.Frame) error) error {
+// readFrames decodes server-sent events (WHATWG HTML, section 9.2) into frames
+// and calls onFrame for each until the end frame.
+func readFrames(r io.Reader, onFrame func(hibiscuscart.Frame) error) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	sequence := 0
@@ -33,7 +33,7 @@
 		case "id":
 			n, err := strconv.Atoi(string(value))
 			if err != nil {
-				return fmt.Errorf("event id %q: %w", value, err)
+				return fmt.Errorf("parse event id %q: %w", value, err)
 			}
 			sequence = n
 		case "data":
@@ -41,11 +41,11 @@
 			if err != nil {
 				return err
 			}
-			if err := frame(f); err != nil {
-				return fmt.Errorf("frame %d: %w", sequence, err)
+			if err := onFrame(f); err != nil {
+				return fmt.Errorf("handle frame %d: %w", sequence, err)
 			}
 			if f.End {
-				drain(r)
+				drainBody(r)
 				return nil
 			}
 		}
@@ -53,16 +53,16 @@
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read stream: %w", err)
 	}
-	return errNoEnd
+	return errMissingEndFrame
 }
 
-// drain reads what follows the end frame, which is nothing but the end of the
-// body: a body that is closed before its end takes its connection with it.
-func drain(r io.Reader) { _, _ = io.CopyN(io.Discard, r, maxTail) }
+// drainBody reads the rest of the body after the end frame. The connection is
+// reused only if the body is read to its end.
+func drainBody(r io.Reader) { _, _ = io.CopyN(io.Discard, r, maxTrailingBytes) }
 
-// parseFrame decodes one event. The end frame carries no attempt of its own.
+// parseFrame decodes the data of one event. The end frame has no attempt ID.
 func parseFrame(sequence int, data []byte) (hibiscuscart.Frame, error) {
-	if string(data) == endMarker {
+	if string(data) == endOfStream {
 		return hibiscuscart.Frame{Sequence: sequence, End: true}, nil
 	}
 	var body struct {
