--- a/plain/client.go
+++ b/plain/client.go
@@ -1,5 +1,5 @@
-// Package plain is the client of plain services: HTTP calls that are passed
-// through, and their load reports.
+// Package plain provides a client for plain services: forwarded HTTP calls and
+// load reports.
 package plain
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// HeaderAttempt names the attempt to the service. The caller's Idempotency-Key
-// is not passed on under its own name: with it, net/http would repeat a broken
-// call by itself, and a call that may run once would run twice.
+// HeaderAttempt is the header with the attempt ID. The caller's Idempotency-Key
+// header is not forwarded: net/http retries a call with that header when its
+// connection breaks, so a call that may run at most once would run twice.
 const HeaderAttempt = "Attempt-Id"
 
-// HeaderNotRun is set by a service that refuses a call without running it.
+// HeaderNotRun is set by a service that rejects a call without executing it.
 const HeaderNotRun = "Not-Run"
 
 // Call is one call to a service.
@@ -35,48 +35,48 @@
 	Body        []byte
 }
 
-// Answer is the whole answer of a service.
+// Answer is the complete response of a service.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Client calls services by address. The zero value works.
+// Client calls services by address. The zero value is ready for use.
 type Client struct {
-	// HTTP carries the calls; nil uses a Client of its own.
+	// HTTP sends the calls; nil creates a client at the first call.
 	HTTP *httpx.Client
-	// MaxAnswerBytes bounds an answer; 0 takes a megabyte.
+	// MaxAnswerBytes is the maximum size of a response body; 0 is 1 MiB.
 	MaxAnswerBytes int64
 }
 
-// New returns a Client with its own connections.
+// New returns a Client with its own connection pool.
 func New() *Client { return &Client{HTTP: &httpx.Client{}} }
 
-const defaultMaxAnswer = 1 << 20
+const defaultMaxResponseBytes = 1 << 20
 
-func (c *Client) http() *httpx.Client {
+func (c *Client) httpClient() *httpx.Client {
 	if c.HTTP == nil {
 		c.HTTP = &httpx.Client{}
 	}
 	return c.HTTP
 }
 
-// Do sends a call once and returns the whole answer. Its errors are Failures
-// whose cause tells whether the call may have run.
+// Do sends a call once and returns the complete response. Its errors are Failures;
+// the cause states whether the call may have been executed.
 func (c *Client) Do(ctx context.Context, address, attempt string, call Call) (Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return Answer{}, fmt.Errorf("build call: %w", err)
 	}
-	// net/http repeats by itself a call that it can rewind and that looks
-	// idempotent, such as a GET, when a kept-alive connection breaks. A body
-	// that can not be rewound keeps it from that.
+	// When a kept-alive connection breaks, net/http retries a call that appears
+	// idempotent, such as a GET, if it can rewind the body. A body that cannot
+	// be rewound prevents the retry.
 	req.Body, req.GetBody = io.NopCloser(bytes.NewReader(call.Body)), nil
 	req.Header.Set(HeaderAttempt, attempt)
 	req.Header.Set("Content-Type", call.ContentType)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	resp, written, err := c.http().Do(req)
+	resp, written, err := c.httpClient().Do(req)
 	if err != nil {
 		return Answer{}, httpx.SendFailure(ctx, written, err)
 	}
@@ -84,13 +84,13 @@
 	if reason := resp.Header.Get(HeaderNotRun); reason != "" {
 		return Answer{}, hibiscuscart.Fail(hibiscuscart.CauseRefused, "%s", reason)
 	}
-	return c.readAnswer(ctx, resp)
+	return c.readResponse(ctx, resp)
 }
 
-func (c *Client) readAnswer(ctx context.Context, resp *http.Response) (Answer, error) {
+func (c *Client) readResponse(ctx context.Context, resp *http.Response) (Answer, error) {
 	limit := c.MaxAnswerBytes
 	if limit == 0 {
-		limit = defaultMaxAnswer
+		limit = defaultMaxResponseBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
@@ -106,15 +106,15 @@
 func (c *Client) Load(ctx context.Context, address string) (wire.LoadReport, error) {
 	req, err := sling.New().Base("http://" + address).Get("/load").Request()
 	if err != nil {
-		return wire.LoadReport{}, fmt.Errorf("build request: %w", err)
+		return wire.LoadReport{}, fmt.Errorf("build load report request: %w", err)
 	}
-	resp, _, err := c.http().Do(req.WithContext(ctx))
+	resp, _, err := c.httpClient().Do(req.WithContext(ctx))
 	if err != nil {
-		return wire.LoadReport{}, fmt.Errorf("load report: %w", err)
+		return wire.LoadReport{}, fmt.Errorf("get load report: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return wire.LoadReport{}, fmt.Errorf("load report: service answered %d", resp.StatusCode)
+		return wire.LoadReport{}, fmt.Errorf("get load report: service responded with status %d", resp.StatusCode)
 	}
 	var report wire.LoadReport
 	if err := json.NewDecoder(resp.Body).Decode(&report); err != nil {
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -14,11 +14,10 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// A service reads a call on a kept-alive connection and dies before it answers.
-// The HTTP library would send a GET, or a call with an Idempotency-Key, a
-// second time by itself; the service must see it once and the caller must be
-// told "unknown".
-func TestBrokenCallIsNotRepeated(t *testing.T) {
+// A service reads a call on a kept-alive connection and crashes before it responds.
+// net/http would retry a GET, or a call with an Idempotency-Key. The service must
+// get the call once, and the outcome must be OutcomeUnknown.
+func TestBrokenCallNotRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
 			var hits atomic.Int32
@@ -41,18 +40,18 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		faults stand.ServiceFaults
 		limit  int64
 		cause  hibiscuscart.Cause
 		ran    int64
 	}{
-		"answered":         {cause: hibiscuscart.CauseDone, ran: 1},
-		"refused":          {faults: stand.ServiceFaults{Draining: true}, cause: hibiscuscart.CauseRefused},
-		"cut before it":    {faults: stand.ServiceFaults{CutBefore: 1}, cause: hibiscuscart.CauseLostBeforeAnswer},
-		"answer lost":      {faults: stand.ServiceFaults{LoseAnswers: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
-		"answer too large": {limit: 10, cause: hibiscuscart.CauseBackendError, ran: 1},
+		"success":                     {cause: hibiscuscart.CauseDone, ran: 1},
+		"service draining":            {faults: stand.ServiceFaults{Draining: true}, cause: hibiscuscart.CauseRefused},
+		"disconnect before execution": {faults: stand.ServiceFaults{CutBefore: 1}, cause: hibiscuscart.CauseLostBeforeAnswer},
+		"disconnect after execution":  {faults: stand.ServiceFaults{LoseAnswers: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
+		"response too large":          {limit: 10, cause: hibiscuscart.CauseBackendError, ran: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
