--- a/load/answer.go
+++ b/load/answer.go
@@ -15,47 +15,47 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// End is how a request ended, as the caller saw it.
+// End is the result of a request as the caller observed it.
 type End int
 
 const (
-	// EndWhole means that the whole and right answer came.
+	// EndWhole means that the response was complete and correct.
 	EndWhole End = iota
-	// EndWrong means that an answer came, but not this request's.
+	// EndWrong means that the response was not the expected one.
 	EndWrong
-	// EndLost means that an answer was begun or promised and did not come whole, and no
-	// failure was told.
+	// EndLost means that a response started but was incomplete or malformed, and
+	// no failure was reported.
 	EndLost
-	// EndFailed means that a failure was told, with an outcome.
+	// EndFailed means that a failure with an outcome was reported.
 	EndFailed
-	// EndBroken means that the connection broke without an answer.
+	// EndBroken means that the connection broke before a response.
 	EndBroken
-	// EndNotReached means that no VM could be reached.
+	// EndNotReached means that no VM was reachable.
 	EndNotReached
 )
 
-// Result is what came of one request.
+// Result is the result of one request.
 type Result struct {
 	Arrival Arrival
 	// Target is the address of the VM the request was sent to.
 	Target string
 	End    End
 	Status int
-	// Outcome is what a failure told; Code its code.
+	// Outcome and Code are those of a reported failure.
 	Outcome hibiscuscart.Outcome
 	Code    string
 	Detail  string
 	Began   time.Time
 	Took    time.Duration
-	// FirstToken is the time to the first token of a stream, Gaps the times
+	// FirstToken is the time to the first token of a stream, Gaps are the times
 	// between its tokens.
 	FirstToken time.Duration
 	Gaps       []time.Duration
 	Tokens     int
 }
 
-// request builds the HTTP request of an arrival.
-func request(ctx context.Context, class Class, a Arrival, target string) (*http.Request, error) {
+// newRequest builds the HTTP request of an arrival.
+func newRequest(ctx context.Context, class Class, a Arrival, target string) (*http.Request, error) {
 	path, body := "/v1/chat/completions", ""
 	switch class.Kind {
 	case KindStream:
@@ -100,7 +100,7 @@
 	return name
 }
 
-// Answer returns the words that the stand-in gives for an arrival.
+// Answer returns the tokens that the fake engine generates for an arrival.
 func Answer(class Class, a Arrival) []string {
 	prompt := a.Prompt
 	if class.Kind == KindStream {
@@ -109,10 +109,10 @@
 	return stand.Answer(a.Model, a.Adapter, prompt, a.Tokens)
 }
 
-func want(class Class, a Arrival) string { return strings.Join(Answer(class, a), "") }
+func expectedText(class Class, a Arrival) string { return strings.Join(Answer(class, a), "") }
 
-func readAnswer(resp *http.Response, class Class, res *Result) {
-	if isFailure(resp) {
+func readResponse(resp *http.Response, class Class, res *Result) {
+	if isErrorStatus(resp) {
 		readProblem(resp, res)
 		return
 	}
@@ -120,7 +120,7 @@
 	case KindStream:
 		readStream(resp, class, res)
 	case KindWhole:
-		readWhole(resp, class, res)
+		readCompletion(resp, class, res)
 	case KindService:
 		readService(resp, res)
 	}
@@ -135,13 +135,13 @@
 func readProblem(resp *http.Response, res *Result) {
 	var body problemBody
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, "a failure without a problem document"
+		res.End, res.Detail = EndLost, "error response without a problem document"
 		return
 	}
-	res.takeProblem(body)
+	res.setProblem(body)
 }
 
-func (r *Result) takeProblem(body problemBody) {
+func (r *Result) setProblem(body problemBody) {
 	outcome, err := hibiscuscart.ParseOutcome(body.Outcome)
 	if err != nil {
 		r.End, r.Detail = EndLost, err.Error()
@@ -150,39 +150,39 @@
 	r.End, r.Outcome, r.Code, r.Detail = EndFailed, outcome, body.Title, body.Detail
 }
 
-func (r *Result) judge(got, want string) {
+func (r *Result) compare(got, want string) {
 	r.End = EndWhole
 	if got != want {
 		r.End, r.Detail = EndWrong, fmt.Sprintf("got %.60q, want %.60q", got, want)
 	}
 }
 
-func readWhole(resp *http.Response, class Class, res *Result) {
+func readCompletion(resp *http.Response, class Class, res *Result) {
 	var body struct {
 		Choices []struct {
 			Text string `json:"text"`
 		} `json:"choices"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || len(body.Choices) != 1 {
-		res.End, res.Detail = EndLost, fmt.Sprintf("answer not whole: %v", err)
+		res.End, res.Detail = EndLost, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
-	res.judge(body.Choices[0].Text, want(class, res.Arrival))
+	res.compare(body.Choices[0].Text, expectedText(class, res.Arrival))
 }
 
 func readService(resp *http.Response, res *Result) {
 	var body stand.ServiceAnswer
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, fmt.Sprintf("answer not whole: %v", err)
+		res.End, res.Detail = EndLost, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
 	sent := jsonBody(map[string]any{"entry": res.Arrival.Prompt})
-	res.judge(body.Digest, stand.DigestOf([]byte(sent)))
+	res.compare(body.Digest, stand.DigestOf([]byte(sent)))
 }
 
 func readStream(resp *http.Response, class Class, res *Result) {
 	var text strings.Builder
-	last := res.Began
+	previousToken := res.Began
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), 1<<20)
 	for lines.Scan() {
@@ -191,28 +191,28 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			res.judge(text.String(), want(class, res.Arrival))
+			res.compare(text.String(), expectedText(class, res.Arrival))
 			return
 		}
-		piece, problem := readEvent(data)
+		fragment, problem := readEvent(data)
 		if problem != nil {
-			res.takeProblem(*problem)
+			res.setProblem(*problem)
 			return
 		}
-		if piece == "" {
+		if fragment == "" {
 			continue
 		}
 		now := clock.Now()
 		if res.Tokens == 0 {
 			res.FirstToken = now.Sub(res.Began)
 		} else {
-			res.Gaps = append(res.Gaps, now.Sub(last))
+			res.Gaps = append(res.Gaps, now.Sub(previousToken))
 		}
-		last = now
+		previousToken = now
 		res.Tokens++
-		text.WriteString(piece)
+		text.WriteString(fragment)
 	}
-	res.End, res.Detail = EndLost, fmt.Sprintf("the stream ended without its end: %v", lines.Err())
+	res.End, res.Detail = EndLost, fmt.Sprintf("stream ended without the end event: %v", lines.Err())
 }
 
 func readEvent(data []byte) (string, *problemBody) {
@@ -225,7 +225,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return "", &problemBody{Outcome: "not readable"}
+		return "", &problemBody{Outcome: "malformed event"}
 	}
 	if body.Outcome != "" {
 		return "", &body.problemBody
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestScheduleIsSeeded(t *testing.T) {
+func TestScheduleSeed(t *testing.T) {
 	a := load.Schedule(7, 10*time.Second, classes())
 	require.Equal(t, a, load.Schedule(7, 10*time.Second, classes()))
 	require.NotEqual(t, a, load.Schedule(8, 10*time.Second, classes()))
@@ -35,12 +35,12 @@
 		}
 	}
 	require.InDelta(t, 500, counts[0], 100)
-	require.InDelta(t, 240, burst, 70, "the burst is tenfold")
+	require.InDelta(t, 240, burst, 70, "requests during the burst")
 }
 
-// TestSummaryFindsBrokenPromises: each way to break a promise is counted, and
-// what looks like one and is none is not.
-func TestSummaryFindsBrokenPromises(t *testing.T) {
+// Each kind of violation must be counted, and results that only resemble a
+// violation must not be.
+func TestSummaryViolations(t *testing.T) {
 	arrival := func(class int) load.Arrival { return load.Arrival{ID: "r", Class: class} }
 	failed := func(class int, o hibiscuscart.Outcome) load.Result {
 		return load.Result{Arrival: arrival(class), End: load.EndFailed, Outcome: o, Code: "c"}
@@ -50,10 +50,10 @@
 		runs    int
 		want    load.Promises
 	}{
-		"whole":                  {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 1, load.Promises{}},
-		"restarted within cap":   {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 2, load.Promises{}},
-		"run too often":          {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 3, load.Promises{DoubleRuns: 1}},
-		"once-only run twice":    {[]load.Result{{Arrival: arrival(1), End: load.EndWhole}}, 2, load.Promises{DoubleRuns: 1}},
+		"complete":               {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 1, load.Promises{}},
+		"two runs allowed":       {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 2, load.Promises{}},
+		"too many runs":          {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 3, load.Promises{DoubleRuns: 1}},
+		"at-most-once run twice": {[]load.Result{{Arrival: arrival(1), End: load.EndWhole}}, 2, load.Promises{DoubleRuns: 1}},
 		"wrong":                  {[]load.Result{{Arrival: arrival(0), End: load.EndWrong}}, 1, load.Promises{WrongAnswers: 1}},
 		"lost":                   {[]load.Result{{Arrival: arrival(0), End: load.EndLost}}, 1, load.Promises{LostAnswers: 1}},
 		"not run":                {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun)}, 0, load.Promises{}},
@@ -61,7 +61,7 @@
 		"unknown":                {[]load.Result{failed(1, hibiscuscart.OutcomeUnknown)}, 1, load.Promises{}},
 		"repeated, one ran":      {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun), {Arrival: arrival(1), End: load.EndWhole}}, 1, load.Promises{}},
 		"repeated, both ran":     {[]load.Result{{Arrival: arrival(1), End: load.EndWhole}, {Arrival: arrival(1), End: load.EndWhole}}, 2, load.Promises{DoubleRuns: 1}},
-		"no VM could be reached": {[]load.Result{{Arrival: arrival(0), End: load.EndNotReached}}, 0, load.Promises{}},
+		"no VM reachable":        {[]load.Result{{Arrival: arrival(0), End: load.EndNotReached}}, 0, load.Promises{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 		"in time":          {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(50), Gaps: []time.Duration{ms(5), ms(9)}}, 1},
 		"late first token": {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(150)}, 0},
 		"slow tokens":      {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(50), Gaps: []time.Duration{ms(20), ms(20)}}, 0},
-		"late answer":      {load.Result{End: load.EndWhole, Took: ms(1500)}, 0},
+		"late response":    {load.Result{End: load.EndWhole, Took: ms(1500)}, 0},
 		"failed":           {load.Result{End: load.EndFailed}, 0},
 	}
 	for name, c := range cases {
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,6 +1,6 @@
-// Package load sends open-loop load: requests arrive by a seeded schedule
-// whether or not earlier ones have been answered. It checks each answer
-// against what the stand-ins must have said for that very request.
+// Package load generates open-loop load: it sends requests on a seeded schedule,
+// whether or not earlier ones have completed. It compares each response with the
+// one that the fakes of package stand generate for this request.
 package load
 
 import (
@@ -13,40 +13,40 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Kind is how a request is made.
+// Kind is the kind of a request.
 type Kind int
 
 const (
-	// KindStream asks for a stream of a chat.
+	// KindStream requests a streamed chat completion.
 	KindStream Kind = iota
-	// KindWhole asks for a whole completion.
+	// KindWhole requests a completion in a single response.
 	KindWhole
 	// KindService calls a plain service.
 	KindService
 )
 
-// Class is one class of the load.
+// Class is a class of requests with the same profile, kind and rate.
 type Class struct {
 	Name    string
 	Profile wire.Profile
 	Kind    Kind
-	// Caller is the caller's key, "" for none.
+	// Caller is the API key of the caller, "" for none.
 	Caller string
-	// Rate is the mean of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
 	// Burst multiplies the rate from BurstFrom to BurstTo.
 	Burst              float64
 	BurstFrom, BurstTo time.Duration
 	MaxTokens          int
-	// Skew is the exponent of the Zipf law by which models are picked; 0 picks
-	// them evenly.
+	// Skew is the exponent of the Zipf distribution of models; 0 is a uniform
+	// distribution.
 	Skew float64
-	// Repeat is the share of once-only requests that are sent again with the
-	// same key.
+	// Repeat is the fraction of at-most-once requests that are sent twice with
+	// the same idempotency key.
 	Repeat float64
 }
 
-// Once reports whether a request of the class may run at most once.
+// Once reports whether requests of the class may run at most once.
 func (c Class) Once() bool { return c.Profile.RunsAllowed == 1 }
 
 // Arrival is one request of the schedule.
@@ -54,7 +54,7 @@
 	At    time.Duration
 	Class int
 	ID    string
-	// Key is the idempotency key of a once-only request.
+	// Key is the idempotency key of an at-most-once request.
 	Key     string
 	Model   string
 	Adapter string
@@ -62,8 +62,8 @@
 	Tokens  int
 }
 
-// Schedule returns the arrivals of a length of time, in order: Poisson
-// arrivals for each class.
+// Schedule returns the arrivals within a duration, sorted by time. The arrivals of
+// each class are a Poisson process.
 func Schedule(seed uint64, length time.Duration, classes []Class) []Arrival {
 	var all []Arrival
 	for i, c := range classes {
@@ -76,49 +76,49 @@
 }
 
 type scheduler struct {
-	rng   *rand.Rand
-	class Class
-	index int
-	seed  uint64
-	count int
+	rng          *rand.Rand
+	class        Class
+	index        int
+	seed         uint64
+	arrivalCount int
 }
 
-// arrivals thins a Poisson process of the highest rate (Lewis and Shedler,
-// 1979).
+// arrivals returns the arrivals of the class, by thinning of a Poisson process with
+// the peak rate (Lewis and Shedler, 1979).
 func (s *scheduler) arrivals(length time.Duration) []Arrival {
-	top := s.class.Rate * math.Max(s.class.Burst, 1)
-	if top <= 0 {
+	peakRate := s.class.Rate * math.Max(s.class.Burst, 1)
+	if peakRate <= 0 {
 		return nil
 	}
 	var all []Arrival
 	for at := time.Duration(0); ; {
-		at += time.Duration(s.rng.ExpFloat64() / top * float64(time.Second))
+		at += time.Duration(s.rng.ExpFloat64() / peakRate * float64(time.Second))
 		if at >= length {
 			return all
 		}
-		if s.rng.Float64()*top > s.rate(at) {
+		if s.rng.Float64()*peakRate > s.rateAt(at) {
 			continue
 		}
-		a := s.arrival(at)
+		a := s.newArrival(at)
 		all = append(all, a)
 		if a.Key != "" && s.rng.Float64() < s.class.Repeat {
-			again := a
-			again.At += time.Duration(s.rng.Int64N(int64(200 * time.Millisecond)))
-			all = append(all, again)
+			repeated := a
+			repeated.At += time.Duration(s.rng.Int64N(int64(200 * time.Millisecond)))
+			all = append(all, repeated)
 		}
 	}
 }
 
-func (s *scheduler) rate(at time.Duration) float64 {
+func (s *scheduler) rateAt(at time.Duration) float64 {
 	if s.class.Burst > 1 && at >= s.class.BurstFrom && at < s.class.BurstTo {
 		return s.class.Rate * s.class.Burst
 	}
 	return s.class.Rate
 }
 
-func (s *scheduler) arrival(at time.Duration) Arrival {
-	s.count++
-	a := Arrival{At: at, Class: s.index, ID: fmt.Sprintf("%d-%d-%d", s.seed, s.index, s.count)}
+func (s *scheduler) newArrival(at time.Duration) Arrival {
+	s.arrivalCount++
+	a := Arrival{At: at, Class: s.index, ID: fmt.Sprintf("%d-%d-%d", s.seed, s.index, s.arrivalCount)}
 	a.Prompt = fmt.Sprintf("Menu %d: name the allergens. %s", s.rng.IntN(16), stand.Marker(a.ID))
 	a.Tokens = s.class.MaxTokens
 	if a.Tokens == 0 {
@@ -128,7 +128,7 @@
 		a.Key = "key-" + a.ID
 	}
 	if models := s.class.Profile.Models; len(models) > 0 {
-		m := models[s.pick(len(models))]
+		m := models[s.pickIndex(len(models))]
 		a.Model = m.Name
 		if n := len(m.Adapters); n > 0 && s.rng.Float64() < 0.5 {
 			a.Adapter = m.Adapters[s.rng.IntN(n)].Name
@@ -137,8 +137,8 @@
 	return a
 }
 
-// pick draws an index, by a Zipf law when the class is skewed.
-func (s *scheduler) pick(n int) int {
+// pickIndex returns a random index below n, Zipf-distributed if Skew is set.
+func (s *scheduler) pickIndex(n int) int {
 	if s.class.Skew == 0 {
 		return s.rng.IntN(n)
 	}
@@ -146,10 +146,10 @@
 	for i := range n {
 		total += math.Pow(float64(i+1), -s.class.Skew)
 	}
-	at := s.rng.Float64() * total
+	target := s.rng.Float64() * total
 	for i := range n {
-		at -= math.Pow(float64(i+1), -s.class.Skew)
-		if at <= 0 {
+		target -= math.Pow(float64(i+1), -s.class.Skew)
+		if target <= 0 {
 			return i
 		}
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -18,33 +18,35 @@
 	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Runner sends a schedule. Classes and Targets must be set.
+// Runner sends the requests of a schedule. Classes and Targets must be set.
 type Runner struct {
 	Classes []Class
-	// Targets returns the addresses that the balancer now sends to.
+	// Targets returns the addresses of the VMs that the load balancer currently
+	// uses.
 	Targets func() []string
 	// Progress, when set, is called every second.
 	Progress func(done time.Duration, sent, answered int)
-	// Timeout bounds a request beyond its profile's time for the whole answer.
+	// Timeout is added to the profile's time for the whole answer to get the
+	// timeout of a request; 0 is 5 seconds.
 	Timeout time.Duration
 
-	client httpx.Client
-	next   atomic.Uint64
+	client     httpx.Client
+	nextTarget atomic.Uint64
 }
 
-const defaultMargin = 5 * time.Second
+const defaultTimeoutMargin = 5 * time.Second
 
-// Run sends the arrivals and returns what came of them, in their order.
+// Run sends the arrivals and returns their results in the same order.
 func (r *Runner) Run(ctx context.Context, arrivals []Arrival) []Result {
 	results := make([]Result, len(arrivals))
 	var answered atomic.Int64
 	var sent atomic.Int64
-	stop := r.report(&sent, &answered)
+	stop := r.reportProgress(&sent, &answered)
 	defer stop()
-	began := clock.Now()
+	startedAt := clock.Now()
 	var wg sync.WaitGroup
 	for i, a := range arrivals {
-		if !sleepUntil(ctx, began.Add(a.At)) {
+		if !sleepUntil(ctx, startedAt.Add(a.At)) {
 			results = results[:i]
 			break
 		}
@@ -59,12 +61,12 @@
 	return results
 }
 
-// report calls Progress until the returned function is called.
-func (r *Runner) report(sent, answered *atomic.Int64) func() {
+// reportProgress calls Progress until the returned function is called.
+func (r *Runner) reportProgress(sent, answered *atomic.Int64) func() {
 	if r.Progress == nil {
 		return func() {}
 	}
-	began := clock.Now()
+	startedAt := clock.Now()
 	tick := time.NewTicker(time.Second)
 	done := make(chan struct{})
 	go func() {
@@ -73,7 +75,7 @@
 			case <-done:
 				return
 			case <-tick.C:
-				r.Progress(clock.Now().Sub(began), int(sent.Load()), int(answered.Load()))
+				r.Progress(clock.Now().Sub(startedAt), int(sent.Load()), int(answered.Load()))
 			}
 		}
 	}()
@@ -87,51 +89,51 @@
 	return pause.For(ctx, at.Sub(clock.Now()))
 }
 
-// send makes one request. A VM that can not be reached is passed over, as the
-// balancer does: nothing was sent.
+// send makes one request. Like a load balancer, it tries the next VM if nothing
+// could be sent to one.
 func (r *Runner) send(ctx context.Context, a Arrival) Result {
 	class := r.Classes[a.Class]
 	margin := r.Timeout
 	if margin == 0 {
-		margin = defaultMargin
+		margin = defaultTimeoutMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(class.Profile.WholeAnswerMs)*time.Millisecond+margin)
 	defer cancel()
-	began := clock.Now()
+	startedAt := clock.Now()
 	targets := r.Targets()
-	start := r.next.Add(1)
+	start := r.nextTarget.Add(1)
 	for i := range targets {
 		target := targets[(start+uint64(i))%uint64(len(targets))]
-		res, reached := r.try(ctx, class, a, target, began)
+		res, reached := r.sendTo(ctx, class, a, target, startedAt)
 		if reached {
 			return res
 		}
 	}
-	return Result{Arrival: a, End: EndNotReached, Took: clock.Now().Sub(began)}
+	return Result{Arrival: a, End: EndNotReached, Took: clock.Now().Sub(startedAt)}
 }
 
-func (r *Runner) try(ctx context.Context, class Class, a Arrival, target string, began time.Time) (Result, bool) {
-	req, err := request(ctx, class, a, target)
+func (r *Runner) sendTo(ctx context.Context, class Class, a Arrival, target string, startedAt time.Time) (Result, bool) {
+	req, err := newRequest(ctx, class, a, target)
 	if err != nil {
 		return Result{Arrival: a, End: EndBroken, Detail: err.Error()}, true
 	}
-	// Keep the transport from repeating the request by itself.
+	// Prevents the transport from retrying the request.
 	req.GetBody = nil
 	resp, written, err := r.client.Do(req)
 	if err != nil && !written {
 		return Result{}, false
 	}
-	res := Result{Arrival: a, Target: target, Began: began}
+	res := Result{Arrival: a, Target: target, Began: startedAt}
 	if err != nil {
 		res.End, res.Detail = EndBroken, err.Error()
-		res.Took = clock.Now().Sub(began)
+		res.Took = clock.Now().Sub(startedAt)
 		return res, true
 	}
 	defer resp.Body.Close()
 	res.Status = resp.StatusCode
-	readAnswer(resp, class, &res)
-	res.Took = clock.Now().Sub(began)
+	readResponse(resp, class, &res)
+	res.Took = clock.Now().Sub(startedAt)
 	return res, true
 }
 
-func isFailure(resp *http.Response) bool { return resp.StatusCode >= http.StatusBadRequest }
+func isErrorStatus(resp *http.Response) bool { return resp.StatusCode >= http.StatusBadRequest }
--- a/load/summary.go
+++ b/load/summary.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Promises counts the promises that were broken, as callers and stand-ins saw
-// it. All must be 0.
+// Promises counts the violated guarantees that callers and fakes observed. All
+// must be 0.
 type Promises struct {
 	Overcommits       int `json:"overcommits"`
 	DoubleRuns        int `json:"double_runs"`
@@ -24,13 +24,13 @@
 	ConfigReverts     int `json:"config_reverts"`
 }
 
-// Broken returns how many promises were broken.
+// Broken returns the total number of violations.
 func (p Promises) Broken() int {
 	return p.Overcommits + p.DoubleRuns + p.LostAnswers + p.WrongAnswers + p.FalseNotRun +
 		p.UnreachableModels + p.CutOffInShutdown + p.ConfigReverts
 }
 
-// Line is the summary of one class, or of all.
+// Line is the summary of one class, or of all classes.
 type Line struct {
 	Class     string  `json:"class"`
 	Sent      int     `json:"sent"`
@@ -51,13 +51,13 @@
 	AnswerP99 float64 `json:"answer_p99_ms"`
 }
 
-// Summary is the summary of a run.
+// Summary is the summary of all results.
 type Summary struct {
 	Promises Promises       `json:"promises"`
 	Total    Line           `json:"total"`
 	Classes  []Line         `json:"classes"`
 	Failures map[string]int `json:"failures"`
-	// Examples has one result for each kind of broken promise.
+	// Examples describes the first 8 violations.
 	Examples []string `json:"examples,omitempty"`
 }
 
@@ -67,48 +67,48 @@
 	histogramDigits = 3
 )
 
-// gatherer adds up the results of one Line.
-type gatherer struct {
-	line               Line
-	attained           int
-	counted            int
-	first, gap, answer *hdrhistogram.Histogram
+// aggregator accumulates results for one Line.
+type aggregator struct {
+	summary                             Line
+	attained                            int
+	counted                             int
+	firstToken, tokenInterval, response *hdrhistogram.Histogram
 }
 
-func newGatherer(name string) *gatherer {
+func newAggregator(name string) *aggregator {
 	h := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 	}
-	return &gatherer{line: Line{Class: name}, first: h(), gap: h(), answer: h()}
+	return &aggregator{summary: Line{Class: name}, firstToken: h(), tokenInterval: h(), response: h()}
 }
 
-// Summarise sums up results. runs tells how often each request ran, as the
-// stand-ins counted.
+// Summarise summarizes results. runs maps each request to its number of executions,
+// as counted by the fakes.
 func Summarise(classes []Class, results []Result, runs map[string]int) Summary {
 	s := Summary{Failures: make(map[string]int)}
-	total := newGatherer("total")
-	each := make([]*gatherer, len(classes))
+	total := newAggregator("total")
+	perClass := make([]*aggregator, len(classes))
 	for i, c := range classes {
-		each[i] = newGatherer(c.Name)
+		perClass[i] = newAggregator(c.Name)
 	}
-	ids := firstResults(results)
+	sendCounts := countSends(results)
 	for _, r := range results {
 		class := classes[r.Arrival.Class]
-		repeated := ids[r.Arrival.ID] > 1
-		each[r.Arrival.Class].add(class, r, repeated)
+		repeated := sendCounts[r.Arrival.ID] > 1
+		perClass[r.Arrival.Class].add(class, r, repeated)
 		total.add(class, r, repeated)
-		s.judge(r, runs, repeated)
+		s.countViolation(r, runs, repeated)
 	}
-	s.countRuns(classes, results, runs)
-	s.Total = total.finish()
-	for _, g := range each {
-		s.Classes = append(s.Classes, g.finish())
+	s.countExtraRuns(classes, results, runs)
+	s.Total = total.summarize()
+	for _, g := range perClass {
+		s.Classes = append(s.Classes, g.summarize())
 	}
 	return s
 }
 
-// firstResults counts how often each request was sent.
-func firstResults(results []Result) map[string]int {
+// countSends returns how often each request was sent.
+func countSends(results []Result) map[string]int {
 	ids := make(map[string]int, len(results))
 	for _, r := range results {
 		ids[r.Arrival.ID]++
@@ -116,48 +116,49 @@
 	return ids
 }
 
-func (g *gatherer) add(class Class, r Result, repeated bool) {
-	g.line.Sent++
+func (g *aggregator) add(class Class, r Result, repeated bool) {
+	g.summary.Sent++
 	if repeated {
-		g.line.Repeated++
+		g.summary.Repeated++
 	}
 	switch r.End {
 	case EndWhole:
-		g.line.Whole++
-		g.line.Tokens += r.Tokens
-		g.record(r)
+		g.summary.Whole++
+		g.summary.Tokens += r.Tokens
+		g.recordDurations(r)
 	case EndFailed:
 		if r.Outcome == hibiscuscart.OutcomeNotRun {
-			g.line.NotRun++
+			g.summary.NotRun++
 		}
 		if r.Outcome == hibiscuscart.OutcomeUnknown {
-			g.line.Unknown++
+			g.summary.Unknown++
 		}
 	case EndNotReached:
-		g.line.NotRun++
+		g.summary.NotRun++
 	}
 	if repeated && r.End != EndWhole {
 		return
 	}
 	g.counted++
-	if attained(class, r) {
+	if meetsObjectives(class, r) {
 		g.attained++
 	}
 }
 
-func (g *gatherer) record(r Result) {
-	_ = g.answer.RecordValue(r.Took.Microseconds())
+func (g *aggregator) recordDurations(r Result) {
+	_ = g.response.RecordValue(r.Took.Microseconds())
 	if r.Tokens > 0 {
-		_ = g.first.RecordValue(r.FirstToken.Microseconds())
+		_ = g.firstToken.RecordValue(r.FirstToken.Microseconds())
 	}
 	for _, gap := range r.Gaps {
-		_ = g.gap.RecordValue(gap.Microseconds())
+		_ = g.tokenInterval.RecordValue(gap.Microseconds())
 	}
 }
 
-// attained reports whether a request met its profile's targets. Between tokens
-// it is the mean that counts, as one slow token in a long answer is not felt.
-func attained(class Class, r Result) bool {
+// meetsObjectives reports whether a request met its profile's objectives. The mean
+// time between tokens counts, because a user does not notice one slow token in a
+// long response.
+func meetsObjectives(class Class, r Result) bool {
 	p := class.Profile
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	if r.End != EndWhole || r.Took > ms(p.WholeAnswerMs) {
@@ -176,34 +177,34 @@
 	return len(r.Gaps) == 0 || sum/time.Duration(len(r.Gaps)) <= ms(p.BetweenTokensMs)
 }
 
-func (g *gatherer) finish() Line {
-	l := g.line
+func (g *aggregator) summarize() Line {
+	summary := g.summary
 	if g.counted > 0 {
-		l.Attained = float64(g.attained) / float64(g.counted)
+		summary.Attained = float64(g.attained) / float64(g.counted)
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	l.FirstP50, l.FirstP95, l.FirstP99 = ms(g.first, 50), ms(g.first, 95), ms(g.first, 99)
-	l.GapP50, l.GapP95, l.GapP99 = ms(g.gap, 50), ms(g.gap, 95), ms(g.gap, 99)
-	l.AnswerP50, l.AnswerP95, l.AnswerP99 = ms(g.answer, 50), ms(g.answer, 95), ms(g.answer, 99)
-	return l
+	summary.FirstP50, summary.FirstP95, summary.FirstP99 = ms(g.firstToken, 50), ms(g.firstToken, 95), ms(g.firstToken, 99)
+	summary.GapP50, summary.GapP95, summary.GapP99 = ms(g.tokenInterval, 50), ms(g.tokenInterval, 95), ms(g.tokenInterval, 99)
+	summary.AnswerP50, summary.AnswerP95, summary.AnswerP99 = ms(g.response, 50), ms(g.response, 95), ms(g.response, 99)
+	return summary
 }
 
-// judge counts the promises that one result shows to be broken.
-func (s *Summary) judge(r Result, runs map[string]int, repeated bool) {
+// countViolation counts the guarantee that a result violates, if any.
+func (s *Summary) countViolation(r Result, runs map[string]int, repeated bool) {
 	switch r.End {
 	case EndWrong:
 		s.Promises.WrongAnswers++
-		s.example("wrong answer", r)
+		s.addExample("wrong answer", r)
 	case EndLost:
 		s.Promises.LostAnswers++
-		s.example("lost answer", r)
+		s.addExample("lost answer", r)
 	case EndFailed:
 		s.Failures[r.Code+"/"+r.Outcome.String()]++
-		// Of a key that was sent twice, one request may be told that it was
-		// not run while the other ran.
+		// If a key was sent twice, one response may report that the request
+		// was not run although the other one ran.
 		if r.Outcome == hibiscuscart.OutcomeNotRun && runs[r.Arrival.ID] > 0 && !repeated {
 			s.Promises.FalseNotRun++
-			s.example("false not_run", r)
+			s.addExample("false not_run", r)
 		}
 	case EndBroken:
 		s.Failures["connection_broke"]++
@@ -212,22 +213,22 @@
 	}
 }
 
-func (s *Summary) countRuns(classes []Class, results []Result, runs map[string]int) {
+func (s *Summary) countExtraRuns(classes []Class, results []Result, runs map[string]int) {
 	seen := make(map[string]bool)
 	for _, r := range results {
 		id := r.Arrival.ID
 		allowed := classes[r.Arrival.Class].Profile.RunsAllowed
 		if !seen[id] && runs[id] > allowed {
 			s.Promises.DoubleRuns++
-			s.example(fmt.Sprintf("%d runs", runs[id]), r)
+			s.addExample(fmt.Sprintf("%d runs", runs[id]), r)
 		}
 		seen[id] = true
 	}
 }
 
-func (s *Summary) example(what string, r Result) {
+func (s *Summary) addExample(violation string, r Result) {
 	if len(s.Examples) < 8 {
-		s.Examples = append(s.Examples, fmt.Sprintf("%s: request %s status %d code %q: %s", what, r.Arrival.ID, r.Status, r.Code, r.Detail))
+		s.Examples = append(s.Examples, fmt.Sprintf("%s: request %s status %d code %q: %s", violation, r.Arrival.ID, r.Status, r.Code, r.Detail))
 	}
 }
 
