--- a/sample/sample.go
+++ b/sample/sample.go
@@ -1,4 +1,4 @@
-// Package sample has the settings and profiles of two example deployments.
+// Package sample provides the settings and profiles of two example deployments.
 package sample
 
 import (
@@ -34,36 +34,36 @@
 	return names
 }
 
-// Settings returns the checked settings of a deployment.
+// Settings returns the validated settings of an example deployment.
 func Settings(name string) (*conf.Settings, error) {
 	data, err := files.ReadFile(name + ".ini")
 	if err != nil {
-		return nil, trace.NotFound("there is no example deployment %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, trace.NotFound("example deployment %q does not exist; available: %s", name, strings.Join(Names(), ", "))
 	}
 	s, err := conf.Parse(data)
 	if err != nil {
-		return nil, fmt.Errorf("example %s: %w", name, err)
+		return nil, fmt.Errorf("parse settings of example deployment %s: %w", name, err)
 	}
 	return s, nil
 }
 
-// Profiles returns the profiles of a deployment, sorted by name.
+// Profiles returns the profiles of an example deployment, sorted by file name.
 func Profiles(name string) ([]wire.Profile, error) {
 	entries, err := files.ReadDir(name)
 	if err != nil {
-		return nil, trace.NotFound("there is no example deployment %q", name)
+		return nil, trace.NotFound("example deployment %q does not exist", name)
 	}
-	var docs []wire.Profile
+	var profiles []wire.Profile
 	for _, e := range entries {
 		data, err := files.ReadFile(path.Join(name, e.Name()))
 		if err != nil {
 			return nil, fmt.Errorf("read example profile: %w", err)
 		}
-		doc, err := profs.Parse(data)
+		profile, err := profs.Parse(data)
 		if err != nil {
-			return nil, fmt.Errorf("example profile %s: %w", e.Name(), err)
+			return nil, fmt.Errorf("parse example profile %s: %w", e.Name(), err)
 		}
-		docs = append(docs, doc)
+		profiles = append(profiles, profile)
 	}
-	return docs, nil
+	return profiles, nil
 }
--- a/sample/sample_test.go
+++ b/sample/sample_test.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscuscart/hibiscuscart/sample"
 )
 
-// TestDeployments checks the two examples against the sizes of the brief.
-func TestDeployments(t *testing.T) {
+// The two example deployments must have the specified sizes.
+func TestDeploymentSizes(t *testing.T) {
 	cases := map[string]struct{ domains, vms, engines, services, models, adapters int }{
 		"vadodara": {4, 8, 9, 4, 13, 60},
 		"vidzeme":  {3, 7, 12, 3, 20, 70},
