--- a/bench/bench.go
+++ b/bench/bench.go
@@ -41,7 +41,7 @@
 type Common struct {
 	Experiment string `json:"experiment"`
 	Seed       uint64 `json:"seed"`
-	load.Promises
+	load.Violations
 	// FaultsInjected counts what was done to the system; a run without faults
 	// proves nothing.
 	FaultsInjected int `json:"faults_injected"`
@@ -93,8 +93,8 @@
 
 // broken returns an error when promises were broken.
 func (c Common) broken() error {
-	if n := c.Broken(); n > 0 {
-		return fmt.Errorf("%d promises were broken: %+v", n, c.Promises)
+	if n := c.TotalViolations(); n > 0 {
+		return fmt.Errorf("%d promises were broken: %+v", n, c.Violations)
 	}
 	return nil
 }
--- a/bench/control.go
+++ b/bench/control.go
@@ -145,7 +145,7 @@
 		step := length / time.Duration(len(profile.Models))
 		classes = append(classes, load.Class{
 			Name: m.Name, Profile: oneModel(profile, m), Rate: 2, MaxTokens: placeTokens,
-			Burst: 60, BurstFrom: step * time.Duration(i), BurstTo: step * time.Duration(i+1),
+			BurstFactor: 60, BurstStart: step * time.Duration(i), BurstEnd: step * time.Duration(i+1),
 		})
 	}
 	t := trial{
@@ -153,7 +153,7 @@
 		profiles: []wire.Profile{profile}, classes: classes, length: length,
 		setUp: func(w *demo.World) {
 			for _, doc := range w.Servers() {
-				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LoseOrders: 0.2, LateOrders: 0.3, LateOrdersMs: 900})
+				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LostOrderShare: 0.2, DelayedOrderShare: 0.3, OrderDelayMs: 900})
 			}
 		},
 		faults: func(ctx context.Context, w *demo.World) int {
@@ -166,12 +166,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f := lateOrdersFigures{Common: t.common("late_orders", o, out), Moves: out.world.Moves(), Attainment: out.summary.Total.Attained}
+	f := lateOrdersFigures{Common: t.common("late_orders", o, out), Moves: out.world.Moves(), Attainment: out.summary.Total.Attainment}
 	// What the killed VM was answering is cut off by its death, which is no
 	// broken promise of a shutdown.
 	f.LostAnswers = 0
 	for _, doc := range out.world.Servers() {
-		f.LateOrders += out.world.Engine(doc.Name).Counts().LateOrders
+		f.LateOrders += out.world.Engine(doc.Name).Counts().DelayedOrders
 	}
 	f.FaultsInjected += int(f.LateOrders)
 	return f, f.broken()
--- a/bench/flood.go
+++ b/bench/flood.go
@@ -38,10 +38,10 @@
 	profile.ConcurrencyLimit, profile.QueueLimit = floodEngines*floodSlots, 8192
 	length := o.length(16 * time.Second)
 	class := func(name, key string, rate float64) load.Class {
-		return load.Class{Name: name, Profile: profile, Caller: key, Rate: rate, MaxTokens: 40}
+		return load.Class{Name: name, Profile: profile, CallerKey: key, Rate: rate, MaxTokens: 40}
 	}
 	floodClass := class("flood", floodKey, 10)
-	floodClass.Burst, floodClass.BurstFrom, floodClass.BurstTo = 800, 2*time.Second, 2500*time.Millisecond
+	floodClass.BurstFactor, floodClass.BurstStart, floodClass.BurstEnd = 800, 2*time.Second, 2500*time.Millisecond
 	t := trial{
 		shape:    shape{domains: 2, vmsPerDomain: 1, engines: floodEngines, slots: floodSlots, first: 20 * time.Millisecond, between: 5 * time.Millisecond},
 		profiles: []wire.Profile{profile},
@@ -59,10 +59,10 @@
 	f.FaultsInjected = 1 // the flood
 	f.latencies = newLatencies(ours.summary.Total, floodEngines)
 	f.naiveLatencies = naiveLatencies(newLatencies(baseline.summary.Total, floodEngines))
-	f.QuietAttainment, f.NaiveQuietAttainment = ours.summary.Classes[0].Attained, baseline.summary.Classes[0].Attained
-	f.FloodAttainment, f.NaiveFloodAttainment = ours.summary.Classes[2].Attained, baseline.summary.Classes[2].Attained
-	whole := float64(max(ours.summary.Total.Whole, 1))
-	f.QuietShare = float64(ours.summary.Classes[0].Whole) / whole
-	f.FloodShare = float64(ours.summary.Classes[2].Whole) / whole
+	f.QuietAttainment, f.NaiveQuietAttainment = ours.summary.Classes[0].Attainment, baseline.summary.Classes[0].Attainment
+	f.FloodAttainment, f.NaiveFloodAttainment = ours.summary.Classes[2].Attainment, baseline.summary.Classes[2].Attainment
+	whole := float64(max(ours.summary.Total.Complete, 1))
+	f.QuietShare = float64(ours.summary.Classes[0].Complete) / whole
+	f.FloodShare = float64(ours.summary.Classes[2].Complete) / whole
 	return f, f.broken()
 }
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -58,7 +58,7 @@
 	f.Common = t.common("leave", o, ours)
 	f.latencies = newLatencies(ours.summary.Total, 4)
 	f.CutOffInShutdown = cutOff(ours.results, stopped)
-	f.NewWorkAfterLeave = float64(ours.world.Engine("llm-1").LastStart().Sub(leftAt)) / float64(time.Millisecond)
+	f.NewWorkAfterLeave = float64(ours.world.Engine("llm-1").LastRunStart().Sub(leftAt)) / float64(time.Millisecond)
 	clear(stopped)
 	t.faults = func(ctx context.Context, w *demo.World) int {
 		for _, name := range []string{"domain-1-1", "domain-2-1"} {
@@ -92,7 +92,7 @@
 func cutOff(results []load.Result, stopped map[string]bool) int {
 	n := 0
 	for _, r := range results {
-		if stopped[r.Target] && (r.End == load.EndLost || r.End == load.EndBroken) {
+		if stopped[r.Target] && (r.Verdict == load.VerdictIncomplete || r.Verdict == load.VerdictDisconnected) {
 			n++
 		}
 	}
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -119,7 +119,7 @@
 		Nodes: n, CPUPercent: (cpuTime() - cpu).Seconds() / seconds / float64(n) * 100,
 		ResidentMB:       float64(residentBytes()) / (1 << 20) / float64(n),
 		BytesPerSecond:   float64(w.PeerBytes()-bytes) / seconds / float64(n),
-		StoreCallsPerSec: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.Watching()),
+		StoreCallsPerSec: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.ActiveWatches()),
 	}
 	for _, d := range w.VMs() {
 		f.UnheardByOneAnyone += n - len(d.LiveNodes())
@@ -215,7 +215,7 @@
 	faults := w.Platform.Faults()
 	for name, d := range w.VMs() {
 		if d.FailureDomain() == "domain-1" {
-			faults.CutNodes = append(faults.CutNodes, name)
+			faults.DisconnectedVMs = append(faults.DisconnectedVMs, name)
 		}
 	}
 	w.Platform.SetFaults(faults)
@@ -224,7 +224,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := spreadFigures{Common: Common{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.CutNodes)}, Nodes: n}
+	f := spreadFigures{Common: Common{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.DisconnectedVMs)}, Nodes: n}
 	f.InForceP50, f.InForceP99 = quantileMs(h, 50), quantileMs(h, 99)
 	return f, nil
 }
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -49,7 +49,7 @@
 	defer w.Close()
 	for _, doc := range w.Servers() {
 		e := w.Engine(doc.Name)
-		e.FirstToken, e.BetweenTokens = time.Microsecond, time.Microsecond
+		e.FirstTokenDelay, e.TokenInterval = time.Microsecond, time.Microsecond
 	}
 	direct, gateway := newMicros(), newMicros()
 	c := &caller{w: w, engines: engine.New()}
@@ -139,7 +139,7 @@
 	c.calls++
 	count := 0
 	err := c.engines.Generate(ctx, c.w.Servers()[0].Address, fmt.Sprint("direct-", c.calls),
-		engine.Generation{Model: "draft-1", Prompt: prompt, MaxTokens: tokens},
+		engine.GenerateRequest{Model: "draft-1", Prompt: prompt, MaxTokens: tokens},
 		func(hibiscuscart.Frame) error {
 			count++
 			return nil
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -25,7 +25,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		err := engines.Generate(context.Background(), address, fmt.Sprint("direct-", i),
-			engine.Generation{Model: "draft-1", Prompt: "menu", MaxTokens: overheadTokens},
+			engine.GenerateRequest{Model: "draft-1", Prompt: "menu", MaxTokens: overheadTokens},
 			func(hibiscuscart.Frame) error { return nil })
 		require.NoError(b, err)
 	}
@@ -39,7 +39,7 @@
 	b.Cleanup(w.Close)
 	for _, doc := range w.Servers() {
 		e := w.Engine(doc.Name)
-		e.FirstToken, e.BetweenTokens = time.Microsecond, time.Microsecond
+		e.FirstTokenDelay, e.TokenInterval = time.Microsecond, time.Microsecond
 	}
 	return w
 }
@@ -69,6 +69,6 @@
 func TestOverheadRuns(t *testing.T) {
 	figures, err := overhead(context.Background(), Options{Seed: 1, For: 300 * time.Millisecond})
 	require.NoError(t, err)
-	require.Zero(t, figures.(overheadFigures).Broken())
+	require.Zero(t, figures.(overheadFigures).TotalViolations())
 	require.Positive(t, figures.(overheadFigures).GatewayP50)
 }
--- a/bench/pair.go
+++ b/bench/pair.go
@@ -35,11 +35,11 @@
 	GapP99                   float64 `json:"naive_between_tokens_p99_ms"`
 }
 
-func newLatencies(l load.Line, accelerators int) latencies {
+func newLatencies(l load.ClassSummary, accelerators int) latencies {
 	return latencies{
-		Attainment: l.Attained, AttainmentPerAccelerator: l.Attained / float64(accelerators),
-		FirstP50: l.FirstP50, FirstP95: l.FirstP95, FirstP99: l.FirstP99,
-		GapP50: l.GapP50, GapP95: l.GapP95, GapP99: l.GapP99,
+		Attainment: l.Attainment, AttainmentPerAccelerator: l.Attainment / float64(accelerators),
+		FirstP50: l.FirstTokenP50, FirstP95: l.FirstTokenP95, FirstP99: l.FirstTokenP99,
+		GapP50: l.TokenIntervalP50, GapP95: l.TokenIntervalP95, GapP99: l.TokenIntervalP99,
 	}
 }
 
@@ -125,7 +125,7 @@
 
 func (t trial) common(name string, o Options, ours *outcome) Common {
 	return Common{
-		Experiment: name, Seed: o.Seed, Promises: ours.summary.Promises,
+		Experiment: name, Seed: o.Seed, Violations: ours.summary.Violations,
 		FaultsInjected: ours.faults, Requests: ours.summary.Total.Sent,
 	}
 }
--- a/bench/parts.go
+++ b/bench/parts.go
@@ -34,7 +34,7 @@
 		profiles: []wire.Profile{draft, desk},
 		classes: []load.Class{
 			{Name: "draft", Profile: draft, Rate: 80, MaxTokens: 30},
-			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, Repeat: 0.1},
+			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, RepeatShare: 0.1},
 		},
 		length: length,
 		setUp: func(w *demo.World) {
@@ -55,7 +55,7 @@
 		return err
 	}
 	f.Common = t.common(name, o, out)
-	f.Attainment, f.OnceAttainment = out.summary.Total.Attained, out.summary.Classes[1].Attained
+	f.Attainment, f.OnceAttainment = out.summary.Total.Attainment, out.summary.Classes[1].Attainment
 	f.NotRun, f.Unknown = out.summary.Total.NotRun, out.summary.Total.Unknown
 	return nil
 }
--- a/bench/place.go
+++ b/bench/place.go
@@ -69,7 +69,7 @@
 				}
 				burst := class
 				burst.Name += "-burst"
-				burst.Rate, burst.Burst, burst.BurstFrom, burst.BurstTo = h.rate/1000, 1000, h.from, h.to
+				burst.Rate, burst.BurstFactor, burst.BurstStart, burst.BurstEnd = h.rate/1000, 1000, h.from, h.to
 				classes = append(classes, burst)
 			}
 			classes = append(classes, class)
@@ -105,7 +105,7 @@
 		Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
 		Adjust: func(c *entry.Config) { c.Placement, c.Callers = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
-			e.Slots, e.FirstToken, e.BetweenTokens = placeSlots, placeFirst, placeBetween
+			e.Slots, e.FirstTokenDelay, e.TokenInterval = placeSlots, placeFirst, placeBetween
 		},
 	})
 	if err != nil {
@@ -125,15 +125,15 @@
 	out := &placeOutcome{results: results, moves: w.Moves() - before}
 	unreachable := watch()
 	out.summary = w.Sum(classes, results)
-	out.summary.Promises.UnreachableModels += unreachable
+	out.summary.Violations.UnreachableModels += unreachable
 	if o.Out != nil {
-		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, out.summary.Total.Attained, out.moves)
+		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, out.summary.Total.Attainment, out.moves)
 		if err := out.summary.WriteTable(o.Out); err != nil {
 			return nil, err
 		}
 		for _, s := range w.Servers() {
 			if e := w.Engine(s.Name); e != nil {
-				fmt.Fprintf(o.Out, "%s: %d models\n", s.Name, e.Models())
+				fmt.Fprintf(o.Out, "%s: %d models\n", s.Name, e.ModelCount())
 			}
 		}
 	}
@@ -191,12 +191,12 @@
 	bound := pooledBound(load.Schedule(o.Seed, p.length, p.classes(profiles)), p.classes(profiles), engines*placeSlots)
 	f := placeFigures{
 		Common: Common{
-			Experiment: name, Seed: o.Seed, Promises: ours.summary.Promises,
+			Experiment: name, Seed: o.Seed, Violations: ours.summary.Violations,
 			FaultsInjected: len(p.hot), Requests: ours.summary.Total.Sent,
 		},
 		latencies: newLatencies(ours.summary.Total, engines),
 		Moves:     ours.moves, Bound: bound / float64(engines),
-		NaiveAttainment: naive.summary.Total.Attained, NaivePerAcc: naive.summary.Total.Attained / float64(engines),
+		NaiveAttainment: naive.summary.Total.Attainment, NaivePerAcc: naive.summary.Total.Attainment / float64(engines),
 		NaiveMoves: naive.moves,
 	}
 	f.ShareOfBound = f.AttainmentPerAccelerator / f.Bound
@@ -212,12 +212,12 @@
 	attained := 0
 	for _, a := range arrivals {
 		target := time.Duration(classes[a.Class].Profile.FirstTokenMs) * time.Millisecond
-		begin := max(a.At, free[0])
-		if begin+placeFirst > a.At+target {
+		begin := max(a.Offset, free[0])
+		if begin+placeFirst > a.Offset+target {
 			continue
 		}
 		attained++
-		tokens := len(load.Answer(classes[a.Class], a))
+		tokens := len(load.ExpectedTokens(classes[a.Class], a))
 		free[0] = begin + placeFirst + time.Duration(tokens-1)*placeBetween
 		heap.Fix(&free, 0)
 	}
--- a/bench/repeat.go
+++ b/bench/repeat.go
@@ -45,7 +45,7 @@
 type claimants struct {
 	claim  func(ctx context.Context, r dedup.Request) dedup.Decision
 	settle func(ctx context.Context, r dedup.Request, d dedup.Decision)
-	runs   *stand.Runs
+	runs   *stand.RunCounter
 	seed   uint64
 	prefix string
 
@@ -108,7 +108,7 @@
 func repeat(ctx context.Context, o Options) (Figures, error) {
 	length := o.length(9*time.Second) / 3
 	f := repeatFigures{Common: Common{Experiment: "repeat", Seed: o.Seed}}
-	runs := &stand.Runs{}
+	runs := &stand.RunCounter{}
 
 	ours, elapsed, writes := repeatPhase(ctx, length, nil, func(c *store.Client) *claimants {
 		return batched(ctx, runs, o.Seed, c)
@@ -128,7 +128,7 @@
 		return contended(ctx, runs, o.Seed, c)
 	})
 	f.FaultyClaims, f.RefusedClaims = faulty.granted.Load(), faulty.refused.Load()
-	for _, n := range runs.All() {
+	for _, n := range runs.Counts() {
 		if n > 1 {
 			f.DoubleRuns++
 		}
@@ -158,12 +158,12 @@
 func injectStoreFaults(p *stand.Platform, length time.Duration) func() int {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var mu sync.Mutex
-	p.Chance = func() float64 {
+	p.Random = func() float64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return rng.Float64()
 	}
-	faults := stand.PlatformFaults{DelayMs: storeDelayMs, LoseAnswers: 0.2}
+	faults := stand.PlatformFaults{DelayMs: storeDelayMs, LostReplyShare: 0.2}
 	p.SetFaults(faults)
 	outage := faults
 	outage.Outage = true
@@ -172,7 +172,7 @@
 	return func() int {
 		begin.Stop()
 		end.Stop()
-		return int(p.Counts().Lost) + 1
+		return int(p.Counts().LostReplies) + 1
 	}
 }
 
@@ -183,7 +183,7 @@
 	return r
 }
 
-func batched(ctx context.Context, runs *stand.Runs, seed uint64, c *store.Client) *claimants {
+func batched(ctx context.Context, runs *stand.RunCounter, seed uint64, c *store.Client) *claimants {
 	r := startRunner(ctx, c)
 	return &claimants{
 		claim: r.Claim, runs: runs, seed: seed, prefix: "batched",
@@ -194,7 +194,7 @@
 }
 
 // contended sends each claim to one of two runners of the same shard.
-func contended(ctx context.Context, runs *stand.Runs, seed uint64, c *store.Client) *claimants {
+func contended(ctx context.Context, runs *stand.RunCounter, seed uint64, c *store.Client) *claimants {
 	runners := []*claim.Runner{startRunner(ctx, c), startRunner(ctx, c)}
 	var n atomic.Uint64
 	return &claimants{
@@ -208,7 +208,7 @@
 	}
 }
 
-func single(runs *stand.Runs, seed uint64, c *store.Client) *claimants {
+func single(runs *stand.RunCounter, seed uint64, c *store.Client) *claimants {
 	n := naive.NewClaims(c)
 	return &claimants{
 		runs: runs, seed: seed, prefix: "single",
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -73,7 +73,7 @@
 func streams(ctx context.Context, o Options) (Figures, error) {
 	draft, issue := engineProfile("draft", 1, 3), engineProfile("issue", 1, 1)
 	length := o.length(10 * time.Second)
-	faults := stand.EngineFaults{CutShare: 0.01, CrossShare: 0.02, RepeatShare: 0.02}
+	faults := stand.EngineFaults{DisconnectShare: 0.01, ForeignFrameShare: 0.02, DuplicateShare: 0.02}
 	t := trial{
 		shape:    shape{domains: 2, vmsPerDomain: 1, engines: 4, slots: 32, first: 20 * time.Millisecond, between: 5 * time.Millisecond},
 		profiles: []wire.Profile{draft, issue},
@@ -103,10 +103,10 @@
 	f.Whole = wholeShare(ours.summary.Total)
 	f.NaiveWhole = wholeShare(baseline.summary.Total)
 	for _, doc := range ours.world.Servers() {
-		f.Cut += ours.world.Engine(doc.Name).Counts().Cut
+		f.Cut += ours.world.Engine(doc.Name).Counts().Disconnects
 	}
 	f.FaultsInjected += int(f.Cut)
 	return f, f.broken()
 }
 
-func wholeShare(l load.Line) float64 { return float64(l.Whole) / float64(max(l.Sent, 1)) }
+func wholeShare(l load.ClassSummary) float64 { return float64(l.Complete) / float64(max(l.Sent, 1)) }
--- a/claim/runner_test.go
+++ b/claim/runner_test.go
@@ -92,7 +92,7 @@
 		d := r.Claim(limit(t), request(fmt.Sprint(i), fmt.Sprint("g", i)))
 		require.Equal(t, dedup.Granted, d.Verdict)
 	}
-	require.Positive(t, p.Counts().Limited)
+	require.Positive(t, p.Counts().RateLimited)
 }
 
 // The platform is out. Who waits is told at once that no claim can be granted,
--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -100,7 +100,7 @@
 	}
 	classes := demo.Mix(settings, docs, f.rate)
 	for i := range classes {
-		classes[i].Burst, classes[i].BurstFrom, classes[i].BurstTo = f.burst, f.length/3, 2*f.length/3
+		classes[i].BurstFactor, classes[i].BurstStart, classes[i].BurstEnd = f.burst, f.length/3, 2*f.length/3
 	}
 	runner := &load.Runner{
 		Classes: classes, Targets: func() []string { return targets },
@@ -109,14 +109,14 @@
 		},
 	}
 	results := runner.Run(ctx, load.Schedule(f.seed, f.length, classes))
-	summary := load.Summarise(classes, results, standinRuns(settings))
+	summary := load.Summarize(classes, results, standinRuns(settings))
 	if f.asJSON {
 		return json.NewEncoder(os.Stdout).Encode(summary)
 	}
 	if err := summary.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if n := summary.Promises.Broken(); n > 0 {
+	if n := summary.Violations.TotalViolations(); n > 0 {
 		return fmt.Errorf("%d promises were broken", n)
 	}
 	return nil
--- a/cmd/hibiscuscart/standin.go
+++ b/cmd/hibiscuscart/standin.go
@@ -75,9 +75,9 @@
 func standinPlatform(ctx context.Context, s *conf.Settings, chance func() float64) error {
 	p := &stand.Platform{
 		WritesPerSecond: s.Float("platform", "writes_per_second"), ReadsPerSecond: s.Float("platform", "reads_per_second"),
-		Key: s.Text("platform", "key"), Chance: chance,
+		APIKey: s.Text("platform", "key"), Random: chance,
 	}
-	p.SetFaults(stand.PlatformFaults{ListLagMs: int(s.Duration("platform", "list_lag").Milliseconds())})
+	p.SetFaults(stand.PlatformFaults{VMListDelayMs: int(s.Duration("platform", "list_lag").Milliseconds())})
 	for _, pool := range s.Pools() {
 		for _, doc := range pool.Servers(s.FailureDomains()) {
 			data, err := json.Marshal(doc)
@@ -99,8 +99,8 @@
 // standinServers serves the engines or services of the settings.
 func standinServers(ctx context.Context, s *conf.Settings, service bool, only string, chance func() float64) error {
 	handlers := make(map[string]http.Handler)
-	runs := &stand.Runs{}
-	weights := stand.WeightsClient("http://" + s.Text("platform", "address"))
+	runs := &stand.RunCounter{}
+	weights := stand.WeightFetcher("http://" + s.Text("platform", "address"))
 	for _, pool := range s.Pools() {
 		if pool.IsService() != service {
 			continue
@@ -118,13 +118,13 @@
 	return listen(ctx, handlers)
 }
 
-func newStandin(pool conf.Pool, doc wire.Server, fetch func(context.Context, wire.Order) error, runs *stand.Runs, chance func() float64) http.Handler {
+func newStandin(pool conf.Pool, doc wire.Server, fetch func(context.Context, wire.Order) error, runs *stand.RunCounter, chance func() float64) http.Handler {
 	if pool.IsService() {
-		s := &stand.Service{Name: doc.Name, Runs: runs, Chance: chance}
+		s := &stand.Service{Name: doc.Name, Runs: runs, Random: chance}
 		return s.Handler()
 	}
 	e := demo.NewEngine(pool, doc.Name)
-	e.Fetch, e.Runs, e.Chance = fetch, runs, chance
+	e.FetchWeights, e.Runs, e.Random = fetch, runs, chance
 	return e.Handler()
 }
 
--- a/demo/backends.go
+++ b/demo/backends.go
@@ -12,18 +12,18 @@
 // AddBackend starts the n-th backend server of a service.
 func (s *Site) AddBackend(service string, n int) (*stand.Backend, error) {
 	b := &stand.Backend{
-		ID: fmt.Sprintf("%s-%d", service, n), Service: service, Domain: fmt.Sprintf("domain-%d", n%siteCount), Slots: 8, Work: siteWork, Runs: s.Runs,
+		ID: fmt.Sprintf("%s-%d", service, n), Service: service, Domain: fmt.Sprintf("domain-%d", n%siteCount), Slots: 8, ProcessingTime: siteWork, Runs: s.Runs,
 	}
 	if service == SiteModel {
-		b.MemoryMB, b.AdapterSlots, b.LoadTime, b.Events = siteMemory, 4, siteLoad, siteEvents
-		b.SizeMB = make(map[string]float64)
+		b.MemoryMB, b.AdapterSlots, b.LoadTime, b.StreamEvents = siteMemory, 4, siteLoad, siteEvents
+		b.ModelSizeMB = make(map[string]float64)
 		for _, m := range SiteModels {
-			b.SizeMB[m] = siteModel
+			b.ModelSizeMB[m] = siteModel
 		}
-		b.Hold(SiteModels[n%len(SiteModels)])
+		b.AddModels(SiteModels[n%len(SiteModels)])
 	}
-	b.CrashBody, b.Crash = s.options.CrashBody, func() { s.crashBackend(b) }
-	b.Changed = func() { s.enter(b) }
+	b.CrashBody, b.OnCrash = s.options.CrashBody, func() { s.crashBackend(b) }
+	b.OnChange = func() { s.enter(b) }
 	if err := s.startBackend(b); err != nil {
 		return nil, err
 	}
--- a/demo/check.go
+++ b/demo/check.go
@@ -103,9 +103,9 @@
 // Runs checks answers against what the servers ran, once nothing runs any
 // more: a request that ran twice, and one that ran although its caller was told
 // that it had not.
-func (b *Checks) Runs(outcomes []Outcome, ledger *stand.Ledger) {
+func (b *Checks) Runs(outcomes []Outcome, ledger *stand.RunLog) {
 	for _, o := range outcomes {
-		ran := len(ledger.Of(o.ID))
+		ran := len(ledger.Servers(o.ID))
 		if o.Kind.Once && ran > 1 {
 			b.Add("%s %s: ran %d times", o.Kind.Name, o.ID, ran)
 		}
@@ -138,7 +138,7 @@
 // Limit checks that the requests to a backend server stay within its rate limit once limitGracePeriod
 // has passed since limitedAt, when the limit was announced. It reports only the first violation.
 func (b *Checks) Limit(backend *stand.Backend, limitedAt time.Time) {
-	rate, _ := backend.Limit()
+	rate, _ := backend.RateLimit()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
 	arrivals := backend.Arrivals()
 	for i, first := range arrivals {
--- a/demo/drive.go
+++ b/demo/drive.go
@@ -70,7 +70,7 @@
 	wait.Wait()
 	checks.Runs(outcomes, s.Runs)
 	for _, b := range s.Backends(SiteModel) {
-		if b.Crashed() {
+		if b.Overcommitted() {
 			checks.Add("server %s was ordered beyond its memory or places", b.ID)
 		}
 	}
--- a/demo/limit_test.go
+++ b/demo/limit_test.go
@@ -56,7 +56,7 @@
 			s, ctx := startSite(t, demo.SiteOptions{})
 			b := s.Backends(tc.service)[0]
 			limitedAt := time.Now()
-			b.SetLimit(2, true)
+			b.SetRateLimit(2, true)
 			served := 0
 			for _, got := range sendLoad(ctx, s, tc.method, tc.path, tc.model) {
 				if got.status == http.StatusOK {
@@ -83,7 +83,7 @@
 	t.Cleanup(s.Close)
 	require.NoError(t, s.WaitReady(ctx))
 	for _, b := range s.Backends(demo.SitePlain) {
-		b.SetLimit(1.5, true)
+		b.SetRateLimit(1.5, true)
 	}
 	before := log.count("link to the controller lost")
 	var wait sync.WaitGroup
--- a/demo/look.go
+++ b/demo/look.go
@@ -75,7 +75,7 @@
 
 func (w *World) holds(a ctrl.Artifact) bool {
 	for name, e := range w.engines {
-		if !w.isDead(name) && e.Has(a.Model, a.Adapter) {
+		if !w.isDead(name) && e.IsLoaded(a.Model, a.Adapter) {
 			return true
 		}
 	}
@@ -98,7 +98,7 @@
 	for _, r := range e.Report().Residents {
 		others := 0
 		for name, other := range w.engines {
-			if name != server && !w.isDead(name) && other.Has(r.Model, r.Adapter) {
+			if name != server && !w.isDead(name) && other.IsLoaded(r.Model, r.Adapter) {
 				others++
 			}
 		}
--- a/demo/mix.go
+++ b/demo/mix.go
@@ -21,15 +21,15 @@
 	slices.Sort(keys)
 	var classes []load.Class
 	for i, doc := range profiles {
-		c := load.Class{Name: doc.Name, Profile: doc, Rate: rate / float64(len(profiles)), Skew: 0.8, Repeat: repeatedShare}
+		c := load.Class{Name: doc.Name, Profile: doc, Rate: rate / float64(len(profiles)), ZipfExponent: 0.8, RepeatShare: repeatedShare}
 		if len(keys) > 0 {
-			c.Caller = keys[i%len(keys)]
+			c.CallerKey = keys[i%len(keys)]
 		}
 		switch {
 		case doc.Backend == wire.ProfileBackendService:
 			c.Kind = load.KindService
 		case doc.RunsAllowed == 1:
-			c.Kind = load.KindWhole
+			c.Kind = load.KindCompletion
 		}
 		classes = append(classes, c)
 	}
--- a/demo/poison_test.go
+++ b/demo/poison_test.go
@@ -100,7 +100,7 @@
 			require.NoError(t, s.WaitReady(ctx))
 		},
 		"the store is away": func(_ context.Context, _ *testing.T, s *demo.Site) {
-			s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
+			s.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}})
 		},
 	}
 	for name, event := range tests {
@@ -131,11 +131,11 @@
 // each VM in turn is killed and restarted afterwards.
 func TestServersCrashWhileTheStoreIsAway(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{CrashBody: crashingBody})
-	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
+	s.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}})
 	for range 3 {
 		sendCrashingRequest(ctx, s, s.Addresses()[0])
 	}
-	s.Objects.SetFaults(stand.ObjectFaults{})
+	s.Objects.SetFaults(stand.ObjectStoreFaults{})
 	crashServers(ctx, t, s)
 	before := crashCount(s)
 	for i := range s.Addresses() {
--- a/demo/run.go
+++ b/demo/run.go
@@ -58,7 +58,7 @@
 	if err := summary.WriteTable(o.Out); err != nil {
 		return 0, err
 	}
-	return summary.Promises.Broken(), nil
+	return summary.Violations.TotalViolations(), nil
 }
 
 // Load sends load to the deployment and sums up what came of it.
@@ -74,9 +74,9 @@
 
 // Sum sums up results with what the stand-ins saw.
 func (w *World) Sum(classes []load.Class, results []load.Result) load.Summary {
-	s := load.Summarise(classes, results, w.Runs.All())
-	s.Promises.Overcommits = w.Overcommits()
-	s.Promises.UnreachableModels = len(w.UnreachableModels())
+	s := load.Summarize(classes, results, w.Runs.Counts())
+	s.Violations.Overcommits = w.Overcommits()
+	s.Violations.UnreachableModels = len(w.UnreachableModels())
 	return s
 }
 
--- a/demo/site.go
+++ b/demo/site.go
@@ -51,8 +51,8 @@
 // of the store and of backend servers on the platform's wire, and VMs of the
 // system, in one process on loopback.
 type Site struct {
-	Objects *stand.Objects
-	Runs    *stand.Ledger
+	Objects *stand.ObjectStore
+	Runs    *stand.RunLog
 
 	options  SiteOptions
 	storeAt  string
@@ -122,7 +122,7 @@
 	if o.Routes == nil {
 		o.Routes = SiteRoutes()
 	}
-	s := &Site{Objects: &stand.Objects{}, Runs: &stand.Ledger{}, options: o, address: make(map[string]string), processes: make(map[string]*http.Server)}
+	s := &Site{Objects: &stand.ObjectStore{}, Runs: &stand.RunLog{}, options: o, address: make(map[string]string), processes: make(map[string]*http.Server)}
 	if err := s.start(ctx); err != nil {
 		s.Close()
 		return nil, err
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -69,7 +69,7 @@
 		if got.status != http.StatusServiceUnavailable || ctx.Err() != nil {
 			return got
 		}
-		require.Empty(t, s.Runs.Of(try), "refused as not run, and it ran")
+		require.Empty(t, s.Runs.Servers(try), "refused as not run, and it ran")
 	}
 }
 
@@ -101,7 +101,7 @@
 		require.Equal(t, http.StatusNotFound, got.status)
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
-		require.False(t, b.Crashed())
+		require.False(t, b.Overcommitted())
 	}
 }
 
@@ -116,18 +116,18 @@
 		status int
 		runs   int
 	}{
-		"refused, idempotent":       {stand.BackendFaults{Refuse: 1}, "/look/", 200, 1},
-		"refused, once":             {stand.BackendFaults{Refuse: 1}, "/book/", 200, 1},
-		"answer lost, idempotent":   {stand.BackendFaults{Lose: 1}, "/look/", 200, 2},
-		"answer lost, once":         {stand.BackendFaults{Lose: 1}, "/book/", 502, 1},
-		"failed, idempotent":        {stand.BackendFaults{Fail: 1}, "/look/", 200, 2},
-		"failed, once":              {stand.BackendFaults{Fail: 1}, "/book/", 500, 1},
-		"forged, idempotent":        {stand.BackendFaults{Forge: 1}, "/look/", 200, 2},
-		"forged, once":              {stand.BackendFaults{Forge: 1}, "/book/", 502, 1},
-		"answered twice":            {stand.BackendFaults{Stray: 1}, "/look/", 200, 1},
-		"stream lost, resumable":    {stand.BackendFaults{Lose: 1}, "/draft/", 200, 2},
-		"stream cut, resumable":     {stand.BackendFaults{Cut: 1}, "/draft/", 200, 2},
-		"stream cut, not resumable": {stand.BackendFaults{Cut: 1}, "/batch/", 200, 1},
+		"refused, idempotent":       {stand.BackendFaults{Rejections: 1}, "/look/", 200, 1},
+		"refused, once":             {stand.BackendFaults{Rejections: 1}, "/book/", 200, 1},
+		"answer lost, idempotent":   {stand.BackendFaults{LostResponses: 1}, "/look/", 200, 2},
+		"answer lost, once":         {stand.BackendFaults{LostResponses: 1}, "/book/", 502, 1},
+		"failed, idempotent":        {stand.BackendFaults{ErrorResponses: 1}, "/look/", 200, 2},
+		"failed, once":              {stand.BackendFaults{ErrorResponses: 1}, "/book/", 500, 1},
+		"forged, idempotent":        {stand.BackendFaults{ForgedResponses: 1}, "/look/", 200, 2},
+		"forged, once":              {stand.BackendFaults{ForgedResponses: 1}, "/book/", 502, 1},
+		"answered twice":            {stand.BackendFaults{DuplicateResponses: 1}, "/look/", 200, 1},
+		"stream lost, resumable":    {stand.BackendFaults{LostResponses: 1}, "/draft/", 200, 2},
+		"stream cut, resumable":     {stand.BackendFaults{BrokenStreams: 1}, "/draft/", 200, 2},
+		"stream cut, not resumable": {stand.BackendFaults{BrokenStreams: 1}, "/batch/", 200, 1},
 	}
 	s, ctx := startSite(t, demo.SiteOptions{Backends: 2})
 	n := 0
@@ -140,13 +140,13 @@
 				method, model, service = "POST", "m1", demo.SiteModel
 				require.Eventually(t, func() bool { return spread(ctx, s, n) }, testLimit, 10*time.Millisecond)
 			}
-			strikes := stand.NewStrikes(tc.faults)
+			strikes := stand.NewPendingFaults(tc.faults)
 			for _, b := range s.Backends(service) {
-				b.SetStrikes(strikes)
+				b.SetPendingFaults(strikes)
 			}
 			got := call(ctx, s, s.Addresses()[0], id, method, tc.path, model)
 			require.Equal(t, tc.status, got.status, got.body)
-			require.Len(t, s.Runs.Of(id), tc.runs)
+			require.Len(t, s.Runs.Servers(id), tc.runs)
 			switch {
 			case name == "stream cut, not resumable":
 				require.Error(t, got.err, "a stream that broke off must not look complete")
@@ -198,12 +198,12 @@
 func TestStoreAwayAndCompacted(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	s.Objects.Compact()
-	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
+	s.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}})
 	for i := range 20 {
 		got := call(ctx, s, s.Addresses()[i%3], fmt.Sprintf("s%d", i), "GET", "/look/", "")
 		require.Equal(t, 200, got.status, got.body)
 	}
-	s.Objects.SetFaults(stand.ObjectFaults{})
+	s.Objects.SetFaults(stand.ObjectStoreFaults{})
 	moved := demo.SiteRoutes()
 	moved[0].PathPrefix = "/seen/"
 	require.NoError(t, s.Configure(9, moved))
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
-		require.False(t, b.Crashed())
+		require.False(t, b.Overcommitted())
 	}
 }
 
@@ -243,7 +243,7 @@
 			answers[i] = call(ctx, s, s.Addresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
 		})
 	}
-	require.Eventually(t, func() bool { return len(s.Runs.Of("p0")) > 0 }, testLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.Runs.Servers("p0")) > 0 }, testLimit, time.Millisecond)
 	require.NoError(t, s.StopNode(0))
 	wait.Wait()
 	for i, got := range answers {
@@ -261,9 +261,9 @@
 // memory or places, and every model stays reachable.
 func TestOrdersWithoutAnswers(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	strikes := stand.NewStrikes(stand.BackendFaults{LoseOrders: 6})
+	strikes := stand.NewPendingFaults(stand.BackendFaults{LostOrderReplies: 6})
 	for _, b := range s.Backends(demo.SiteModel) {
-		b.SetStrikes(strikes)
+		b.SetPendingFaults(strikes)
 	}
 	for i, model := range []string{"m1/a1", "m2/a2", "m3/a3", "m4/a4", "m4/a1", "m2"} {
 		require.Eventually(t, func() bool {
@@ -271,7 +271,7 @@
 		}, testLimit, 20*time.Millisecond)
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
-		require.False(t, b.Crashed())
+		require.False(t, b.Overcommitted())
 	}
 }
 
@@ -326,7 +326,7 @@
 		served(fmt.Sprint("adapter", round), "m2/a1")
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
-		require.False(t, b.Crashed())
+		require.False(t, b.Overcommitted())
 	}
 }
 
@@ -347,7 +347,7 @@
 			got := call(ctx, s, address, fmt.Sprint("bad", i, k), "GET", "/look/", "")
 			require.Equal(t, 200, got.status, got.body)
 		}
-		backends[i%len(backends)].Changed()
+		backends[i%len(backends)].OnChange()
 	}
 }
 
--- a/demo/world.go
+++ b/demo/world.go
@@ -50,9 +50,9 @@
 // World is a running deployment.
 type World struct {
 	Platform *stand.Platform
-	Weights  *stand.Weights
-	Net      *stand.Net
-	Runs     *stand.Runs
+	Weights  *stand.WeightStore
+	Net      *stand.Network
+	Runs     *stand.RunCounter
 
 	options  Options
 	mu       sync.Mutex
@@ -72,14 +72,14 @@
 		Platform: &stand.Platform{
 			WritesPerSecond: o.Settings.Float("platform", "writes_per_second"),
 			ReadsPerSecond:  o.Settings.Float("platform", "reads_per_second"),
-			Key:             o.Settings.Text("platform", "key"),
+			APIKey:          o.Settings.Text("platform", "key"),
 		},
-		Weights: NewWeights(o.Settings), Net: &stand.Net{}, Runs: &stand.Runs{}, options: o,
+		Weights: NewWeights(o.Settings), Net: &stand.Network{}, Runs: &stand.RunCounter{}, options: o,
 		rng:     rand.New(rand.NewPCG(o.Seed, 7)),
 		engines: make(map[string]*stand.Engine), services: make(map[string]*stand.Service),
 		https: make(map[string]*http.Server), vms: make(map[string]*entry.Daemon), dead: make(map[string]bool),
 	}
-	w.Platform.Chance = w.chance
+	w.Platform.Random = w.chance
 	if err := w.start(ctx); err != nil {
 		w.Close()
 		return nil, err
@@ -88,13 +88,13 @@
 }
 
 // NewWeights returns the weight store that the settings describe.
-func NewWeights(s *conf.Settings) *stand.Weights {
-	return &stand.Weights{
-		LoadsPerSecond:    s.Float("weight_store", "loads_per_second"),
-		LoadsAtFullSpeed:  s.Int("weight_store", "loads_at_full_speed"),
-		AdaptersInTransit: s.Int("weight_store", "adapters_in_transit"),
-		ModelLoad:         s.Duration("weight_store", "model_load"),
-		AdapterLoad:       s.Duration("weight_store", "adapter_load"),
+func NewWeights(s *conf.Settings) *stand.WeightStore {
+	return &stand.WeightStore{
+		LoadsPerSecond:        s.Float("weight_store", "loads_per_second"),
+		FullSpeedModelLoads:   s.Int("weight_store", "loads_at_full_speed"),
+		FullSpeedAdapterLoads: s.Int("weight_store", "adapters_in_transit"),
+		ModelLoadTime:         s.Duration("weight_store", "model_load"),
+		AdapterLoadTime:       s.Duration("weight_store", "adapter_load"),
 	}
 }
 
@@ -137,7 +137,7 @@
 	w.mu.Lock()
 	w.https[name] = s
 	w.mu.Unlock()
-	w.Net.Name(address, name)
+	w.Net.SetHost(address, name)
 	go func() { _ = s.Serve(l) }()
 	return address, nil
 }
@@ -160,12 +160,12 @@
 
 func (w *World) newServer(pool conf.Pool, doc wire.Server) http.Handler {
 	if pool.IsService() {
-		s := &stand.Service{Name: doc.Name, Runs: w.Runs, Chance: w.chance}
+		s := &stand.Service{Name: doc.Name, Runs: w.Runs, Random: w.chance}
 		w.services[doc.Name] = s
 		return s.Handler()
 	}
 	e := NewEngine(pool, doc.Name)
-	e.Fetch, e.Runs, e.Chance = w.Weights.Fetch, w.Runs, w.chance
+	e.FetchWeights, e.Runs, e.Random = w.Weights.Fetch, w.Runs, w.chance
 	if w.options.AdjustEngine != nil {
 		w.options.AdjustEngine(e)
 	}
@@ -177,7 +177,7 @@
 func NewEngine(pool conf.Pool, name string) *stand.Engine {
 	return &stand.Engine{
 		Name: name, MemoryBytes: pool.MemoryBytes(), KVBytes: pool.KVBytes(), Slots: pool.Slots(),
-		FirstToken: pool.FirstToken(), BetweenTokens: pool.BetweenTokens(), ChecksFencing: pool.ChecksFencing(),
+		FirstTokenDelay: pool.FirstToken(), TokenInterval: pool.BetweenTokens(), ChecksFencing: pool.ChecksFencing(),
 	}
 }
 
@@ -252,7 +252,7 @@
 	if err := d.Start(ctx); err != nil {
 		return nil, fmt.Errorf("start %s: %w", vm.Name(), err)
 	}
-	w.Net.Name(d.PeerAddress(), vm.Name())
+	w.Net.SetHost(d.PeerAddress(), vm.Name())
 	w.mu.Lock()
 	w.vms[vm.Name()] = d
 	w.mu.Unlock()
@@ -313,7 +313,7 @@
 // SetCut cuts or heals what goes from one host to another.
 func (w *World) SetCut(from, to string, cut bool) {
 	if cut {
-		w.Net.Cut(from, to)
+		w.Net.Partition(from, to)
 		return
 	}
 	w.Net.Heal(from, to)
--- a/engine/client.go
+++ b/engine/client.go
@@ -23,9 +23,9 @@
 
 // Headers of the engine's protocol.
 const (
-	HeaderAttempt = "Attempt-Id"
-	HeaderFencing = "Fencing-Number"
-	HeaderLast    = "Last-Event-ID"
+	HeaderAttemptID     = "Attempt-Id"
+	HeaderFencingNumber = "Fencing-Number"
+	HeaderLastEventID   = "Last-Event-ID"
 )
 
 const maxErrorBody = 4 << 10
@@ -53,8 +53,8 @@
 	return c.HTTP
 }
 
-// Generation is a request to generate text.
-type Generation struct {
+// GenerateRequest is a request to generate text.
+type GenerateRequest struct {
 	Model     string                 `json:"model"`
 	Adapter   string                 `json:"adapter,omitempty"`
 	Prompt    string                 `json:"prompt,omitempty"`
@@ -68,19 +68,19 @@
 
 // Generate starts a run and calls onFrame for each frame until the end frame. Its
 // errors are Failures; the cause states whether the run may have started.
-func (c *Client) Generate(ctx context.Context, address, attempt string, g Generation, onFrame func(hibiscuscart.Frame) error) error {
+func (c *Client) Generate(ctx context.Context, address, attempt string, g GenerateRequest, onFrame func(hibiscuscart.Frame) error) error {
 	g.Stream = true
 	path := "/v1/completions"
 	if len(g.Messages) > 0 {
 		path = "/v1/chat/completions"
 	}
-	s := requestTo(address).Post(path).Set(HeaderAttempt, attempt).BodyJSON(g)
+	s := requestTo(address).Post(path).Set(HeaderAttemptID, attempt).BodyJSON(g)
 	return c.stream(ctx, s, onFrame)
 }
 
 // Resume continues a stream after the frame with the given sequence number.
 func (c *Client) Resume(ctx context.Context, address, attempt string, after int, onFrame func(hibiscuscart.Frame) error) error {
-	s := requestTo(address).Get("/v1/streams/"+attempt).Set(HeaderLast, strconv.Itoa(after))
+	s := requestTo(address).Get("/v1/streams/"+attempt).Set(HeaderLastEventID, strconv.Itoa(after))
 	return c.stream(ctx, s, onFrame)
 }
 
@@ -156,7 +156,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusPreconditionFailed {
-		return &OldFenceError{}
+		return &StaleFenceError{}
 	}
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
@@ -168,12 +168,12 @@
 	return nil
 }
 
-// OldFenceError reports that the engine has received a higher fencing number. The
+// StaleFenceError reports that the engine has received a higher fencing number. The
 // order had no effect, and its sender is no longer the controller.
-type OldFenceError struct{}
+type StaleFenceError struct{}
 
 // Error implements error.
-func (e *OldFenceError) Error() string { return "engine has received a higher fencing number" }
+func (e *StaleFenceError) Error() string { return "engine has received a higher fencing number" }
 
 // Cancel stops a run.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// Load returns the engine's load report.
-func (c *Client) Load(ctx context.Context, address string) (wire.LoadReport, error) {
+// LoadReport returns the engine's load report.
+func (c *Client) LoadReport(ctx context.Context, address string) (wire.LoadReport, error) {
 	var report wire.LoadReport
 	if err := c.callJSON(ctx, requestTo(address).Get("/load"), &report); err != nil {
 		return wire.LoadReport{}, fmt.Errorf("get load report: %w", err)
@@ -196,7 +196,7 @@
 // CacheEvents returns the cache events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int) ([]wire.CacheEvent, error) {
 	var events []wire.CacheEvent
-	s := requestTo(address).Get("/events").Set(HeaderLast, strconv.Itoa(after))
+	s := requestTo(address).Get("/events").Set(HeaderLastEventID, strconv.Itoa(after))
 	if err := c.callJSON(ctx, s, &events); err != nil {
 		return nil, fmt.Errorf("get cache events: %w", err)
 	}
@@ -206,17 +206,17 @@
 // Order sends an order with a fencing number. A repeated order has no effect.
 func (c *Client) Order(ctx context.Context, address string, order wire.Order, fence int) error {
 	var ignored struct{}
-	s := requestTo(address).Post("/orders").Set(HeaderFencing, strconv.Itoa(fence)).BodyJSON(order)
+	s := requestTo(address).Post("/orders").Set(HeaderFencingNumber, strconv.Itoa(fence)).BodyJSON(order)
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
 		return fmt.Errorf("send order %s: %w", order.Order, err)
 	}
 	return nil
 }
 
-// RaiseFence makes the engine reject orders with a lower fencing number.
-func (c *Client) RaiseFence(ctx context.Context, address string, fence int) error {
+// RaiseFencingNumber makes the engine reject orders with a lower fencing number.
+func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fence int) error {
 	var ignored struct{}
-	s := requestTo(address).Put("/fence").Set(HeaderFencing, strconv.Itoa(fence))
+	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fence))
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
 		return fmt.Errorf("raise fencing number to %d: %w", fence, err)
 	}
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -74,17 +74,17 @@
 		}
 		outcomes[id][outcome] = true
 	})
-	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.3})
+	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.3})
 	time.Sleep(300 * time.Millisecond)
 	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	time.Sleep(500 * time.Millisecond)
-	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.1})
+	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.1})
 	w.KillVM("two-1")
 	wg.Wait()
 	done := 0
 	for i := range keys {
 		id := fmt.Sprint("once", i)
-		runs := w.Runs.Of(id)
+		runs := w.Runs.Count(id)
 		require.LessOrEqual(t, runs, 1, id)
 		told := outcomes[id]
 		if told["done"] {
@@ -106,7 +106,7 @@
 	desk := w.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{Hang: true})
 	go tryCall(w, "one-1", "orphan")
-	require.Eventually(t, func() bool { return w.Runs.Of("orphan") == 1 }, longestTest, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return w.Runs.Count("orphan") == 1 }, longestTest, 5*time.Millisecond)
 	w.KillVM("one-1")
 	desk.SetFaults(stand.ServiceFaults{})
 	first := post(t, w, "two-1", "/services/desk/loans", entryCall("orphan"), entry.HeaderKey, "key-orphan")
@@ -114,7 +114,7 @@
 	time.Sleep(3500 * time.Millisecond) // the time a call of this profile can be in progress
 	r := post(t, w, "two-1", "/services/desk/loans", entryCall("orphan"), entry.HeaderKey, "key-orphan")
 	require.Equal(t, "claim_unknown", r.problem.Title, r.body)
-	require.Equal(t, 1, w.Runs.Of("orphan"))
+	require.Equal(t, 1, w.Runs.Count("orphan"))
 }
 
 // A VM is killed in the middle of its graceful stop, with calls in progress. They
@@ -148,7 +148,7 @@
 	for i := range 5 {
 		id := fmt.Sprint("shutdown", i)
 		require.Equal(t, "unknown", tryCall(w, "two-1", id), id)
-		require.Equal(t, 1, w.Runs.Of(id), id)
+		require.Equal(t, 1, w.Runs.Count(id), id)
 	}
 	require.Equal(t, "done", tryCall(w, "two-1", "after"))
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -296,7 +296,7 @@
 			return nil
 		}
 		err := c.order(ctx, b, order)
-		var old *engine.OldFenceError
+		var old *engine.StaleFenceError
 		if errors.As(err, &old) {
 			b.Load(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -92,7 +92,7 @@
 		config: c, boot: uuid.NewString(), now: c.Now, meter: meter.New(),
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
 		store:   &store.Client{Base: c.Platform, Key: c.PlatformKey, Node: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
-		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.AnswerBytes},
+		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxResponseBytes: c.Limits.AnswerBytes},
 		profiles: &profs.View{}, fleet: &fleet.View{}, usage: &modelUsage{},
 	}
 	d.configs = &configs{profiles: d.profiles}
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -40,14 +40,14 @@
 	for cut := 1; cut <= tokens+1; cut++ {
 		var done atomic.Bool
 		for _, e := range engines(w) {
-			e.CutBefore = func(_ string, sequence int) bool { return sequence == cut && done.CompareAndSwap(false, true) }
+			e.DisconnectBefore = func(_ string, sequence int) bool { return sequence == cut && done.CompareAndSwap(false, true) }
 		}
 		body := strings.Replace(completion("issue/n", id(cut), tokens), "{", `{"stream":true,`, 1)
 		r := post(t, w, "one-1", "/v1/completions", body, entry.HeaderKey, id(cut))
 		text, whole := r.streamText()
 		require.True(t, whole, r.body)
 		require.Equal(t, wanted("n", id(cut), tokens), text)
-		require.Equal(t, 1, w.Runs.Of(id(cut)))
+		require.Equal(t, 1, w.Runs.Count(id(cut)))
 	}
 }
 
@@ -56,7 +56,7 @@
 func TestCrossedAndRepeatedFrames(t *testing.T) {
 	w := world(t, nil)
 	for _, e := range engines(w) {
-		e.SetFaults(stand.EngineFaults{CrossShare: 0.5, RepeatShare: 0.5})
+		e.SetFaults(stand.EngineFaults{ForeignFrameShare: 0.5, DuplicateShare: 0.5})
 	}
 	for i := range 20 {
 		id := fmt.Sprint("crossed", i)
@@ -77,7 +77,7 @@
 	var killed atomic.Bool
 	for _, s := range w.Servers() {
 		if e := w.Engine(s.Name); e != nil {
-			e.CutBefore = func(_ string, sequence int) bool {
+			e.DisconnectBefore = func(_ string, sequence int) bool {
 				if sequence != 3 || !killed.CompareAndSwap(false, true) {
 					return false
 				}
@@ -91,7 +91,7 @@
 	text, whole := r.streamText()
 	require.True(t, whole, r.body)
 	require.Equal(t, wanted("m", "dies", tokens), text)
-	require.Equal(t, 2, w.Runs.Of("dies"))
+	require.Equal(t, 2, w.Runs.Count("dies"))
 }
 
 func waitCopies(t *testing.T, w *demo.World, model string, copies int) {
@@ -99,7 +99,7 @@
 	require.Eventually(t, func() bool {
 		n := 0
 		for _, e := range engines(w) {
-			if e.Has(model, "") {
+			if e.IsLoaded(model, "") {
 				n++
 			}
 		}
@@ -114,7 +114,7 @@
 func TestLostAnswerOfOnceOnlyCall(t *testing.T) {
 	w := world(t, nil)
 	desk := w.Service("desk-1")
-	desk.SetFaults(stand.ServiceFaults{LoseAnswers: 1})
+	desk.SetFaults(stand.ServiceFaults{LostReplyShare: 1})
 	first := post(t, w, "one-1", "/services/desk/loans", entryCall("lost"), entry.HeaderKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
@@ -124,7 +124,7 @@
 			return again.problem.Title == "claim_unknown" && again.problem.Outcome == "unknown"
 		}, longestTest, 20*time.Millisecond)
 	}
-	require.Equal(t, 1, w.Runs.Of("lost"))
+	require.Equal(t, 1, w.Runs.Count("lost"))
 }
 
 // A request with a key that was used is answered from the kept answer, through
@@ -142,24 +142,24 @@
 	other := post(t, w, "two-1", "/services/desk/loans", entryCall("other"), entry.HeaderKey, "k")
 	require.Equal(t, 422, other.status)
 	require.Equal(t, "not_run", other.problem.Outcome)
-	require.Equal(t, 1, w.Runs.Of("rep"))
-	require.Equal(t, 0, w.Runs.Of("other"))
+	require.Equal(t, 1, w.Runs.Count("rep"))
+	require.Equal(t, 0, w.Runs.Count("other"))
 }
 
 // The store carries out the claim and its answer is lost. The gateway reads the
 // claim back, finds its own grant and sends the request, once.
 func TestClaimAnswerLost(t *testing.T) {
 	w := world(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.5})
+	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
 		r := post(t, w, "one-1", "/services/desk/loans", entryCall(id), entry.HeaderKey, id)
 		if r.status == 200 {
-			require.Equal(t, 1, w.Runs.Of(id))
+			require.Equal(t, 1, w.Runs.Count(id))
 			continue
 		}
 		require.Equal(t, "not_run", r.problem.Outcome, r.body)
-		require.Equal(t, 0, w.Runs.Of(id))
+		require.Equal(t, 0, w.Runs.Count(id))
 	}
 }
 
@@ -181,7 +181,7 @@
 	require.Eventually(t, func() bool {
 		return post(t, w, "one-1", "/services/desk/loans", entryCall("away"), entry.HeaderKey, "k").status == 200
 	}, longestTest, 50*time.Millisecond)
-	require.Equal(t, 1, w.Runs.Of("away"))
+	require.Equal(t, 1, w.Runs.Count("away"))
 }
 
 // A caller goes away in the middle of a stream. The engine is told to stop, so
@@ -218,7 +218,7 @@
 		again := post(t, w, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderKey, "k")
 		return again.status == 200 && again.text(t) == wanted("n", "gone-once", 100)
 	}, longestTest, 50*time.Millisecond)
-	require.Equal(t, 1, w.Runs.Of("gone-once"))
+	require.Equal(t, 1, w.Runs.Count("gone-once"))
 	require.Equal(t, int64(1), canceled())
 }
 
@@ -281,7 +281,7 @@
 // does not bring the retired one back.
 func TestProfilesSpreadPastThePlatform(t *testing.T) {
 	w := world(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{CutNodes: []string{"two-1"}})
+	w.Platform.SetFaults(stand.PlatformFaults{DisconnectedVMs: []string{"two-1"}})
 	docs := smallProfiles()
 	docs[0].MaxTokens = 5
 	docs[1].Retired = true
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -35,9 +35,9 @@
 func (d *Daemon) poll(ctx context.Context, server wire.Server) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	load := d.engines.Load
+	load := d.engines.LoadReport
 	if server.Backend == wire.ServerBackendService {
-		load = d.plain.Load
+		load = d.plain.LoadReport
 	}
 	report, err := load(ctx, server.Address)
 	if err != nil {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -270,8 +270,8 @@
 	return err
 }
 
-func (s *relayStage) generation(x *Exchange) engine.Generation {
-	return engine.Generation{
+func (s *relayStage) generation(x *Exchange) engine.GenerateRequest {
+	return engine.GenerateRequest{
 		Model: x.model, Adapter: x.request.Adapter, Prompt: x.request.Prompt, Messages: x.request.Messages,
 		MaxTokens: x.maxTokens(), Priority: x.profile.Priority(),
 	}
--- a/entry/testdata_test.go
+++ b/entry/testdata_test.go
@@ -174,7 +174,7 @@
 }
 
 func wanted(model, id string, tokens int) string {
-	return strings.Join(stand.Answer(model, "", "menu "+stand.Marker(id), tokens), "")
+	return strings.Join(stand.CompletionTokens(model, "", "menu "+stand.Marker(id), tokens), "")
 }
 
 func entryCall(id string) string { return fmt.Sprintf(`{"entry":"loan %s"}`, stand.Marker(id)) }
--- a/load/answer.go
+++ b/load/answer.go
@@ -15,43 +15,43 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// End is the result of a request as the caller observed it.
-type End int
+// Verdict is the result of a request as the caller observed it.
+type Verdict int
 
 const (
-	// EndWhole means that the response was complete and correct.
-	EndWhole End = iota
-	// EndWrong means that the response was not the expected one.
-	EndWrong
-	// EndLost means that a response started but was incomplete or malformed, and
+	// VerdictCorrect means that the response was complete and correct.
+	VerdictCorrect Verdict = iota
+	// VerdictWrong means that the response was not the expected one.
+	VerdictWrong
+	// VerdictIncomplete means that a response started but was incomplete or malformed, and
 	// no failure was reported.
-	EndLost
-	// EndFailed means that a failure with an outcome was reported.
-	EndFailed
-	// EndBroken means that the connection broke before a response.
-	EndBroken
-	// EndNotReached means that no VM was reachable.
-	EndNotReached
+	VerdictIncomplete
+	// VerdictFailed means that a failure with an outcome was reported.
+	VerdictFailed
+	// VerdictDisconnected means that the connection broke before a response.
+	VerdictDisconnected
+	// VerdictUnreachable means that no VM was reachable.
+	VerdictUnreachable
 )
 
 // Result is the result of one request.
 type Result struct {
 	Arrival Arrival
 	// Target is the address of the VM the request was sent to.
-	Target string
-	End    End
-	Status int
+	Target  string
+	Verdict Verdict
+	Status  int
 	// Outcome and Code are those of a reported failure.
-	Outcome hibiscuscart.Outcome
-	Code    string
-	Detail  string
-	Began   time.Time
-	Took    time.Duration
-	// FirstToken is the time to the first token of a stream, Gaps are the times
-	// between its tokens.
-	FirstToken time.Duration
-	Gaps       []time.Duration
-	Tokens     int
+	Outcome   hibiscuscart.Outcome
+	Code      string
+	Detail    string
+	StartedAt time.Time
+	Duration  time.Duration
+	// TimeToFirstToken is the time from the start to the first token of a stream,
+	// TokenIntervals are the times between its tokens.
+	TimeToFirstToken time.Duration
+	TokenIntervals   []time.Duration
+	Tokens           int
 }
 
 // newRequest builds the HTTP request of an arrival.
@@ -60,12 +60,12 @@
 	switch class.Kind {
 	case KindStream:
 		body = jsonBody(map[string]any{
-			"model": modelName(class, a), "stream": true, "max_tokens": a.Tokens,
+			"model": modelName(class, a), "stream": true, "max_tokens": a.MaxTokens,
 			"messages": []hibiscuscart.Message{{Role: "user", Content: a.Prompt}},
 		})
-	case KindWhole:
+	case KindCompletion:
 		path = "/v1/completions"
-		body = jsonBody(map[string]any{"model": modelName(class, a), "max_tokens": a.Tokens, "prompt": a.Prompt})
+		body = jsonBody(map[string]any{"model": modelName(class, a), "max_tokens": a.MaxTokens, "prompt": a.Prompt})
 	case KindService:
 		path = "/services/" + class.Profile.Name + "/entries"
 		body = jsonBody(map[string]any{"entry": a.Prompt})
@@ -75,11 +75,11 @@
 		return nil, fmt.Errorf("build request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if class.Caller != "" {
-		req.Header.Set("Authorization", "Bearer "+class.Caller)
+	if class.CallerKey != "" {
+		req.Header.Set("Authorization", "Bearer "+class.CallerKey)
 	}
-	if a.Key != "" {
-		req.Header.Set("Idempotency-Key", a.Key)
+	if a.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", a.IdempotencyKey)
 	}
 	return req, nil
 }
@@ -100,16 +100,16 @@
 	return name
 }
 
-// Answer returns the tokens that the fake engine generates for an arrival.
-func Answer(class Class, a Arrival) []string {
+// ExpectedTokens returns the tokens that the fake engine generates for an arrival.
+func ExpectedTokens(class Class, a Arrival) []string {
 	prompt := a.Prompt
 	if class.Kind == KindStream {
 		prompt = stand.ChatPrompt([]hibiscuscart.Message{{Role: "user", Content: a.Prompt}})
 	}
-	return stand.Answer(a.Model, a.Adapter, prompt, a.Tokens)
+	return stand.CompletionTokens(a.Model, a.Adapter, prompt, a.MaxTokens)
 }
 
-func expectedText(class Class, a Arrival) string { return strings.Join(Answer(class, a), "") }
+func expectedText(class Class, a Arrival) string { return strings.Join(ExpectedTokens(class, a), "") }
 
 func readResponse(resp *http.Response, class Class, res *Result) {
 	if isErrorStatus(resp) {
@@ -119,7 +119,7 @@
 	switch class.Kind {
 	case KindStream:
 		readStream(resp, class, res)
-	case KindWhole:
+	case KindCompletion:
 		readCompletion(resp, class, res)
 	case KindService:
 		readService(resp, res)
@@ -135,7 +135,7 @@
 func readProblem(resp *http.Response, res *Result) {
 	var body problemBody
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, "error response without a problem document"
+		res.Verdict, res.Detail = VerdictIncomplete, "error response without a problem document"
 		return
 	}
 	res.setProblem(body)
@@ -144,16 +144,16 @@
 func (r *Result) setProblem(body problemBody) {
 	outcome, err := hibiscuscart.ParseOutcome(body.Outcome)
 	if err != nil {
-		r.End, r.Detail = EndLost, err.Error()
+		r.Verdict, r.Detail = VerdictIncomplete, err.Error()
 		return
 	}
-	r.End, r.Outcome, r.Code, r.Detail = EndFailed, outcome, body.Title, body.Detail
+	r.Verdict, r.Outcome, r.Code, r.Detail = VerdictFailed, outcome, body.Title, body.Detail
 }
 
 func (r *Result) compare(got, want string) {
-	r.End = EndWhole
+	r.Verdict = VerdictCorrect
 	if got != want {
-		r.End, r.Detail = EndWrong, fmt.Sprintf("got %.60q, want %.60q", got, want)
+		r.Verdict, r.Detail = VerdictWrong, fmt.Sprintf("got %.60q, want %.60q", got, want)
 	}
 }
 
@@ -164,25 +164,25 @@
 		} `json:"choices"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || len(body.Choices) != 1 {
-		res.End, res.Detail = EndLost, fmt.Sprintf("incomplete response: %v", err)
+		res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
 	res.compare(body.Choices[0].Text, expectedText(class, res.Arrival))
 }
 
 func readService(resp *http.Response, res *Result) {
-	var body stand.ServiceAnswer
+	var body stand.ServiceResponse
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, fmt.Sprintf("incomplete response: %v", err)
+		res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
 	sent := jsonBody(map[string]any{"entry": res.Arrival.Prompt})
-	res.compare(body.Digest, stand.DigestOf([]byte(sent)))
+	res.compare(body.Digest, stand.BodyDigest([]byte(sent)))
 }
 
 func readStream(resp *http.Response, class Class, res *Result) {
 	var text strings.Builder
-	previousToken := res.Began
+	previousToken := res.StartedAt
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), 1<<20)
 	for lines.Scan() {
@@ -204,15 +204,15 @@
 		}
 		now := clock.Now()
 		if res.Tokens == 0 {
-			res.FirstToken = now.Sub(res.Began)
+			res.TimeToFirstToken = now.Sub(res.StartedAt)
 		} else {
-			res.Gaps = append(res.Gaps, now.Sub(previousToken))
+			res.TokenIntervals = append(res.TokenIntervals, now.Sub(previousToken))
 		}
 		previousToken = now
 		res.Tokens++
 		text.WriteString(fragment)
 	}
-	res.End, res.Detail = EndLost, fmt.Sprintf("stream ended without the end event: %v", lines.Err())
+	res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("stream ended without the end event: %v", lines.Err())
 }
 
 func readEvent(data []byte) (string, *problemBody) {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -14,8 +14,8 @@
 func classes() []load.Class {
 	models := []wire.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	return []load.Class{
-		{Name: "draft", Rate: 50, Skew: 1, Profile: wire.Profile{Name: "draft", RunsAllowed: 2, WholeAnswerMs: 1000, FirstTokenMs: 100, BetweenTokensMs: 10, Models: models}},
-		{Name: "desk", Kind: load.KindService, Rate: 20, Burst: 10, BurstFrom: 2 * time.Second, BurstTo: 3 * time.Second, Repeat: 0.2, Profile: wire.Profile{Name: "desk", RunsAllowed: 1, WholeAnswerMs: 1000}},
+		{Name: "draft", Rate: 50, ZipfExponent: 1, Profile: wire.Profile{Name: "draft", RunsAllowed: 2, WholeAnswerMs: 1000, FirstTokenMs: 100, BetweenTokensMs: 10, Models: models}},
+		{Name: "desk", Kind: load.KindService, Rate: 20, BurstFactor: 10, BurstStart: 2 * time.Second, BurstEnd: 3 * time.Second, RepeatShare: 0.2, Profile: wire.Profile{Name: "desk", RunsAllowed: 1, WholeAnswerMs: 1000}},
 	}
 }
 
@@ -27,10 +27,10 @@
 	burst := 0
 	for i, x := range a {
 		if i > 0 {
-			require.GreaterOrEqual(t, x.At, a[i-1].At)
+			require.GreaterOrEqual(t, x.Offset, a[i-1].Offset)
 		}
 		counts[x.Class]++
-		if x.Class == 1 && x.At >= 2*time.Second && x.At < 3*time.Second {
+		if x.Class == 1 && x.Offset >= 2*time.Second && x.Offset < 3*time.Second {
 			burst++
 		}
 	}
@@ -43,30 +43,30 @@
 func TestSummaryViolations(t *testing.T) {
 	arrival := func(class int) load.Arrival { return load.Arrival{ID: "r", Class: class} }
 	failed := func(class int, o hibiscuscart.Outcome) load.Result {
-		return load.Result{Arrival: arrival(class), End: load.EndFailed, Outcome: o, Code: "c"}
+		return load.Result{Arrival: arrival(class), Verdict: load.VerdictFailed, Outcome: o, Code: "c"}
 	}
 	cases := map[string]struct {
 		results []load.Result
 		runs    int
-		want    load.Promises
+		want    load.Violations
 	}{
-		"complete":               {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 1, load.Promises{}},
-		"two runs allowed":       {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 2, load.Promises{}},
-		"too many runs":          {[]load.Result{{Arrival: arrival(0), End: load.EndWhole}}, 3, load.Promises{DoubleRuns: 1}},
-		"at-most-once run twice": {[]load.Result{{Arrival: arrival(1), End: load.EndWhole}}, 2, load.Promises{DoubleRuns: 1}},
-		"wrong":                  {[]load.Result{{Arrival: arrival(0), End: load.EndWrong}}, 1, load.Promises{WrongAnswers: 1}},
-		"lost":                   {[]load.Result{{Arrival: arrival(0), End: load.EndLost}}, 1, load.Promises{LostAnswers: 1}},
-		"not run":                {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun)}, 0, load.Promises{}},
-		"false not run":          {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun)}, 1, load.Promises{FalseNotRun: 1}},
-		"unknown":                {[]load.Result{failed(1, hibiscuscart.OutcomeUnknown)}, 1, load.Promises{}},
-		"repeated, one ran":      {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun), {Arrival: arrival(1), End: load.EndWhole}}, 1, load.Promises{}},
-		"repeated, both ran":     {[]load.Result{{Arrival: arrival(1), End: load.EndWhole}, {Arrival: arrival(1), End: load.EndWhole}}, 2, load.Promises{DoubleRuns: 1}},
-		"no VM reachable":        {[]load.Result{{Arrival: arrival(0), End: load.EndNotReached}}, 0, load.Promises{}},
+		"complete":               {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictCorrect}}, 1, load.Violations{}},
+		"two runs allowed":       {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictCorrect}}, 2, load.Violations{}},
+		"too many runs":          {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictCorrect}}, 3, load.Violations{DoubleRuns: 1}},
+		"at-most-once run twice": {[]load.Result{{Arrival: arrival(1), Verdict: load.VerdictCorrect}}, 2, load.Violations{DoubleRuns: 1}},
+		"wrong":                  {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictWrong}}, 1, load.Violations{WrongAnswers: 1}},
+		"lost":                   {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictIncomplete}}, 1, load.Violations{LostAnswers: 1}},
+		"not run":                {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun)}, 0, load.Violations{}},
+		"false not run":          {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun)}, 1, load.Violations{FalseNotRun: 1}},
+		"unknown":                {[]load.Result{failed(1, hibiscuscart.OutcomeUnknown)}, 1, load.Violations{}},
+		"repeated, one ran":      {[]load.Result{failed(1, hibiscuscart.OutcomeNotRun), {Arrival: arrival(1), Verdict: load.VerdictCorrect}}, 1, load.Violations{}},
+		"repeated, both ran":     {[]load.Result{{Arrival: arrival(1), Verdict: load.VerdictCorrect}, {Arrival: arrival(1), Verdict: load.VerdictCorrect}}, 2, load.Violations{DoubleRuns: 1}},
+		"no VM reachable":        {[]load.Result{{Arrival: arrival(0), Verdict: load.VerdictUnreachable}}, 0, load.Violations{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := load.Summarise(classes(), c.results, map[string]int{"r": c.runs})
-			require.Equal(t, c.want, s.Promises)
+			s := load.Summarize(classes(), c.results, map[string]int{"r": c.runs})
+			require.Equal(t, c.want, s.Violations)
 		})
 	}
 }
@@ -77,16 +77,16 @@
 		result load.Result
 		want   float64
 	}{
-		"in time":          {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(50), Gaps: []time.Duration{ms(5), ms(9)}}, 1},
-		"late first token": {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(150)}, 0},
-		"slow tokens":      {load.Result{End: load.EndWhole, Took: ms(500), Tokens: 3, FirstToken: ms(50), Gaps: []time.Duration{ms(20), ms(20)}}, 0},
-		"late response":    {load.Result{End: load.EndWhole, Took: ms(1500)}, 0},
-		"failed":           {load.Result{End: load.EndFailed}, 0},
+		"in time":          {load.Result{Verdict: load.VerdictCorrect, Duration: ms(500), Tokens: 3, TimeToFirstToken: ms(50), TokenIntervals: []time.Duration{ms(5), ms(9)}}, 1},
+		"late first token": {load.Result{Verdict: load.VerdictCorrect, Duration: ms(500), Tokens: 3, TimeToFirstToken: ms(150)}, 0},
+		"slow tokens":      {load.Result{Verdict: load.VerdictCorrect, Duration: ms(500), Tokens: 3, TimeToFirstToken: ms(50), TokenIntervals: []time.Duration{ms(20), ms(20)}}, 0},
+		"late response":    {load.Result{Verdict: load.VerdictCorrect, Duration: ms(1500)}, 0},
+		"failed":           {load.Result{Verdict: load.VerdictFailed}, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := load.Summarise(classes(), []load.Result{c.result}, nil)
-			require.Equal(t, c.want, s.Total.Attained)
+			s := load.Summarize(classes(), []load.Result{c.result}, nil)
+			require.Equal(t, c.want, s.Total.Attainment)
 		})
 	}
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -19,8 +19,8 @@
 const (
 	// KindStream requests a streamed chat completion.
 	KindStream Kind = iota
-	// KindWhole requests a completion in a single response.
-	KindWhole
+	// KindCompletion requests a completion in a single response.
+	KindCompletion
 	// KindService calls a plain service.
 	KindService
 )
@@ -30,36 +30,36 @@
 	Name    string
 	Profile wire.Profile
 	Kind    Kind
-	// Caller is the API key of the caller, "" for none.
-	Caller string
+	// CallerKey is the API key of the caller, "" for none.
+	CallerKey string
 	// Rate is the mean number of requests per second.
 	Rate float64
-	// Burst multiplies the rate from BurstFrom to BurstTo.
-	Burst              float64
-	BurstFrom, BurstTo time.Duration
-	MaxTokens          int
-	// Skew is the exponent of the Zipf distribution of models; 0 is a uniform
+	// BurstFactor multiplies the rate from BurstStart to BurstEnd.
+	BurstFactor          float64
+	BurstStart, BurstEnd time.Duration
+	MaxTokens            int
+	// ZipfExponent is the exponent of the Zipf distribution of models; 0 is a uniform
 	// distribution.
-	Skew float64
-	// Repeat is the fraction of at-most-once requests that are sent twice with
+	ZipfExponent float64
+	// RepeatShare is the fraction of at-most-once requests that are sent twice with
 	// the same idempotency key.
-	Repeat float64
+	RepeatShare float64
 }
 
-// Once reports whether requests of the class may run at most once.
-func (c Class) Once() bool { return c.Profile.RunsAllowed == 1 }
+// AtMostOnce reports whether requests of the class may run at most once.
+func (c Class) AtMostOnce() bool { return c.Profile.RunsAllowed == 1 }
 
 // Arrival is one request of the schedule.
 type Arrival struct {
-	At    time.Duration
-	Class int
-	ID    string
-	// Key is the idempotency key of an at-most-once request.
-	Key     string
-	Model   string
-	Adapter string
-	Prompt  string
-	Tokens  int
+	Offset time.Duration
+	Class  int
+	ID     string
+	// IdempotencyKey is the idempotency key of an at-most-once request.
+	IdempotencyKey string
+	Model          string
+	Adapter        string
+	Prompt         string
+	MaxTokens      int
 }
 
 // Schedule returns the arrivals within a duration, sorted by time. The arrivals of
@@ -86,7 +86,7 @@
 // arrivals returns the arrivals of the class, by thinning of a Poisson process with
 // the peak rate (Lewis and Shedler, 1979).
 func (s *scheduler) arrivals(length time.Duration) []Arrival {
-	peakRate := s.class.Rate * math.Max(s.class.Burst, 1)
+	peakRate := s.class.Rate * math.Max(s.class.BurstFactor, 1)
 	if peakRate <= 0 {
 		return nil
 	}
@@ -101,31 +101,31 @@
 		}
 		a := s.newArrival(at)
 		all = append(all, a)
-		if a.Key != "" && s.rng.Float64() < s.class.Repeat {
+		if a.IdempotencyKey != "" && s.rng.Float64() < s.class.RepeatShare {
 			repeated := a
-			repeated.At += time.Duration(s.rng.Int64N(int64(200 * time.Millisecond)))
+			repeated.Offset += time.Duration(s.rng.Int64N(int64(200 * time.Millisecond)))
 			all = append(all, repeated)
 		}
 	}
 }
 
 func (s *scheduler) rateAt(at time.Duration) float64 {
-	if s.class.Burst > 1 && at >= s.class.BurstFrom && at < s.class.BurstTo {
-		return s.class.Rate * s.class.Burst
+	if s.class.BurstFactor > 1 && at >= s.class.BurstStart && at < s.class.BurstEnd {
+		return s.class.Rate * s.class.BurstFactor
 	}
 	return s.class.Rate
 }
 
 func (s *scheduler) newArrival(at time.Duration) Arrival {
 	s.arrivalCount++
-	a := Arrival{At: at, Class: s.index, ID: fmt.Sprintf("%d-%d-%d", s.seed, s.index, s.arrivalCount)}
+	a := Arrival{Offset: at, Class: s.index, ID: fmt.Sprintf("%d-%d-%d", s.seed, s.index, s.arrivalCount)}
 	a.Prompt = fmt.Sprintf("Menu %d: name the allergens. %s", s.rng.IntN(16), stand.Marker(a.ID))
-	a.Tokens = s.class.MaxTokens
-	if a.Tokens == 0 {
-		a.Tokens = 32
+	a.MaxTokens = s.class.MaxTokens
+	if a.MaxTokens == 0 {
+		a.MaxTokens = 32
 	}
-	if s.class.Once() {
-		a.Key = "key-" + a.ID
+	if s.class.AtMostOnce() {
+		a.IdempotencyKey = "key-" + a.ID
 	}
 	if models := s.class.Profile.Models; len(models) > 0 {
 		m := models[s.pickIndex(len(models))]
@@ -137,18 +137,19 @@
 	return a
 }
 
-// pickIndex returns a random index below n, Zipf-distributed if Skew is set.
+// pickIndex returns a random index below n, Zipf-distributed if ZipfExponent
+// is set.
 func (s *scheduler) pickIndex(n int) int {
-	if s.class.Skew == 0 {
+	if s.class.ZipfExponent == 0 {
 		return s.rng.IntN(n)
 	}
 	total := 0.0
 	for i := range n {
-		total += math.Pow(float64(i+1), -s.class.Skew)
+		total += math.Pow(float64(i+1), -s.class.ZipfExponent)
 	}
 	target := s.rng.Float64() * total
 	for i := range n {
-		target -= math.Pow(float64(i+1), -s.class.Skew)
+		target -= math.Pow(float64(i+1), -s.class.ZipfExponent)
 		if target <= 0 {
 			return i
 		}
--- a/load/run.go
+++ b/load/run.go
@@ -15,7 +15,7 @@
 )
 
 func sortArrivals(all []Arrival) {
-	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.Offset, b.Offset) })
 }
 
 // Runner sends the requests of a schedule. Classes and Targets must be set.
@@ -26,9 +26,9 @@
 	Targets func() []string
 	// Progress, when set, is called every second.
 	Progress func(done time.Duration, sent, answered int)
-	// Timeout is added to the profile's time for the whole answer to get the
+	// TimeoutMargin is added to the profile's time for the whole answer to get the
 	// timeout of a request; 0 is 5 seconds.
-	Timeout time.Duration
+	TimeoutMargin time.Duration
 
 	client     httpx.Client
 	nextTarget atomic.Uint64
@@ -46,7 +46,7 @@
 	startedAt := clock.Now()
 	var wg sync.WaitGroup
 	for i, a := range arrivals {
-		if !sleepUntil(ctx, startedAt.Add(a.At)) {
+		if !sleepUntil(ctx, startedAt.Add(a.Offset)) {
 			results = results[:i]
 			break
 		}
@@ -93,7 +93,7 @@
 // could be sent to one.
 func (r *Runner) send(ctx context.Context, a Arrival) Result {
 	class := r.Classes[a.Class]
-	margin := r.Timeout
+	margin := r.TimeoutMargin
 	if margin == 0 {
 		margin = defaultTimeoutMargin
 	}
@@ -109,13 +109,13 @@
 			return res
 		}
 	}
-	return Result{Arrival: a, End: EndNotReached, Took: clock.Now().Sub(startedAt)}
+	return Result{Arrival: a, Verdict: VerdictUnreachable, Duration: clock.Now().Sub(startedAt)}
 }
 
 func (r *Runner) sendTo(ctx context.Context, class Class, a Arrival, target string, startedAt time.Time) (Result, bool) {
 	req, err := newRequest(ctx, class, a, target)
 	if err != nil {
-		return Result{Arrival: a, End: EndBroken, Detail: err.Error()}, true
+		return Result{Arrival: a, Verdict: VerdictDisconnected, Detail: err.Error()}, true
 	}
 	// Prevents the transport from retrying the request.
 	req.GetBody = nil
@@ -123,16 +123,16 @@
 	if err != nil && !written {
 		return Result{}, false
 	}
-	res := Result{Arrival: a, Target: target, Began: startedAt}
+	res := Result{Arrival: a, Target: target, StartedAt: startedAt}
 	if err != nil {
-		res.End, res.Detail = EndBroken, err.Error()
-		res.Took = clock.Now().Sub(startedAt)
+		res.Verdict, res.Detail = VerdictDisconnected, err.Error()
+		res.Duration = clock.Now().Sub(startedAt)
 		return res, true
 	}
 	defer resp.Body.Close()
 	res.Status = resp.StatusCode
 	readResponse(resp, class, &res)
-	res.Took = clock.Now().Sub(startedAt)
+	res.Duration = clock.Now().Sub(startedAt)
 	return res, true
 }
 
--- a/load/summary.go
+++ b/load/summary.go
@@ -11,9 +11,9 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Promises counts the violated guarantees that callers and fakes observed. All
+// Violations counts the violated guarantees that callers and fakes observed. All
 // must be 0.
-type Promises struct {
+type Violations struct {
 	Overcommits       int `json:"overcommits"`
 	DoubleRuns        int `json:"double_runs"`
 	LostAnswers       int `json:"lost_answers"`
@@ -24,39 +24,39 @@
 	ConfigReverts     int `json:"config_reverts"`
 }
 
-// Broken returns the total number of violations.
-func (p Promises) Broken() int {
+// TotalViolations returns the total number of violations.
+func (p Violations) TotalViolations() int {
 	return p.Overcommits + p.DoubleRuns + p.LostAnswers + p.WrongAnswers + p.FalseNotRun +
 		p.UnreachableModels + p.CutOffInShutdown + p.ConfigReverts
 }
 
-// Line is the summary of one class, or of all classes.
-type Line struct {
-	Class     string  `json:"class"`
-	Sent      int     `json:"sent"`
-	Whole     int     `json:"whole"`
-	NotRun    int     `json:"not_run"`
-	Unknown   int     `json:"unknown"`
-	Repeated  int     `json:"repeated"`
-	Attained  float64 `json:"attainment"`
-	Tokens    int     `json:"tokens"`
-	FirstP50  float64 `json:"first_token_p50_ms"`
-	FirstP95  float64 `json:"first_token_p95_ms"`
-	FirstP99  float64 `json:"first_token_p99_ms"`
-	GapP50    float64 `json:"between_tokens_p50_ms"`
-	GapP95    float64 `json:"between_tokens_p95_ms"`
-	GapP99    float64 `json:"between_tokens_p99_ms"`
-	AnswerP50 float64 `json:"answer_p50_ms"`
-	AnswerP95 float64 `json:"answer_p95_ms"`
-	AnswerP99 float64 `json:"answer_p99_ms"`
+// ClassSummary is the summary of one class, or of all classes.
+type ClassSummary struct {
+	Class            string  `json:"class"`
+	Sent             int     `json:"sent"`
+	Complete         int     `json:"whole"`
+	NotRun           int     `json:"not_run"`
+	Unknown          int     `json:"unknown"`
+	Repeated         int     `json:"repeated"`
+	Attainment       float64 `json:"attainment"`
+	Tokens           int     `json:"tokens"`
+	FirstTokenP50    float64 `json:"first_token_p50_ms"`
+	FirstTokenP95    float64 `json:"first_token_p95_ms"`
+	FirstTokenP99    float64 `json:"first_token_p99_ms"`
+	TokenIntervalP50 float64 `json:"between_tokens_p50_ms"`
+	TokenIntervalP95 float64 `json:"between_tokens_p95_ms"`
+	TokenIntervalP99 float64 `json:"between_tokens_p99_ms"`
+	ResponseP50      float64 `json:"answer_p50_ms"`
+	ResponseP95      float64 `json:"answer_p95_ms"`
+	ResponseP99      float64 `json:"answer_p99_ms"`
 }
 
 // Summary is the summary of all results.
 type Summary struct {
-	Promises Promises       `json:"promises"`
-	Total    Line           `json:"total"`
-	Classes  []Line         `json:"classes"`
-	Failures map[string]int `json:"failures"`
+	Violations Violations     `json:"promises"`
+	Total      ClassSummary   `json:"total"`
+	Classes    []ClassSummary `json:"classes"`
+	Failures   map[string]int `json:"failures"`
 	// Examples describes the first 8 violations.
 	Examples []string `json:"examples,omitempty"`
 }
@@ -67,9 +67,9 @@
 	histogramDigits = 3
 )
 
-// aggregator accumulates results for one Line.
+// aggregator accumulates results for one ClassSummary.
 type aggregator struct {
-	summary                             Line
+	summary                             ClassSummary
 	attained                            int
 	counted                             int
 	firstToken, tokenInterval, response *hdrhistogram.Histogram
@@ -79,12 +79,12 @@
 	h := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 	}
-	return &aggregator{summary: Line{Class: name}, firstToken: h(), tokenInterval: h(), response: h()}
+	return &aggregator{summary: ClassSummary{Class: name}, firstToken: h(), tokenInterval: h(), response: h()}
 }
 
-// Summarise summarizes results. runs maps each request to its number of executions,
+// Summarize summarizes results. runs maps each request to its number of executions,
 // as counted by the fakes.
-func Summarise(classes []Class, results []Result, runs map[string]int) Summary {
+func Summarize(classes []Class, results []Result, runs map[string]int) Summary {
 	s := Summary{Failures: make(map[string]int)}
 	total := newAggregator("total")
 	perClass := make([]*aggregator, len(classes))
@@ -121,22 +121,22 @@
 	if repeated {
 		g.summary.Repeated++
 	}
-	switch r.End {
-	case EndWhole:
-		g.summary.Whole++
+	switch r.Verdict {
+	case VerdictCorrect:
+		g.summary.Complete++
 		g.summary.Tokens += r.Tokens
 		g.recordDurations(r)
-	case EndFailed:
+	case VerdictFailed:
 		if r.Outcome == hibiscuscart.OutcomeNotRun {
 			g.summary.NotRun++
 		}
 		if r.Outcome == hibiscuscart.OutcomeUnknown {
 			g.summary.Unknown++
 		}
-	case EndNotReached:
+	case VerdictUnreachable:
 		g.summary.NotRun++
 	}
-	if repeated && r.End != EndWhole {
+	if repeated && r.Verdict != VerdictCorrect {
 		return
 	}
 	g.counted++
@@ -146,11 +146,11 @@
 }
 
 func (g *aggregator) recordDurations(r Result) {
-	_ = g.response.RecordValue(r.Took.Microseconds())
+	_ = g.response.RecordValue(r.Duration.Microseconds())
 	if r.Tokens > 0 {
-		_ = g.firstToken.RecordValue(r.FirstToken.Microseconds())
+		_ = g.firstToken.RecordValue(r.TimeToFirstToken.Microseconds())
 	}
-	for _, gap := range r.Gaps {
+	for _, gap := range r.TokenIntervals {
 		_ = g.tokenInterval.RecordValue(gap.Microseconds())
 	}
 }
@@ -161,54 +161,54 @@
 func meetsObjectives(class Class, r Result) bool {
 	p := class.Profile
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	if r.End != EndWhole || r.Took > ms(p.WholeAnswerMs) {
+	if r.Verdict != VerdictCorrect || r.Duration > ms(p.WholeAnswerMs) {
 		return false
 	}
 	if r.Tokens == 0 {
 		return true
 	}
-	if r.FirstToken > ms(p.FirstTokenMs) {
+	if r.TimeToFirstToken > ms(p.FirstTokenMs) {
 		return false
 	}
 	var sum time.Duration
-	for _, gap := range r.Gaps {
+	for _, gap := range r.TokenIntervals {
 		sum += gap
 	}
-	return len(r.Gaps) == 0 || sum/time.Duration(len(r.Gaps)) <= ms(p.BetweenTokensMs)
+	return len(r.TokenIntervals) == 0 || sum/time.Duration(len(r.TokenIntervals)) <= ms(p.BetweenTokensMs)
 }
 
-func (g *aggregator) summarize() Line {
+func (g *aggregator) summarize() ClassSummary {
 	summary := g.summary
 	if g.counted > 0 {
-		summary.Attained = float64(g.attained) / float64(g.counted)
+		summary.Attainment = float64(g.attained) / float64(g.counted)
 	}
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	summary.FirstP50, summary.FirstP95, summary.FirstP99 = ms(g.firstToken, 50), ms(g.firstToken, 95), ms(g.firstToken, 99)
-	summary.GapP50, summary.GapP95, summary.GapP99 = ms(g.tokenInterval, 50), ms(g.tokenInterval, 95), ms(g.tokenInterval, 99)
-	summary.AnswerP50, summary.AnswerP95, summary.AnswerP99 = ms(g.response, 50), ms(g.response, 95), ms(g.response, 99)
+	summary.FirstTokenP50, summary.FirstTokenP95, summary.FirstTokenP99 = ms(g.firstToken, 50), ms(g.firstToken, 95), ms(g.firstToken, 99)
+	summary.TokenIntervalP50, summary.TokenIntervalP95, summary.TokenIntervalP99 = ms(g.tokenInterval, 50), ms(g.tokenInterval, 95), ms(g.tokenInterval, 99)
+	summary.ResponseP50, summary.ResponseP95, summary.ResponseP99 = ms(g.response, 50), ms(g.response, 95), ms(g.response, 99)
 	return summary
 }
 
 // countViolation counts the guarantee that a result violates, if any.
 func (s *Summary) countViolation(r Result, runs map[string]int, repeated bool) {
-	switch r.End {
-	case EndWrong:
-		s.Promises.WrongAnswers++
+	switch r.Verdict {
+	case VerdictWrong:
+		s.Violations.WrongAnswers++
 		s.addExample("wrong answer", r)
-	case EndLost:
-		s.Promises.LostAnswers++
+	case VerdictIncomplete:
+		s.Violations.LostAnswers++
 		s.addExample("lost answer", r)
-	case EndFailed:
+	case VerdictFailed:
 		s.Failures[r.Code+"/"+r.Outcome.String()]++
 		// If a key was sent twice, one response may report that the request
 		// was not run although the other one ran.
 		if r.Outcome == hibiscuscart.OutcomeNotRun && runs[r.Arrival.ID] > 0 && !repeated {
-			s.Promises.FalseNotRun++
+			s.Violations.FalseNotRun++
 			s.addExample("false not_run", r)
 		}
-	case EndBroken:
+	case VerdictDisconnected:
 		s.Failures["connection_broke"]++
-	case EndNotReached:
+	case VerdictUnreachable:
 		s.Failures["no_vm_reached"]++
 	}
 }
@@ -219,7 +219,7 @@
 		id := r.Arrival.ID
 		allowed := classes[r.Arrival.Class].Profile.RunsAllowed
 		if !seen[id] && runs[id] > allowed {
-			s.Promises.DoubleRuns++
+			s.Violations.DoubleRuns++
 			s.addExample(fmt.Sprintf("%d runs", runs[id]), r)
 		}
 		seen[id] = true
@@ -238,13 +238,13 @@
 	fmt.Fprintln(t, "class\tsent\twhole\tnot_run\tunknown\tattainment\tfirst token p50/p95/p99 ms\tbetween p50/p95/p99 ms\tanswer p50/p95/p99 ms\t")
 	for _, l := range append(s.Classes, s.Total) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.4f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t\n",
-			l.Class, l.Sent, l.Whole, l.NotRun, l.Unknown, l.Attained,
-			l.FirstP50, l.FirstP95, l.FirstP99, l.GapP50, l.GapP95, l.GapP99, l.AnswerP50, l.AnswerP95, l.AnswerP99)
+			l.Class, l.Sent, l.Complete, l.NotRun, l.Unknown, l.Attainment,
+			l.FirstTokenP50, l.FirstTokenP95, l.FirstTokenP99, l.TokenIntervalP50, l.TokenIntervalP95, l.TokenIntervalP99, l.ResponseP50, l.ResponseP95, l.ResponseP99)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("write table: %w", err)
 	}
-	p := s.Promises
+	p := s.Violations
 	fmt.Fprintf(out, "broken promises: overcommits %d, double_runs %d, lost_answers %d, wrong_answers %d, false_not_run %d, unreachable_models %d, cut_off_in_shutdown %d, config_reverts %d\n",
 		p.Overcommits, p.DoubleRuns, p.LostAnswers, p.WrongAnswers, p.FalseNotRun, p.UnreachableModels, p.CutOffInShutdown, p.ConfigReverts)
 	for code, n := range s.Failures {
--- a/node/lock_test.go
+++ b/node/lock_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	settings, err := conf.ParseNode([]byte(lockSettings))
 	require.NoError(t, err)
-	o := &stand.Objects{}
+	o := &stand.ObjectStore{}
 	n := New(Config{Settings: settings, Objects: o.Client(), Now: clock.Now, Log: zerolog.Nop()})
 	require.Eventually(t, func() bool {
 		n.lease.Step(t.Context())
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -99,7 +99,7 @@
 		now := time.Now()
 		p := newUnlinkedVM(&now, "a")
 		p.Now = time.Now
-		p.Lease = &Lease{Name: "vm", Address: "vm:1", Objects: (&stand.Objects{}).Client(), Duration: time.Hour, Now: time.Now, Log: zerolog.Nop()}
+		p.Lease = &Lease{Name: "vm", Address: "vm:1", Objects: (&stand.ObjectStore{}).Client(), Duration: time.Hour, Now: time.Now, Log: zerolog.Nop()}
 		p.Book = &pick.Balancer{}
 		p.Controller = &steer.Controller{Servers: p.Servers, Now: time.Now}
 		config := 1
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -34,7 +34,7 @@
 	c.now = c.now.Add(d)
 }
 
-func newLease(clock *testClock, o *stand.Objects, name string) *peers.Lease {
+func newLease(clock *testClock, o *stand.ObjectStore, name string) *peers.Lease {
 	return &peers.Lease{
 		Name: name, Address: "127.0.0.1:" + name, Objects: o.Client(), Duration: time.Second, Handover: 3 * time.Second,
 		Now: clock.Now, Log: zerolog.Nop(),
@@ -50,7 +50,7 @@
 // VMs within 3 s. The next VM acquires the lease after it expires, and sends its first command one
 // handover time later.
 func TestHandover(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	ctx := t.Context()
 	a.Step(ctx)
@@ -78,7 +78,7 @@
 // The holder's process is suspended for longer than its lease. When it resumes, it must not send
 // commands. Only its clock, which counts the pause, shows that time has passed.
 func TestPausedHolderStops(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a := newLease(clock, o, "1")
 	a.Step(t.Context())
 	require.True(t, mayCommand(a, clock.Now()))
@@ -90,11 +90,11 @@
 // The response to a renewal is lost although the renewal took effect. The holder reads the record and
 // continues, and no other VM acquires the lease.
 func TestLostRenewalResponse(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	a.Step(t.Context())
 	clock.advance(400 * time.Millisecond)
-	o.SetFaults(stand.ObjectFaults{LoseAnswers: 1})
+	o.SetFaults(stand.ObjectStoreFaults{LostReplies: 1})
 	a.Step(t.Context())
 	for range 20 {
 		clock.advance(100 * time.Millisecond)
@@ -108,7 +108,7 @@
 // A process that restarts at the same address may send commands at once. The previous process has
 // ended, so no handover time is needed.
 func TestRestartAtSameAddress(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	newLease(clock, o, "1").Step(t.Context())
 	clock.advance(100 * time.Millisecond)
 	restarted := newLease(clock, o, "1")
@@ -119,7 +119,7 @@
 // The holder announces its renewals over the links. A VM that loses its link counts the lease duration
 // from the last announced renewal, and takes over sooner than a VM that first reads the record then.
 func TestAnnouncedRenewalShortensTakeover(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	holder, linked, unlinked := newLease(clock, o, "1"), newLease(clock, o, "2"), newLease(clock, o, "3")
 	holder.Step(t.Context())
 	linked.Step(t.Context())
@@ -146,7 +146,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+			clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 			holder, l := newLease(clock, o, "1"), newLease(clock, o, "2")
 			l.AcquireDelay = tc.acquireDelay
 			staleReads, reads := 0, 0
@@ -174,7 +174,7 @@
 // Guards against losing blocked requests when the controller crashes or all processes exit at once:
 // the lease record must restore them.
 func TestBlockedRequestsSurviveControllerChange(t *testing.T) {
-	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.Objects{}
+	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a, b, c := newLease(clock, o, "1"), newLease(clock, o, "2"), newLease(clock, o, "3")
 	a.Poison, b.Poison, c.Poison = &poison.Tracker{}, &poison.Tracker{}, &poison.Tracker{}
 	const request = poison.Fingerprint("aa")
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -42,7 +42,7 @@
 var errStoreCut = errors.New("store unreachable")
 
 // storeClient returns a store client whose reads and writes fail after cutStore.
-func (v *testVM) storeClient(o *stand.Objects) store.Objects {
+func (v *testVM) storeClient(o *stand.ObjectStore) store.Objects {
 	client := o.Client()
 	get, put := client.Get, client.Put
 	client.Get = func(ctx context.Context, kind, name string) (store.Object, error) {
@@ -74,7 +74,7 @@
 	v.storeCutAt.Store(&now)
 }
 
-func newVM(o *stand.Objects, name, domain string, cores float64) *testVM {
+func newVM(o *stand.ObjectStore, name, domain string, cores float64) *testVM {
 	v := &testVM{}
 	view := &backs.View{}
 	view.Replace(clock.Now(), []backs.Entry{{ID: "s1", Service: "s", Domain: domain}})
@@ -114,7 +114,7 @@
 // startFleet starts VMs in two failure domains, two of them strong in each domain.
 func startFleet(t *testing.T, count int) []*testVM {
 	t.Helper()
-	o := &stand.Objects{}
+	o := &stand.ObjectStore{}
 	var vms []*testVM
 	for i := range count {
 		cores := 0.2
@@ -202,7 +202,7 @@
 // VM that starts later links to this relay, so the controller cannot choose it, and the weak VM kept
 // writing to all others. The relay must reject the link of the strong VM once, and be replaced by it.
 func TestWeakRelayReplaced(t *testing.T) {
-	o := &stand.Objects{}
+	o := &stand.ObjectStore{}
 	startVM := func(i int, cores float64) *testVM {
 		v := newVM(o, fmt.Sprintf("vm-%02d", i), "d0", cores)
 		v.start(t.Context())
--- a/plain/client.go
+++ b/plain/client.go
@@ -19,10 +19,10 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// HeaderAttempt is the header with the attempt ID. The caller's Idempotency-Key
+// HeaderAttemptID is the header with the attempt ID. The caller's Idempotency-Key
 // header is not forwarded: net/http retries a call with that header when its
 // connection breaks, so a call that may run at most once would run twice.
-const HeaderAttempt = "Attempt-Id"
+const HeaderAttemptID = "Attempt-Id"
 
 // HeaderNotRun is set by a service that rejects a call without executing it.
 const HeaderNotRun = "Not-Run"
@@ -35,8 +35,8 @@
 	Body        []byte
 }
 
-// Answer is the complete response of a service.
-type Answer struct {
+// Response is the complete response of a service.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -46,8 +46,8 @@
 type Client struct {
 	// HTTP sends the calls; nil creates a client at the first call.
 	HTTP *httpx.Client
-	// MaxAnswerBytes is the maximum size of a response body; 0 is 1 MiB.
-	MaxAnswerBytes int64
+	// MaxResponseBytes is the maximum size of a response body; 0 is 1 MiB.
+	MaxResponseBytes int64
 }
 
 // New returns a Client with its own connection pool.
@@ -64,46 +64,46 @@
 
 // Do sends a call once and returns the complete response. Its errors are Failures;
 // the cause states whether the call may have been executed.
-func (c *Client) Do(ctx context.Context, address, attempt string, call Call) (Answer, error) {
+func (c *Client) Do(ctx context.Context, address, attempt string, call Call) (Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
-		return Answer{}, fmt.Errorf("build call: %w", err)
+		return Response{}, fmt.Errorf("build call: %w", err)
 	}
 	// When a kept-alive connection breaks, net/http retries a call that appears
 	// idempotent, such as a GET, if it can rewind the body. A body that cannot
 	// be rewound prevents the retry.
 	req.Body, req.GetBody = io.NopCloser(bytes.NewReader(call.Body)), nil
-	req.Header.Set(HeaderAttempt, attempt)
+	req.Header.Set(HeaderAttemptID, attempt)
 	req.Header.Set("Content-Type", call.ContentType)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	resp, written, err := c.httpClient().Do(req)
 	if err != nil {
-		return Answer{}, httpx.SendFailure(ctx, written, err)
+		return Response{}, httpx.SendFailure(ctx, written, err)
 	}
 	defer resp.Body.Close()
 	if reason := resp.Header.Get(HeaderNotRun); reason != "" {
-		return Answer{}, hibiscuscart.Fail(hibiscuscart.CauseRefused, "%s", reason)
+		return Response{}, hibiscuscart.Fail(hibiscuscart.CauseRefused, "%s", reason)
 	}
 	return c.readResponse(ctx, resp)
 }
 
-func (c *Client) readResponse(ctx context.Context, resp *http.Response) (Answer, error) {
-	limit := c.MaxAnswerBytes
+func (c *Client) readResponse(ctx context.Context, resp *http.Response) (Response, error) {
+	limit := c.MaxResponseBytes
 	if limit == 0 {
 		limit = defaultMaxResponseBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return Answer{}, httpx.SendFailure(ctx, true, err)
+		return Response{}, httpx.SendFailure(ctx, true, err)
 	}
 	if int64(len(body)) > limit {
-		return Answer{}, hibiscuscart.Fail(hibiscuscart.CauseBackendError, "the answer is larger than %d bytes", limit)
+		return Response{}, hibiscuscart.Fail(hibiscuscart.CauseBackendError, "the answer is larger than %d bytes", limit)
 	}
-	return Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
+	return Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// Load returns the service's load report.
-func (c *Client) Load(ctx context.Context, address string) (wire.LoadReport, error) {
+// LoadReport returns the service's load report.
+func (c *Client) LoadReport(ctx context.Context, address string) (wire.LoadReport, error) {
 	req, err := sling.New().Base("http://" + address).Get("/load").Request()
 	if err != nil {
 		return wire.LoadReport{}, fmt.Errorf("build load report request: %w", err)
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -49,8 +49,8 @@
 	}{
 		"success":                     {cause: hibiscuscart.CauseDone, ran: 1},
 		"service draining":            {faults: stand.ServiceFaults{Draining: true}, cause: hibiscuscart.CauseRefused},
-		"disconnect before execution": {faults: stand.ServiceFaults{CutBefore: 1}, cause: hibiscuscart.CauseLostBeforeAnswer},
-		"disconnect after execution":  {faults: stand.ServiceFaults{LoseAnswers: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
+		"disconnect before execution": {faults: stand.ServiceFaults{DisconnectBeforeRunShare: 1}, cause: hibiscuscart.CauseLostBeforeAnswer},
+		"disconnect after execution":  {faults: stand.ServiceFaults{LostReplyShare: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
 		"response too large":          {limit: 10, cause: hibiscuscart.CauseBackendError, ran: 1},
 	}
 	for name, tc := range cases {
@@ -60,12 +60,12 @@
 			s := httptest.NewServer(service.Handler())
 			defer s.Close()
 			c := plain.New()
-			c.MaxAnswerBytes = tc.limit
+			c.MaxResponseBytes = tc.limit
 			answer, err := c.Do(context.Background(), s.Listener.Addr().String(), "a", plain.Call{Method: http.MethodPost, Path: "/x", Body: []byte("b")})
 			require.Equal(t, tc.ran, service.Calls())
 			if tc.cause == hibiscuscart.CauseDone {
 				require.NoError(t, err)
-				require.Contains(t, string(answer.Body), stand.DigestOf([]byte("b")))
+				require.Contains(t, string(answer.Body), stand.BodyDigest([]byte("b")))
 				return
 			}
 			require.Equal(t, tc.cause, hibiscuscart.AsFailure(err).Cause())
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -67,7 +67,7 @@
 func (r *run) crashCount(c *crashingRequest) int {
 	n := 0
 	for _, id := range c.ids {
-		n += len(r.site.Runs.Of(id))
+		n += len(r.site.Runs.Servers(id))
 	}
 	return n
 }
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -26,7 +26,7 @@
 func (r *run) checkLimit(ctx context.Context) {
 	backend := r.site.Backends(demo.SitePlain)[0]
 	limitedAt := time.Now()
-	backend.SetLimit(limitRate, true)
+	backend.SetRateLimit(limitRate, true)
 	ctx, cancel := context.WithTimeout(ctx, limitLoadDuration)
 	defer cancel()
 	var wait sync.WaitGroup
@@ -35,7 +35,7 @@
 	}
 	wait.Wait()
 	r.checks.Limit(backend, limitedAt)
-	backend.SetLimit(0, false)
+	backend.SetRateLimit(0, false)
 }
 
 // sendLoad sends concurrent requests to a VM until ctx is done, then waits for the answers. Requests
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -129,7 +129,7 @@
 	r.settle(ctx)
 	r.checks.Runs(r.outcomes, r.site.Runs)
 	for _, b := range r.site.Backends(demo.SiteModel) {
-		if b.Crashed() {
+		if b.Overcommitted() {
 			r.checks.Add("server %s was ordered beyond its memory or places", b.ID)
 		}
 	}
@@ -329,9 +329,9 @@
 }
 
 func (r *run) lift() {
-	r.site.Objects.SetFaults(stand.ObjectFaults{})
+	r.site.Objects.SetFaults(stand.ObjectStoreFaults{})
 	for _, b := range append(r.site.Backends(demo.SiteModel), r.site.Backends(demo.SitePlain)...) {
-		b.SetStrikes(nil)
+		b.SetPendingFaults(nil)
 	}
 	for _, p := range r.fronts {
 		p.Set(Pass)
--- a/soak/strike.go
+++ b/soak/strike.go
@@ -75,16 +75,16 @@
 		return func(context.Context, time.Duration) { v.store.Reset() }, "store_reset"
 	case 9:
 		return func(ctx context.Context, d time.Duration) {
-			r.site.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}, LoseAnswers: n})
+			r.site.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}, LostReplies: n})
 			pause.For(ctx, d)
-			r.site.Objects.SetFaults(stand.ObjectFaults{})
+			r.site.Objects.SetFaults(stand.ObjectStoreFaults{})
 		}, "store_away"
 	case 10:
 		return func(context.Context, time.Duration) { r.site.Objects.Compact() }, "store_compacted"
 	case 11:
-		return r.strikes(demo.SitePlain, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
+		return r.strikes(demo.SitePlain, stand.BackendFaults{ErrorResponses: n, LostResponses: n, DuplicateResponses: n, Rejections: n, ForgedResponses: n}), "plain_servers"
 	case 12:
-		return r.strikes(demo.SiteModel, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
+		return r.strikes(demo.SiteModel, stand.BackendFaults{LostResponses: n, BrokenStreams: n, Rejections: n, LostOrderReplies: n}), "model_servers"
 	}
 	return func(context.Context, time.Duration) {
 		if err := r.site.Configure(version, demo.SiteRoutes()); err != nil {
@@ -103,9 +103,9 @@
 
 func (r *run) strikes(service string, f stand.BackendFaults) fault {
 	return func(context.Context, time.Duration) {
-		s := stand.NewStrikes(f)
+		s := stand.NewPendingFaults(f)
 		for _, b := range r.site.Backends(service) {
-			b.SetStrikes(s)
+			b.SetPendingFaults(s)
 		}
 	}
 }
--- a/stand/answer.go
+++ b/stand/answer.go
@@ -12,10 +12,10 @@
 almond egg fish lupin celery sulphite barley oats rye walnut pistachio panel
 icon linen vellum gesso varnish binding chasuble fresco gilding tempera oak`)
 
-// Answer returns the tokens that an engine generates for a prompt. They depend
+// CompletionTokens returns the tokens that an engine generates for a prompt. They depend
 // on the arguments alone, so that a load generator can compute the expected
 // response to a request.
-func Answer(model, adapter, prompt string, maxTokens int) []string {
+func CompletionTokens(model, adapter, prompt string, maxTokens int) []string {
 	seed := xxhash.Sum64String(model + "\x00" + adapter + "\x00" + prompt)
 	tokens := make([]string, completionLength(seed, maxTokens))
 	for i := range tokens {
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -12,34 +12,34 @@
 // BackendFaults are the faults that can be injected into a Backend. Each field
 // is a number of requests, streams or orders.
 type BackendFaults struct {
-	// Fail is how many requests get an error response after execution.
-	Fail int
-	// Lose is how many requests have their connection closed after execution.
-	Lose int
-	// Cut is how many streams break in the middle of an event.
-	Cut int
-	// Stray is how many requests get two responses.
-	Stray int
-	// Refuse is how many requests are rejected without execution.
-	Refuse int
-	// LoseOrders is how many orders are executed without a reply.
-	LoseOrders int
-	// Forge is how many requests get a response without the proof that it comes
+	// ErrorResponses is how many requests get an error response after execution.
+	ErrorResponses int
+	// LostResponses is how many requests have their connection closed after execution.
+	LostResponses int
+	// BrokenStreams is how many streams break in the middle of an event.
+	BrokenStreams int
+	// DuplicateResponses is how many requests get two responses.
+	DuplicateResponses int
+	// Rejections is how many requests are rejected without execution.
+	Rejections int
+	// LostOrderReplies is how many orders are executed without a reply.
+	LostOrderReplies int
+	// ForgedResponses is how many requests get a response without the proof that it comes
 	// from this server.
-	Forge int
+	ForgedResponses int
 }
 
-// Strikes holds faults that are still to be injected. Several backends may share
+// PendingFaults holds faults that are still to be injected. Several backends may share
 // it; each fault is injected into one of them. A nil value injects no faults.
-type Strikes struct {
+type PendingFaults struct {
 	mu        sync.Mutex
 	remaining BackendFaults
 }
 
-// NewStrikes returns Strikes with the faults f.
-func NewStrikes(f BackendFaults) *Strikes { return &Strikes{remaining: f} }
+// NewPendingFaults returns PendingFaults with the faults f.
+func NewPendingFaults(f BackendFaults) *PendingFaults { return &PendingFaults{remaining: f} }
 
-func (s *Strikes) consume(counter func(*BackendFaults) *int) bool {
+func (s *PendingFaults) consume(counter func(*BackendFaults) *int) bool {
 	if s == nil {
 		return false
 	}
@@ -62,20 +62,20 @@
 	Slots               int
 	MemoryMB            float64
 	AdapterSlots        int
-	// SizeMB maps each model to its size; nil for a service without models.
-	SizeMB map[string]float64
-	// Work is the processing time of a request or an event, LoadTime the time to load a model.
-	Work, LoadTime time.Duration
-	// Events is the number of events of a stream.
-	Events int
+	// ModelSizeMB maps each model to its size; nil for a service without models.
+	ModelSizeMB map[string]float64
+	// ProcessingTime is the processing time of a request or an event, LoadTime the time to load a model.
+	ProcessingTime, LoadTime time.Duration
+	// StreamEvents is the number of events of a stream.
+	StreamEvents int
 	// Runs records each execution of a request.
-	Runs *Ledger
+	Runs *RunLog
 	// CrashBody is the body of requests that crash the process when their execution begins; empty
-	// for none. Crash, when set, then closes the process's listener and connections.
+	// for none. OnCrash, when set, then closes the process's listener and connections.
 	CrashBody string
-	Crash     func()
-	// Changed, when set, is called after the loaded models or the drain state changed, without the lock.
-	Changed func()
+	OnCrash   func()
+	// OnChange, when set, is called after the loaded models or the drain state changed, without the lock.
+	OnChange func()
 
 	mu              sync.Mutex
 	models          map[string]map[string]bool
@@ -90,7 +90,7 @@
 	arrivals    []time.Time
 	// crashCount counts the executed requests with CrashBody.
 	crashCount    int
-	pendingFaults *Strikes
+	pendingFaults *PendingFaults
 	// startedAt is the time of the last restart with the same ID; zero before the first restart.
 	startedAt time.Time
 }
@@ -104,8 +104,8 @@
 	b.notifyChange()
 }
 
-// Hold adds models without an order, as loaded from the start.
-func (b *Backend) Hold(models ...string) {
+// AddModels adds models without an order, as loaded from the start.
+func (b *Backend) AddModels(models ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range models {
@@ -122,23 +122,23 @@
 	}
 }
 
-// SetStrikes sets the faults to inject into this backend; nil injects none.
-func (b *Backend) SetStrikes(s *Strikes) {
+// SetPendingFaults sets the faults to inject into this backend; nil injects none.
+func (b *Backend) SetPendingFaults(s *PendingFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pendingFaults = s
 }
 
-// SetLimit sets the rate limit that responses contain, in requests per second, or removes it if limited
+// SetRateLimit sets the rate limit that responses contain, in requests per second, or removes it if limited
 // is false. It also clears the recorded arrivals.
-func (b *Backend) SetLimit(rate float64, limited bool) {
+func (b *Backend) SetRateLimit(rate float64, limited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rateLimit, b.rateLimited, b.arrivals = rate, limited, nil
 }
 
-// Limit returns the rate limit that responses contain, and whether they contain one.
-func (b *Backend) Limit() (rate float64, limited bool) {
+// RateLimit returns the rate limit that responses contain, and whether they contain one.
+func (b *Backend) RateLimit() (rate float64, limited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rateLimit, b.rateLimited
@@ -159,8 +159,8 @@
 	b.notifyChange()
 }
 
-// Crashed reports whether an order exceeded the backend's memory or adapter slots.
-func (b *Backend) Crashed() bool {
+// Overcommitted reports whether an order exceeded the backend's memory or adapter slots.
+func (b *Backend) Overcommitted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.overcommitted
@@ -174,8 +174,8 @@
 }
 
 func (b *Backend) notifyChange() {
-	if b.Changed != nil {
-		b.Changed()
+	if b.OnChange != nil {
+		b.OnChange()
 	}
 }
 
@@ -212,11 +212,11 @@
 	return steer.Report{Born: b.startedAt, Models: b.loadedModelsLocked(), Busy: b.orderInProgress, Sequence: b.orderSequence}
 }
 
-// Order handles an order. It also reports whether the reply is to be dropped.
-func (b *Backend) Order(o steer.Order) (steer.OrderResult, bool) {
+// HandleOrder handles an order. It also reports whether the reply is to be dropped.
+func (b *Backend) HandleOrder(o steer.Order) (steer.OrderResult, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	dropReply := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LoseOrders })
+	dropReply := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostOrderReplies })
 	if b.orderInProgress || o.ExpectedSequence != b.orderSequence {
 		return steer.Conflict, dropReply
 	}
@@ -230,7 +230,7 @@
 	b.orderSequence++
 	b.orderInProgress = true
 	if !o.Unload {
-		b.checkMemoryLocked(b.SizeMB[o.Model])
+		b.checkMemoryLocked(b.ModelSizeMB[o.Model])
 	}
 	go b.executeOrder(b.startedAt, o)
 	return steer.Accepted, dropReply
@@ -240,7 +240,7 @@
 // memory. The caller holds b.mu.
 func (b *Backend) checkMemoryLocked(addedMB float64) {
 	for m := range b.models {
-		addedMB += b.SizeMB[m]
+		addedMB += b.ModelSizeMB[m]
 	}
 	if addedMB > b.MemoryMB {
 		b.overcommitted = true
@@ -289,79 +289,79 @@
 	return steer.Accepted
 }
 
-// Turn is how a backend handles one request.
-type Turn int
+// Action is how a backend handles one request.
+type Action int
 
-// Values of Turn.
+// Values of Action.
 const (
-	// TurnAnswer executes the request and responds.
-	TurnAnswer Turn = iota
-	// TurnRefuse responds that the request was not executed.
-	TurnRefuse
-	// TurnMisdirect responds that the model is not loaded, or that the request is
+	// ActionRespond executes the request and responds.
+	ActionRespond Action = iota
+	// ActionReject responds that the request was not executed.
+	ActionReject
+	// ActionMisdirected responds that the model is not loaded, or that the request is
 	// addressed to another server.
-	TurnMisdirect
-	// TurnFail executes the request and responds with an error.
-	TurnFail
-	// TurnLose executes the request and closes the connection.
-	TurnLose
-	// TurnCut executes the request and breaks its stream.
-	TurnCut
-	// TurnStray responds twice.
-	TurnStray
-	// TurnForge responds without proof that the response comes from this server.
-	TurnForge
-	// TurnCrash crashes the process.
-	TurnCrash
+	ActionMisdirected
+	// ActionFail executes the request and responds with an error.
+	ActionFail
+	// ActionDisconnect executes the request and closes the connection.
+	ActionDisconnect
+	// ActionBreakStream executes the request and breaks its stream.
+	ActionBreakStream
+	// ActionRespondTwice responds twice.
+	ActionRespondTwice
+	// ActionForge responds without proof that the response comes from this server.
+	ActionForge
+	// ActionCrash crashes the process.
+	ActionCrash
 )
 
-// Accept decides how to handle a request for a server, a model and an adapter. It
+// HandleRequest decides how to handle a request for a server, a model and an adapter. It
 // records the execution, if there is one.
-func (b *Backend) Accept(now time.Time, requestID, expectedServer, model, adapter, body string) Turn {
+func (b *Backend) HandleRequest(now time.Time, requestID, expectedServer, model, adapter, body string) Action {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rateLimited {
 		b.arrivals = append(b.arrivals, now)
 	}
 	if expectedServer != "" && expectedServer != b.ID {
-		return TurnMisdirect
+		return ActionMisdirected
 	}
-	if b.SizeMB != nil && model != "" {
+	if b.ModelSizeMB != nil && model != "" {
 		adapters, ok := b.models[model]
 		if !ok || adapter != "" && !adapters[adapter] {
-			return TurnMisdirect
+			return ActionMisdirected
 		}
 	}
-	if b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Refuse }) {
-		return TurnRefuse
+	if b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Rejections }) {
+		return ActionReject
 	}
-	b.Runs.Note(requestID, b.ID)
+	b.Runs.Record(requestID, b.ID)
 	switch {
 	case b.CrashBody != "" && body == b.CrashBody:
 		b.crashCount++
-		return TurnCrash
-	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Fail }):
-		return TurnFail
-	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Lose }):
-		return TurnLose
-	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Cut }):
-		return TurnCut
-	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Stray }):
-		return TurnStray
-	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.Forge }):
-		return TurnForge
+		return ActionCrash
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.ErrorResponses }):
+		return ActionFail
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostResponses }):
+		return ActionDisconnect
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.BrokenStreams }):
+		return ActionBreakStream
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.DuplicateResponses }):
+		return ActionRespondTwice
+	case b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.ForgedResponses }):
+		return ActionForge
 	}
-	return TurnAnswer
+	return ActionRespond
 }
 
-// Ledger records which backends executed which requests. The zero value is ready for use.
-type Ledger struct {
+// RunLog records which backends executed which requests. The zero value is ready for use.
+type RunLog struct {
 	mu   sync.Mutex
 	runs map[string][]string
 }
 
-// Note records an execution of a request by a server.
-func (l *Ledger) Note(requestID, server string) {
+// Record records an execution of a request by a server.
+func (l *RunLog) Record(requestID, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
@@ -370,8 +370,8 @@
 	l.runs[requestID] = append(l.runs[requestID], server)
 }
 
-// Of returns the servers that executed a request, once for each execution.
-func (l *Ledger) Of(requestID string) []string {
+// Servers returns the servers that executed a request, once for each execution.
+func (l *RunLog) Servers(requestID string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.runs[requestID])
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -22,40 +22,40 @@
 
 // EngineFaults are the faults that can be injected into an Engine.
 type EngineFaults struct {
-	// CutShare is the fraction of frames before which the connection of the
+	// DisconnectShare is the fraction of frames before which the connection of the
 	// stream breaks.
-	CutShare float64 `json:"cut_share"`
-	// CrossShare is the fraction of frames before which a frame of another
+	DisconnectShare float64 `json:"cut_share"`
+	// ForeignFrameShare is the fraction of frames before which a frame of another
 	// attempt is sent.
-	CrossShare float64 `json:"cross_share"`
-	// RepeatShare is the fraction of frames that are sent twice.
-	RepeatShare float64 `json:"repeat_share"`
+	ForeignFrameShare float64 `json:"cross_share"`
+	// DuplicateShare is the fraction of frames that are sent twice.
+	DuplicateShare float64 `json:"repeat_share"`
 	// Draining rejects new requests.
 	Draining bool `json:"draining"`
 	// Hang accepts connections and sends no responses.
 	Hang bool `json:"hang"`
-	// LoseOrders is the fraction of orders whose connection breaks before
+	// LostOrderShare is the fraction of orders whose connection breaks before
 	// they are executed. These orders are never executed.
-	LoseOrders float64 `json:"lose_orders"`
-	// LateOrders is the fraction of orders that are executed LateOrdersMs
+	LostOrderShare float64 `json:"lose_orders"`
+	// DelayedOrderShare is the fraction of orders that are executed OrderDelayMs
 	// after their connection broke.
-	LateOrders   float64 `json:"late_orders"`
-	LateOrdersMs int     `json:"late_orders_ms"`
+	DelayedOrderShare float64 `json:"late_orders"`
+	OrderDelayMs      int     `json:"late_orders_ms"`
 }
 
 // EngineCounts are the counters of an Engine.
 type EngineCounts struct {
-	Started     int64 `json:"started"`
-	Finished    int64 `json:"finished"`
-	Canceled    int64 `json:"canceled"`
-	Tokens      int64 `json:"tokens"`
-	Overcommits int64 `json:"overcommits"`
-	OldFences   int64 `json:"old_fences"`
-	Loads       int64 `json:"loads"`
-	Unloads     int64 `json:"unloads"`
-	Cut         int64 `json:"cut"`
-	LateOrders  int64 `json:"late_orders"`
-	PeakBytes   int64 `json:"peak_bytes"`
+	Started       int64 `json:"started"`
+	Finished      int64 `json:"finished"`
+	Canceled      int64 `json:"canceled"`
+	Tokens        int64 `json:"tokens"`
+	Overcommits   int64 `json:"overcommits"`
+	StaleFences   int64 `json:"old_fences"`
+	Loads         int64 `json:"loads"`
+	Unloads       int64 `json:"unloads"`
+	Disconnects   int64 `json:"cut"`
+	DelayedOrders int64 `json:"late_orders"`
+	PeakBytes     int64 `json:"peak_bytes"`
 }
 
 // Engine is a fake model engine. The zero value is ready for use: 80 GiB of
@@ -67,25 +67,25 @@
 	MemoryBytes, KVBytes int
 	// Slots is how many streams are batched at once, QueueLimit how many may be
 	// queued; a QueueLimit of 0 is no limit.
-	Slots, QueueLimit         int
-	FirstToken, BetweenTokens time.Duration
-	// ReportLag is the maximum age of a load report.
-	ReportLag time.Duration
+	Slots, QueueLimit              int
+	FirstTokenDelay, TokenInterval time.Duration
+	// MaxReportAge is the maximum age of a load report.
+	MaxReportAge time.Duration
 	// ResumeWindow is how long a stream without a reader continues, and how
 	// long an ended stream can be resumed.
 	ResumeWindow  time.Duration
 	ChecksFencing bool
-	// Fetch fetches the weights for an order; nil makes them available
+	// FetchWeights fetches the weights for an order; nil makes them available
 	// immediately.
-	Fetch func(ctx context.Context, order wire.Order) error
+	FetchWeights func(ctx context.Context, order wire.Order) error
 	// Runs counts the executions of marked requests; nil counts none.
-	Runs *Runs
-	// Chance returns a random number in [0,1) for fault injection; nil injects
+	Runs *RunCounter
+	// Random returns a random number in [0,1) for fault injection; nil injects
 	// every fault whose share is positive.
-	Chance func() float64
-	// CutBefore reports whether the connection of a stream breaks before a
+	Random func() float64
+	// DisconnectBefore reports whether the connection of a stream breaks before a
 	// frame; nil uses the faults.
-	CutBefore func(attempt string, sequence int) bool
+	DisconnectBefore func(attempt string, sequence int) bool
 
 	once   sync.Once
 	slots  slotPool
@@ -126,9 +126,9 @@
 	e.once.Do(func() {
 		e.MemoryBytes = orDefault(e.MemoryBytes, defaultMemoryBytes)
 		e.Slots = orDefault(e.Slots, defaultSlots)
-		e.FirstToken = orDefault(e.FirstToken, defaultFirstTokenDelay)
-		e.BetweenTokens = orDefault(e.BetweenTokens, defaultTokenInterval)
-		e.ReportLag = orDefault(e.ReportLag, defaultMaxReportAge)
+		e.FirstTokenDelay = orDefault(e.FirstTokenDelay, defaultFirstTokenDelay)
+		e.TokenInterval = orDefault(e.TokenInterval, defaultTokenInterval)
+		e.MaxReportAge = orDefault(e.MaxReportAge, defaultMaxReportAge)
 		e.ResumeWindow = orDefault(e.ResumeWindow, defaultResumeWindow)
 		e.slots.free = e.Slots
 		e.cache.capacity = defaultCacheCapacity
@@ -159,9 +159,9 @@
 	c := &e.counts
 	return EngineCounts{
 		Started: c.started.Load(), Finished: c.finished.Load(), Canceled: c.canceled.Load(),
-		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), OldFences: c.staleFences.Load(),
-		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Cut: c.disconnects.Load(),
-		LateOrders: c.delayedOrders.Load(), PeakBytes: c.peakBytes.Load(),
+		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), StaleFences: c.staleFences.Load(),
+		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Disconnects: c.disconnects.Load(),
+		DelayedOrders: c.delayedOrders.Load(), PeakBytes: c.peakBytes.Load(),
 	}
 }
 
@@ -169,11 +169,11 @@
 	if share <= 0 {
 		return false
 	}
-	return e.Chance == nil || e.Chance() < share
+	return e.Random == nil || e.Random() < share
 }
 
-// LastStart returns when the last run started.
-func (e *Engine) LastStart() time.Time {
+// LastRunStart returns when the last run started.
+func (e *Engine) LastRunStart() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastRunStart
@@ -188,8 +188,8 @@
 	e.checkMemoryLocked()
 }
 
-// Has reports whether a model or adapter is loaded, in any version.
-func (e *Engine) Has(model, adapter string) bool {
+// IsLoaded reports whether a model or adapter is loaded, in any version.
+func (e *Engine) IsLoaded(model, adapter string) bool {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,8 +197,8 @@
 	return r != nil
 }
 
-// Models returns how many models are loaded.
-func (e *Engine) Models() int {
+// ModelCount returns how many models are loaded.
+func (e *Engine) ModelCount() int {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -249,12 +249,12 @@
 	}
 }
 
-// Report returns the load report. It may be up to ReportLag old.
+// Report returns the load report. It may be up to MaxReportAge old.
 func (e *Engine) Report() wire.LoadReport {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.reportedAt) >= e.ReportLag {
+	if now := time.Now(); now.Sub(e.reportedAt) >= e.MaxReportAge {
 		e.lastReport, e.reportedAt = e.newReportLocked(), now
 	}
 	return e.lastReport
--- a/stand/engine_http.go
+++ b/stand/engine_http.go
@@ -39,11 +39,11 @@
 	return e.hangMiddleware(mux)
 }
 
-func writeRuns(w http.ResponseWriter, r *Runs) {
+func writeRuns(w http.ResponseWriter, r *RunCounter) {
 	if r == nil {
-		r = &Runs{}
+		r = &RunCounter{}
 	}
-	writeJSON(w, http.StatusOK, r.All())
+	writeJSON(w, http.StatusOK, r.Counts())
 }
 
 // hangMiddleware sends no response, except on the control path, while the Hang
@@ -151,15 +151,15 @@
 }
 
 func (e *Engine) shouldDisconnect(attempt string, sequence int) bool {
-	if e.CutBefore != nil {
-		return e.CutBefore(attempt, sequence)
+	if e.DisconnectBefore != nil {
+		return e.DisconnectBefore(attempt, sequence)
 	}
-	return e.shouldInject(e.Faults().CutShare)
+	return e.shouldInject(e.Faults().DisconnectShare)
 }
 
 func (e *Engine) sendToken(w http.ResponseWriter, s *stream, sequence int) {
 	faults := e.Faults()
-	if e.shouldInject(faults.CrossShare) {
+	if e.shouldInject(faults.ForeignFrameShare) {
 		writeChunk(w, sequence, chunk{ID: "crossed-" + s.gen.Attempt, Choices: []chunkChoice{{Text: "crossed "}}})
 	}
 	c := chunk{ID: s.gen.Attempt, Choices: []chunkChoice{{Text: s.tokens[sequence-1]}}}
@@ -167,7 +167,7 @@
 		c.Choices[0].Finish = "stop"
 	}
 	writeChunk(w, sequence, c)
-	if e.shouldInject(faults.RepeatShare) {
+	if e.shouldInject(faults.DuplicateShare) {
 		writeChunk(w, sequence, c)
 	}
 }
@@ -258,7 +258,7 @@
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
 	}
-	if err := e.RaiseFence(fence); err != nil {
+	if err := e.RaiseFencingNumber(fence); err != nil {
 		writeProblem(w, http.StatusPreconditionFailed, err.Error())
 		return
 	}
--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -29,7 +29,7 @@
 	for name, checks := range map[string]bool{"fencing checked": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			e := &stand.Engine{ChecksFencing: checks}
-			require.NoError(t, e.RaiseFence(7))
+			require.NoError(t, e.RaiseFencingNumber(7))
 			err := e.Apply(loadOrder("1", "a", 1), 6)
 			require.Equal(t, checks, err != nil)
 		})
@@ -39,7 +39,7 @@
 // The weight store slows down loads beyond its number at full speed. A load with
 // a canceled context fails.
 func TestWeightStoreSlowdown(t *testing.T) {
-	s := &stand.Weights{LoadsPerSecond: 1000, LoadsAtFullSpeed: 1, ModelLoad: 20 * time.Millisecond}
+	s := &stand.WeightStore{LoadsPerSecond: 1000, FullSpeedModelLoads: 1, ModelLoadTime: 20 * time.Millisecond}
 	began := time.Now()
 	done := make(chan time.Duration, 2)
 	for range 2 {
@@ -50,19 +50,19 @@
 	}
 	<-done
 	require.GreaterOrEqual(t, <-done, 40*time.Millisecond, "two concurrent loads take twice as long")
-	require.Equal(t, 2, s.Loads())
+	require.Equal(t, 2, s.CompletedLoads())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.Error(t, s.Fetch(ctx, loadOrder("2", "b", 1)))
 }
 
 func TestAnswerDeterministic(t *testing.T) {
-	a := stand.Answer("m", "", "p", 20)
-	require.Equal(t, a, stand.Answer("m", "", "p", 20))
+	a := stand.CompletionTokens("m", "", "p", 20)
+	require.Equal(t, a, stand.CompletionTokens("m", "", "p", 20))
 	for name, other := range map[string][]string{
-		"model": stand.Answer("n", "", "p", 20), "adapter": stand.Answer("m", "x", "p", 20), "prompt": stand.Answer("m", "", "q", 20),
+		"model": stand.CompletionTokens("n", "", "p", 20), "adapter": stand.CompletionTokens("m", "x", "p", 20), "prompt": stand.CompletionTokens("m", "", "q", 20),
 	} {
 		require.NotEqual(t, a, other, name)
 	}
-	require.Len(t, stand.Answer("m", "", "p", 1), 1)
+	require.Len(t, stand.CompletionTokens("m", "", "p", 1), 1)
 }
--- a/stand/net.go
+++ b/stand/net.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Net simulates the network between named hosts of one process. A partition
+// Network simulates the network between named hosts of one process. A partition
 // drops all data in one direction, as a broken switch does. A connection that
 // lost data fails after the partition heals. The zero value has no partitions.
-type Net struct {
+type Network struct {
 	mu          sync.Mutex
 	hosts       map[string]string
 	partitions  map[[2]string]bool
@@ -19,14 +19,14 @@
 }
 
 // SetDelay sets the one-way delay between hosts. Each dial takes one round trip.
-func (n *Net) SetDelay(delay func(from, to string) time.Duration) {
+func (n *Network) SetDelay(delay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.oneWayDelay = delay
 }
 
-// Name assigns an address to a host.
-func (n *Net) Name(address, host string) {
+// SetHost assigns an address to a host.
+func (n *Network) SetHost(address, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.hosts == nil {
@@ -35,14 +35,14 @@
 	n.hosts[address] = host
 }
 
-// Cut drops the data from one host to another. The reverse direction is a
+// Partition drops the data from one host to another. The reverse direction is a
 // separate partition.
-func (n *Net) Cut(from, to string) { n.setPartition(from, to, true) }
+func (n *Network) Partition(from, to string) { n.setPartition(from, to, true) }
 
 // Heal ends the partition in one direction.
-func (n *Net) Heal(from, to string) { n.setPartition(from, to, false) }
+func (n *Network) Heal(from, to string) { n.setPartition(from, to, false) }
 
-func (n *Net) setPartition(from, to string, partitioned bool) {
+func (n *Network) setPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.partitions == nil {
@@ -51,19 +51,19 @@
 	n.partitions[[2]string{from, to}] = partitioned
 }
 
-func (n *Net) partitioned(from, to string) bool {
+func (n *Network) partitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.partitions[[2]string{from, to}]
 }
 
-func (n *Net) host(address string) string {
+func (n *Network) host(address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[address]
 }
 
-func (n *Net) delayBetween(from, to string) time.Duration {
+func (n *Network) delayBetween(from, to string) time.Duration {
 	n.mu.Lock()
 	delay := n.oneWayDelay
 	n.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // Dialer returns the dial function for connections from a host.
-func (n *Net) Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (n *Network) Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to := n.host(address)
@@ -94,7 +94,7 @@
 
 const partitionedDialTimeout = time.Second
 
-func (n *Net) failDial(ctx context.Context) error {
+func (n *Network) failDial(ctx context.Context) error {
 	t := time.NewTimer(partitionedDialTimeout)
 	defer t.Stop()
 	select {
@@ -104,10 +104,10 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("timeout: hosts are partitioned")}
 }
 
-// partitionedConn is a connection that drops data during a partition of the Net.
+// partitionedConn is a connection that drops data during a partition of the Network.
 type partitionedConn struct {
 	net.Conn
-	net      *Net
+	net      *Network
 	from, to string
 
 	mu       sync.Mutex
--- a/stand/objects.go
+++ b/stand/objects.go
@@ -13,25 +13,25 @@
 	"github.com/hibiscuscart/hibiscuscart/store"
 )
 
-// ObjectFaults are the faults that can be injected into Objects.
-type ObjectFaults struct {
-	// Away lists the callers whose calls are rejected; "*" rejects all callers.
-	Away []string
-	// LoseAnswers is how many of the next changes are applied without a reply.
-	LoseAnswers int
+// ObjectStoreFaults are the faults that can be injected into an ObjectStore.
+type ObjectStoreFaults struct {
+	// UnavailableTo lists the callers whose calls are rejected; "*" rejects all callers.
+	UnavailableTo []string
+	// LostReplies is how many of the next changes are applied without a reply.
+	LostReplies int
 }
 
-// Objects is a fake of the platform's object store: one revision counter,
+// ObjectStore is a fake of the platform's object store: one revision counter,
 // conditional changes and long-poll watches over a history. It implements no wire
 // protocol; another package exposes it over HTTP. The zero value is ready for use.
-type Objects struct {
+type ObjectStore struct {
 	mu       sync.Mutex
 	revision int
 	objects  map[string]map[string]store.Object
 	history  []objectChange
 	// compactedRevision is the last revision that is no longer in history.
 	compactedRevision int
-	faults            ObjectFaults
+	faults            ObjectStoreFaults
 	changed           chan struct{}
 	calls             int
 }
@@ -43,7 +43,7 @@
 }
 
 // SetFaults replaces the faults.
-func (o *Objects) SetFaults(f ObjectFaults) {
+func (o *ObjectStore) SetFaults(f ObjectStoreFaults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.faults = f
@@ -51,18 +51,18 @@
 }
 
 // Calls returns the number of calls so far.
-func (o *Objects) Calls() int {
+func (o *ObjectStore) Calls() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.calls
 }
 
 // Admit counts a call and reports whether the caller is served.
-func (o *Objects) Admit(caller string) bool {
+func (o *ObjectStore) Admit(caller string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.calls++
-	for _, away := range o.faults.Away {
+	for _, away := range o.faults.UnavailableTo {
 		if away == "*" || away == caller {
 			return false
 		}
@@ -70,20 +70,20 @@
 	return true
 }
 
-// LoseAnswer reports whether the reply to the last change is to be dropped.
-func (o *Objects) LoseAnswer() bool {
+// DropReply reports whether the reply to the last change is to be dropped.
+func (o *ObjectStore) DropReply() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.faults.LoseAnswers == 0 {
+	if o.faults.LostReplies == 0 {
 		return false
 	}
-	o.faults.LoseAnswers--
+	o.faults.LostReplies--
 	return true
 }
 
 // Client returns a store client for callers in the same process, without a wire
 // protocol.
-func (o *Objects) Client() store.Objects {
+func (o *ObjectStore) Client() store.Objects {
 	return store.Objects{
 		Get: func(_ context.Context, kind, name string) (store.Object, error) { return o.Get(kind, name) },
 		Put: func(_ context.Context, kind, name string, ifVersion int, value any) (int, error) {
@@ -92,7 +92,7 @@
 				return 0, fmt.Errorf("encode %s/%s: %w", kind, name, err)
 			}
 			got, err := o.Put(kind, name, ifVersion, data)
-			if err == nil && o.LoseAnswer() {
+			if err == nil && o.DropReply() {
 				return 0, &store.LostError{}
 			}
 			return got.Version, err
@@ -101,7 +101,7 @@
 }
 
 // Compact discards the history. Watches from older revisions get a GoneError.
-func (o *Objects) Compact() {
+func (o *ObjectStore) Compact() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.history, o.compactedRevision = nil, o.revision
@@ -109,7 +109,7 @@
 }
 
 // List returns the objects of a kind, sorted by name.
-func (o *Objects) List(kind string) store.Listing {
+func (o *ObjectStore) List(kind string) store.Listing {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	l := store.Listing{Version: o.revision}
@@ -121,7 +121,7 @@
 }
 
 // Get returns an object, or a trace.NotFound error if it does not exist.
-func (o *Objects) Get(kind, name string) (store.Object, error) {
+func (o *ObjectStore) Get(kind, name string) (store.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	obj, ok := o.objects[kind][name]
@@ -133,7 +133,7 @@
 
 // Put writes an object if its current version is ifVersion. An object that does
 // not exist has version 0; a negative ifVersion matches any version.
-func (o *Objects) Put(kind, name string, ifVersion int, value json.RawMessage) (store.Object, error) {
+func (o *ObjectStore) Put(kind, name string, ifVersion int, value json.RawMessage) (store.Object, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	old := o.objects[kind][name]
@@ -157,7 +157,7 @@
 }
 
 // Delete removes an object.
-func (o *Objects) Delete(kind, name string) {
+func (o *ObjectStore) Delete(kind, name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	obj, ok := o.objects[kind][name]
@@ -169,12 +169,12 @@
 	o.recordChange(kind, store.Change{Object: obj, Deleted: true})
 }
 
-func (o *Objects) recordChange(kind string, c store.Change) {
+func (o *ObjectStore) recordChange(kind string, c store.Change) {
 	o.history = append(o.history, objectChange{kind: kind, change: c, revision: o.revision})
 	o.notifyWatches()
 }
 
-func (o *Objects) notifyWatches() {
+func (o *ObjectStore) notifyWatches() {
 	if o.changed != nil {
 		close(o.changed)
 		o.changed = nil
@@ -183,7 +183,7 @@
 
 // Watch returns the changes of a kind after a revision, and the latest revision.
 // It waits up to timeout for the first change.
-func (o *Objects) Watch(ctx context.Context, kind string, revision int, timeout time.Duration) ([]store.Change, int, error) {
+func (o *ObjectStore) Watch(ctx context.Context, kind string, revision int, timeout time.Duration) ([]store.Change, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (o *Objects) changesAfter(kind string, revision int) ([]store.Change, int, <-chan struct{}, error) {
+func (o *ObjectStore) changesAfter(kind string, revision int) ([]store.Change, int, <-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if revision < o.compactedRevision {
--- a/stand/orders.go
+++ b/stand/orders.go
@@ -14,9 +14,9 @@
 
 func (e *staleFenceError) Error() string { return fmt.Sprintf("the fencing number is now %d", e.fence) }
 
-// RaiseFence sets the fencing number. It returns an error if the number is lower
+// RaiseFencingNumber sets the fencing number. It returns an error if the number is lower
 // than the current one.
-func (e *Engine) RaiseFence(number int) error {
+func (e *Engine) RaiseFencingNumber(number int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,10 +70,10 @@
 
 func (e *Engine) fetchWeights(key residentKey, order wire.Order) {
 	var err error
-	if e.Fetch != nil {
+	if e.FetchWeights != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		err = e.Fetch(ctx, order)
+		err = e.FetchWeights(ctx, order)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,13 +116,13 @@
 // whether the order's connection breaks.
 func (e *Engine) injectOrderFault(order wire.Order, fence int) bool {
 	faults := e.Faults()
-	if e.shouldInject(faults.LoseOrders) {
+	if e.shouldInject(faults.LostOrderShare) {
 		return true
 	}
-	if !e.shouldInject(faults.LateOrders) {
+	if !e.shouldInject(faults.DelayedOrderShare) {
 		return false
 	}
 	e.counts.delayedOrders.Add(1)
-	time.AfterFunc(time.Duration(faults.LateOrdersMs)*time.Millisecond, func() { _ = e.Apply(order, fence) })
+	time.AfterFunc(time.Duration(faults.OrderDelayMs)*time.Millisecond, func() { _ = e.Apply(order, fence) })
 	return true
 }
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -25,24 +25,24 @@
 	Outage bool `json:"outage"`
 	// DelayMs delays each call.
 	DelayMs int `json:"delay_ms"`
-	// LoseAnswers is the fraction of writes whose connection breaks after
+	// LostReplyShare is the fraction of writes whose connection breaks after
 	// they were applied.
-	LoseAnswers float64 `json:"lose_answers"`
-	// WatchLagMs delays each watch event.
-	WatchLagMs int `json:"watch_lag_ms"`
-	// ListLagMs delays changes of the VM list.
-	ListLagMs int `json:"list_lag_ms"`
-	// CutNodes are the VMs that cannot reach the platform.
-	CutNodes []string `json:"cut_nodes"`
+	LostReplyShare float64 `json:"lose_answers"`
+	// WatchDelayMs delays each watch event.
+	WatchDelayMs int `json:"watch_lag_ms"`
+	// VMListDelayMs delays changes of the VM list.
+	VMListDelayMs int `json:"list_lag_ms"`
+	// DisconnectedVMs are the VMs that cannot reach the platform.
+	DisconnectedVMs []string `json:"cut_nodes"`
 }
 
 // PlatformCounts are the counters of a Platform.
 type PlatformCounts struct {
-	Reads   int64 `json:"reads"`
-	Writes  int64 `json:"writes"`
-	Watches int64 `json:"watches"`
-	Limited int64 `json:"limited"`
-	Lost    int64 `json:"lost"`
+	Reads       int64 `json:"reads"`
+	Writes      int64 `json:"writes"`
+	Watches     int64 `json:"watches"`
+	RateLimited int64 `json:"limited"`
+	LostReplies int64 `json:"lost"`
 }
 
 // Platform is a fake of the platform's object API. The zero value is ready for
@@ -51,11 +51,11 @@
 	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 is the
 	// default.
 	WritesPerSecond, ReadsPerSecond float64
-	// Key is the API key that callers must send; "" accepts all callers.
-	Key string
-	// Chance returns a random number in [0,1) for fault injection; nil injects
+	// APIKey is the API key that callers must send; "" accepts all callers.
+	APIKey string
+	// Random returns a random number in [0,1) for fault injection; nil injects
 	// every fault whose share is positive.
-	Chance func() float64
+	Random func() float64
 
 	once sync.Once
 	// writes and reads limit the rates of calls.
@@ -121,16 +121,16 @@
 // Counts returns the current values of the counters.
 func (p *Platform) Counts() PlatformCounts {
 	return PlatformCounts{
-		Reads:   p.counts.reads.Load(),
-		Writes:  p.counts.writes.Load(),
-		Watches: p.counts.watches.Load(),
-		Limited: p.counts.limited.Load(),
-		Lost:    p.counts.lost.Load(),
+		Reads:       p.counts.reads.Load(),
+		Writes:      p.counts.writes.Load(),
+		Watches:     p.counts.watches.Load(),
+		RateLimited: p.counts.limited.Load(),
+		LostReplies: p.counts.lost.Load(),
 	}
 }
 
-// Watching returns the number of open watches.
-func (p *Platform) Watching() int64 { return p.activeWatches.Load() }
+// ActiveWatches returns the number of open watches.
+func (p *Platform) ActiveWatches() int64 { return p.activeWatches.Load() }
 
 // notifyWatches wakes up the open watches. The caller holds p.mu.
 func (p *Platform) notifyWatches() {
@@ -264,12 +264,12 @@
 	p.vmHistory = append(p.vmHistory, vmListVersion{recordedAt: time.Now(), list: list})
 }
 
-// VMs returns the list of VMs as of ListLagMs ago.
+// VMs returns the list of VMs as of VMListDelayMs ago.
 func (p *Platform) VMs() []wire.VM {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cutoff := time.Now().Add(-time.Duration(p.faults.ListLagMs) * time.Millisecond)
+	cutoff := time.Now().Add(-time.Duration(p.faults.VMListDelayMs) * time.Millisecond)
 	list := []wire.VM{}
 	for _, entry := range p.vmHistory {
 		if entry.recordedAt.After(cutoff) {
--- a/stand/platform_http.go
+++ b/stand/platform_http.go
@@ -37,7 +37,7 @@
 func (p *Platform) withFaults(limiter *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults := p.Faults()
-		if slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
+		if slices.Contains(faults.DisconnectedVMs, r.Header.Get(store.HeaderNode)) {
 			closeConnection(w)
 			return
 		}
@@ -48,7 +48,7 @@
 			writeProblem(w, http.StatusServiceUnavailable, "outage")
 			return
 		}
-		if p.Key != "" && r.Header.Get("Authorization") != "Bearer "+p.Key {
+		if p.APIKey != "" && r.Header.Get("Authorization") != "Bearer "+p.APIKey {
 			writeProblem(w, http.StatusUnauthorized, "wrong key")
 			return
 		}
@@ -109,7 +109,7 @@
 }
 
 func (p *Platform) writeVersion(w http.ResponseWriter, version int, ok bool) {
-	if share := p.Faults().LoseAnswers; share > 0 && p.shouldInject(share) {
+	if share := p.Faults().LostReplyShare; share > 0 && p.shouldInject(share) {
 		p.counts.lost.Add(1)
 		closeConnection(w)
 		return
@@ -122,7 +122,7 @@
 }
 
 func (p *Platform) shouldInject(share float64) bool {
-	return p.Chance == nil || p.Chance() < share
+	return p.Random == nil || p.Random() < share
 }
 
 func (p *Platform) watchObjects(w http.ResponseWriter, r *http.Request) {
@@ -139,11 +139,11 @@
 	controller := http.NewResponseController(w)
 	for streaming := false; ; streaming = true {
 		faults := p.Faults()
-		if faults.Outage || slices.Contains(faults.CutNodes, r.Header.Get(store.HeaderNode)) {
+		if faults.Outage || slices.Contains(faults.DisconnectedVMs, r.Header.Get(store.HeaderNode)) {
 			closeConnection(w)
 			return
 		}
-		lag := time.Duration(faults.WatchLagMs) * time.Millisecond
+		lag := time.Duration(faults.WatchDelayMs) * time.Millisecond
 		events, next, changed, retained := p.eventsAfter(kind, from, lag)
 		if !retained && !streaming {
 			writeProblem(w, http.StatusGone, "version too old")
--- a/stand/runs.go
+++ b/stand/runs.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Runs counts how often each marked request was executed by the fakes that share
+// RunCounter counts how often each marked request was executed by the fakes that share
 // it. The zero value is ready for use.
-type Runs struct {
+type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
 // Add counts one execution of the request with marker id; "" is not counted.
-func (r *Runs) Add(id string) {
+func (r *RunCounter) Add(id string) {
 	if id == "" {
 		return
 	}
@@ -22,15 +22,15 @@
 	r.runs[id]++
 }
 
-// Of returns how often the request was executed.
-func (r *Runs) Of(id string) int {
+// Count returns how often the request was executed.
+func (r *RunCounter) Count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[id]
 }
 
-// All returns a copy of the counts by request.
-func (r *Runs) All() map[string]int {
+// Counts returns a copy of the counts by request.
+func (r *RunCounter) Counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := make(map[string]int, len(r.runs))
--- a/stand/service.go
+++ b/stand/service.go
@@ -19,17 +19,17 @@
 
 // ServiceFaults are the faults that can be injected into a Service.
 type ServiceFaults struct {
-	// LoseAnswers is the fraction of calls whose connection breaks after
-	// execution, CutBefore of those whose connection breaks before it.
-	LoseAnswers float64 `json:"lose_answers"`
-	CutBefore   float64 `json:"cut_before"`
+	// LostReplyShare is the fraction of calls whose connection breaks after
+	// execution, DisconnectBeforeRunShare of those whose connection breaks before it.
+	LostReplyShare           float64 `json:"lose_answers"`
+	DisconnectBeforeRunShare float64 `json:"cut_before"`
 	// Hang executes calls and sends no responses.
 	Hang     bool `json:"hang"`
 	Draining bool `json:"draining"`
 }
 
-// ServiceAnswer is the response of a Service to a call.
-type ServiceAnswer struct {
+// ServiceResponse is the response of a Service to a call.
+type ServiceResponse struct {
 	Status string `json:"status"`
 	Digest string `json:"digest"`
 }
@@ -38,10 +38,10 @@
 // The zero value is ready for use.
 type Service struct {
 	Name string
-	// Time is the execution time of a call.
-	Time   time.Duration
-	Runs   *Runs
-	Chance func() float64
+	// CallDuration is the execution time of a call.
+	CallDuration time.Duration
+	Runs         *RunCounter
+	Random       func() float64
 
 	runningCalls  atomic.Int64
 	executedCalls atomic.Int64
@@ -66,8 +66,8 @@
 // Calls returns how many calls were executed.
 func (s *Service) Calls() int64 { return s.executedCalls.Load() }
 
-// DigestOf returns the digest of a request body that a Service responds with.
-func DigestOf(body []byte) string {
+// BodyDigest returns the digest of a request body that a Service responds with.
+func BodyDigest(body []byte) string {
 	d := xxhash.New()
 	_, _ = d.Write(body)
 	return hex.EncodeToString(d.Sum(nil))
@@ -102,7 +102,7 @@
 		writeProblem(w, http.StatusServiceUnavailable, "draining")
 		return
 	}
-	if s.shouldInject(faults.CutBefore) {
+	if s.shouldInject(faults.DisconnectBeforeRunShare) {
 		closeConnection(w)
 		return
 	}
@@ -111,11 +111,11 @@
 		<-r.Context().Done()
 		return
 	}
-	if s.shouldInject(faults.LoseAnswers) {
+	if s.shouldInject(faults.LostReplyShare) {
 		closeConnection(w)
 		return
 	}
-	writeJSON(w, http.StatusOK, ServiceAnswer{Status: "recorded", Digest: DigestOf(body)})
+	writeJSON(w, http.StatusOK, ServiceResponse{Status: "recorded", Digest: BodyDigest(body)})
 }
 
 func (s *Service) execute(r *http.Request, body []byte) {
@@ -125,11 +125,11 @@
 	if s.Runs != nil {
 		s.Runs.Add(markedRequestID(string(body) + r.URL.RawQuery))
 	}
-	time.Sleep(orDefault(s.Time, defaultCallDuration))
+	time.Sleep(orDefault(s.CallDuration, defaultCallDuration))
 }
 
 func (s *Service) shouldInject(share float64) bool {
-	return share > 0 && (s.Chance == nil || s.Chance() < share)
+	return share > 0 && (s.Random == nil || s.Random() < share)
 }
 
 func (s *Service) controlFaults(w http.ResponseWriter, r *http.Request) {
--- a/stand/stream.go
+++ b/stand/stream.go
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &stream{
 		gen: gen, cancel: cancel, produced: produced, lastReaderChange: time.Now(), changed: make(chan struct{}),
-		tokens: Answer(gen.Model, gen.Adapter, gen.Prompt, gen.MaxTokens),
+		tokens: CompletionTokens(gen.Model, gen.Adapter, gen.Prompt, gen.MaxTokens),
 	}
 	e.streams[gen.Attempt] = s
 	for _, k := range residents {
@@ -157,7 +157,7 @@
 		return
 	}
 	defer e.slots.release()
-	wait := e.FirstToken
+	wait := e.FirstTokenDelay
 	if e.cache.add(prefixHash(s.gen)) {
 		wait /= 2
 	}
@@ -178,7 +178,7 @@
 			e.counts.finished.Add(1)
 			return
 		}
-		wait = e.BetweenTokens
+		wait = e.TokenInterval
 	}
 }
 
--- a/stand/weights.go
+++ b/stand/weights.go
@@ -11,17 +11,17 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Weights is a fake weight store. The zero value is ready for use, with the load
+// WeightStore is a fake weight store. The zero value is ready for use, with the load
 // limits of the example deployment vadodara and a model load time of half a second.
-type Weights struct {
+type WeightStore struct {
 	// LoadsPerSecond is the maximum rate at which model loads start.
 	LoadsPerSecond float64
-	// LoadsAtFullSpeed is how many concurrent model loads run at full speed.
-	LoadsAtFullSpeed int
-	// ModelLoad and AdapterLoad are the load times at full speed.
-	ModelLoad, AdapterLoad time.Duration
-	// AdaptersInTransit is how many concurrent adapter loads run at full speed.
-	AdaptersInTransit int
+	// FullSpeedModelLoads is how many concurrent model loads run at full speed.
+	FullSpeedModelLoads int
+	// ModelLoadTime and AdapterLoadTime are the load times at full speed.
+	ModelLoadTime, AdapterLoadTime time.Duration
+	// FullSpeedAdapterLoads is how many concurrent adapter loads run at full speed.
+	FullSpeedAdapterLoads int
 
 	once               sync.Once
 	startLimiter       *rate.Limiter
@@ -31,14 +31,14 @@
 	completedLoads     int
 }
 
-func (s *Weights) init() {
+func (s *WeightStore) init() {
 	s.once.Do(func() {
 		s.LoadsPerSecond = orDefault(s.LoadsPerSecond, 1)
-		s.LoadsAtFullSpeed = orDefault(s.LoadsAtFullSpeed, 4)
-		s.AdaptersInTransit = orDefault(s.AdaptersInTransit, 30)
-		s.ModelLoad = orDefault(s.ModelLoad, 500*time.Millisecond)
-		s.AdapterLoad = orDefault(s.AdapterLoad, 7*time.Millisecond)
-		s.startLimiter = rate.NewLimiter(rate.Limit(s.LoadsPerSecond), s.LoadsAtFullSpeed)
+		s.FullSpeedModelLoads = orDefault(s.FullSpeedModelLoads, 4)
+		s.FullSpeedAdapterLoads = orDefault(s.FullSpeedAdapterLoads, 30)
+		s.ModelLoadTime = orDefault(s.ModelLoadTime, 500*time.Millisecond)
+		s.AdapterLoadTime = orDefault(s.AdapterLoadTime, 7*time.Millisecond)
+		s.startLimiter = rate.NewLimiter(rate.Limit(s.LoadsPerSecond), s.FullSpeedModelLoads)
 	})
 }
 
@@ -50,15 +50,15 @@
 	return v
 }
 
-// Loads returns the number of ended loads, canceled ones included.
-func (s *Weights) Loads() int {
+// CompletedLoads returns the number of ended loads, canceled ones included.
+func (s *WeightStore) CompletedLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.completedLoads
 }
 
 // Fetch loads the weights for an order and returns when the load is complete.
-func (s *Weights) Fetch(ctx context.Context, order wire.Order) error {
+func (s *WeightStore) Fetch(ctx context.Context, order wire.Order) error {
 	s.init()
 	if order.Adapter == "" {
 		if err := s.startLimiter.Wait(ctx); err != nil {
@@ -79,15 +79,15 @@
 
 // startLoad counts a load as active and returns its duration, which depends on
 // the number of active loads.
-func (s *Weights) startLoad(order wire.Order) time.Duration {
+func (s *WeightStore) startLoad(order wire.Order) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if order.Adapter != "" {
 		s.activeAdapterLoads++
-		return loadDuration(s.AdapterLoad, s.activeAdapterLoads, s.AdaptersInTransit)
+		return loadDuration(s.AdapterLoadTime, s.activeAdapterLoads, s.FullSpeedAdapterLoads)
 	}
 	s.activeModelLoads++
-	return loadDuration(s.ModelLoad, s.activeModelLoads, s.LoadsAtFullSpeed)
+	return loadDuration(s.ModelLoadTime, s.activeModelLoads, s.FullSpeedModelLoads)
 }
 
 func loadDuration(fullSpeedDuration time.Duration, activeLoads, fullSpeedLoads int) time.Duration {
@@ -97,7 +97,7 @@
 	return fullSpeedDuration * time.Duration(activeLoads) / time.Duration(fullSpeedLoads)
 }
 
-func (s *Weights) endLoad(order wire.Order) {
+func (s *WeightStore) endLoad(order wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.completedLoads++
--- a/stand/weights_http.go
+++ b/stand/weights_http.go
@@ -12,7 +12,7 @@
 
 // Handler returns the handler of the weight store. It responds to an order when
 // its weights are loaded.
-func (s *Weights) Handler() http.Handler {
+func (s *WeightStore) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var order wire.Order
 		if !readJSON(w, r, &order) {
@@ -26,9 +26,9 @@
 	})
 }
 
-// WeightsClient returns a Fetch function for engines, which loads weights from
-// the weight store at the URL base.
-func WeightsClient(base string) func(ctx context.Context, order wire.Order) error {
+// WeightFetcher returns a FetchWeights function for engines, which loads weights
+// from the weight store at the URL base.
+func WeightFetcher(base string) func(ctx context.Context, order wire.Order) error {
 	return func(ctx context.Context, order wire.Order) error {
 		req, err := sling.New().Base(base).Post("/weights").BodyJSON(order).Request()
 		if err != nil {
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -62,7 +62,7 @@
 // it done twice: the client does not send it again.
 func TestLostAnswerIsNotRepeated(t *testing.T) {
 	p, c := platform(t)
-	p.SetFaults(stand.PlatformFaults{LoseAnswers: 1})
+	p.SetFaults(stand.PlatformFaults{LostReplyShare: 1})
 	_, err := c.Put(brief(t, 5*time.Second), "things", "a", 0, 1)
 	require.True(t, store.IsLost(err), "%v", err)
 	require.Equal(t, int64(1), p.Counts().Writes)
@@ -206,7 +206,7 @@
 // megabytes take over a second to encode and send on a busy machine.
 func TestErrorsOfTheCaller(t *testing.T) {
 	p, c := platform(t)
-	p.Key = "right"
+	p.APIKey = "right"
 	c.Timeout = time.Minute
 	_, err := c.Get(brief(t, time.Minute), "things", "a")
 	require.True(t, trace.IsAccessDenied(err), "%v", err)
