--- a/engine/client.go
+++ b/engine/client.go
@@ -204,9 +204,9 @@
 }
 
 // Order sends an order with a fencing number. A repeated order has no effect.
-func (c *Client) Order(ctx context.Context, address string, order wire.Order, fence int) error {
+func (c *Client) Order(ctx context.Context, address string, order wire.Order, fencingNumber int) error {
 	var ignored struct{}
-	s := requestTo(address).Post("/orders").Set(HeaderFencingNumber, strconv.Itoa(fence)).BodyJSON(order)
+	s := requestTo(address).Post("/orders").Set(HeaderFencingNumber, strconv.Itoa(fencingNumber)).BodyJSON(order)
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
 		return fmt.Errorf("send order %s: %w", order.Order, err)
 	}
@@ -214,11 +214,11 @@
 }
 
 // RaiseFencingNumber makes the engine reject orders with a lower fencing number.
-func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fence int) error {
+func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fencingNumber int) error {
 	var ignored struct{}
-	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fence))
+	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fencingNumber))
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
-		return fmt.Errorf("raise fencing number to %d: %w", fence, err)
+		return fmt.Errorf("raise fencing number to %d: %w", fencingNumber, err)
 	}
 	return nil
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -109,11 +109,11 @@
 
 // countSends returns how often each request was sent.
 func countSends(results []Result) map[string]int {
-	ids := make(map[string]int, len(results))
+	counts := make(map[string]int, len(results))
 	for _, r := range results {
-		ids[r.Arrival.ID]++
+		counts[r.Arrival.ID]++
 	}
-	return ids
+	return counts
 }
 
 func (g *aggregator) add(class Class, r Result, repeated bool) {
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -189,12 +189,12 @@
 func (b *Backend) loadedModelsLocked() []backs.LoadedModel {
 	var list []backs.LoadedModel
 	for m, adapters := range b.models {
-		h := backs.LoadedModel{Model: m, Version: 1, Adapters: []string{}}
+		loaded := backs.LoadedModel{Model: m, Version: 1, Adapters: []string{}}
 		for a := range adapters {
-			h.Adapters = append(h.Adapters, a)
+			loaded.Adapters = append(loaded.Adapters, a)
 		}
-		slices.Sort(h.Adapters)
-		list = append(list, h)
+		slices.Sort(loaded.Adapters)
+		list = append(list, loaded)
 	}
 	slices.SortFunc(list, func(x, y backs.LoadedModel) int {
 		if x.Model < y.Model {
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -94,7 +94,7 @@
 
 	mu            sync.Mutex
 	faults        EngineFaults
-	fence         int
+	fencingNumber int
 	role          string
 	residents     map[residentKey]*resident
 	appliedOrders map[string]bool
@@ -271,7 +271,7 @@
 	report := wire.LoadReport{
 		Running: max(running-queued, 0), Queued: queued, Slots: e.Slots,
 		MemoryBytes: e.MemoryBytes, UsedBytes: e.usedMemoryLocked(),
-		Draining: e.faults.Draining, Role: e.role, Fence: e.fence,
+		Draining: e.faults.Draining, Role: e.role, Fence: e.fencingNumber,
 		Residents: []wire.Resident{},
 	}
 	for k, r := range e.residents {
--- a/stand/engine_http.go
+++ b/stand/engine_http.go
@@ -73,15 +73,15 @@
 	if !readJSON(w, r, &body) {
 		return
 	}
-	gen := generation{
+	request := generateRequest{
 		Attempt: r.Header.Get(headerAttemptID), Model: body.Model, Adapter: body.Adapter, Prompt: body.Prompt,
 		MaxTokens: body.MaxTokens, Priority: body.Priority, messages: body.Messages,
 	}
 	if len(body.Messages) > 0 {
-		gen.Chat = true
-		gen.Prompt = ChatPrompt(body.Messages)
+		request.Chat = true
+		request.Prompt = ChatPrompt(body.Messages)
 	}
-	s, err := e.startRun(gen)
+	s, err := e.startRun(request)
 	if err != nil {
 		writeEngineError(w, err)
 		return
@@ -124,14 +124,14 @@
 		produced, done, canceled, changed := s.progress()
 		for sequence < produced {
 			sequence++
-			if e.shouldDisconnect(s.gen.Attempt, sequence) {
+			if e.shouldDisconnect(s.request.Attempt, sequence) {
 				e.counts.disconnects.Add(1)
 				panic(http.ErrAbortHandler)
 			}
 			e.sendToken(w, s, sequence)
 		}
 		if done {
-			if e.shouldDisconnect(s.gen.Attempt, sequence+1) {
+			if e.shouldDisconnect(s.request.Attempt, sequence+1) {
 				e.counts.disconnects.Add(1)
 				panic(http.ErrAbortHandler)
 			}
@@ -160,9 +160,9 @@
 func (e *Engine) sendToken(w http.ResponseWriter, s *stream, sequence int) {
 	faults := e.Faults()
 	if e.shouldInject(faults.ForeignFrameShare) {
-		writeChunk(w, sequence, chunk{ID: "crossed-" + s.gen.Attempt, Choices: []chunkChoice{{Text: "crossed "}}})
+		writeChunk(w, sequence, chunk{ID: "crossed-" + s.request.Attempt, Choices: []chunkChoice{{Text: "crossed "}}})
 	}
-	c := chunk{ID: s.gen.Attempt, Choices: []chunkChoice{{Text: s.tokens[sequence-1]}}}
+	c := chunk{ID: s.request.Attempt, Choices: []chunkChoice{{Text: s.tokens[sequence-1]}}}
 	if sequence == len(s.tokens) {
 		c.Choices[0].Finish = "stop"
 	}
--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -56,7 +56,7 @@
 	require.Error(t, s.Fetch(ctx, loadOrder("2", "b", 1)))
 }
 
-func TestAnswerDeterministic(t *testing.T) {
+func TestCompletionTokensDeterministic(t *testing.T) {
 	a := stand.CompletionTokens("m", "", "p", 20)
 	require.Equal(t, a, stand.CompletionTokens("m", "", "p", 20))
 	for name, other := range map[string][]string{
--- a/stand/orders.go
+++ b/stand/orders.go
@@ -10,9 +10,11 @@
 
 // staleFenceError reports that a call had a fencing number below the highest
 // one received.
-type staleFenceError struct{ fence int }
+type staleFenceError struct{ current int }
 
-func (e *staleFenceError) Error() string { return fmt.Sprintf("the fencing number is now %d", e.fence) }
+func (e *staleFenceError) Error() string {
+	return fmt.Sprintf("the fencing number is now %d", e.current)
+}
 
 // RaiseFencingNumber sets the fencing number. It returns an error if the number is lower
 // than the current one.
@@ -20,27 +22,27 @@
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.checkFenceLocked(number)
+	return e.checkFencingNumberLocked(number)
 }
 
-func (e *Engine) checkFenceLocked(number int) error {
+func (e *Engine) checkFencingNumberLocked(number int) error {
 	if !e.ChecksFencing {
 		return nil
 	}
-	if number < e.fence {
+	if number < e.fencingNumber {
 		e.counts.staleFences.Add(1)
-		return &staleFenceError{fence: e.fence}
+		return &staleFenceError{current: e.fencingNumber}
 	}
-	e.fence = number
+	e.fencingNumber = number
 	return nil
 }
 
 // Apply executes an order. A repeated order has no effect.
-func (e *Engine) Apply(order wire.Order, fence int) error {
+func (e *Engine) Apply(order wire.Order, fencingNumber int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.checkFenceLocked(fence); err != nil {
+	if err := e.checkFencingNumberLocked(fencingNumber); err != nil {
 		return err
 	}
 	if e.appliedOrders[order.Order] {
@@ -114,7 +116,7 @@
 
 // injectOrderFault loses or delays an order, depending on the faults. It reports
 // whether the order's connection breaks.
-func (e *Engine) injectOrderFault(order wire.Order, fence int) bool {
+func (e *Engine) injectOrderFault(order wire.Order, fencingNumber int) bool {
 	faults := e.Faults()
 	if e.shouldInject(faults.LostOrderShare) {
 		return true
@@ -123,6 +125,6 @@
 		return false
 	}
 	e.counts.delayedOrders.Add(1)
-	time.AfterFunc(time.Duration(faults.OrderDelayMs)*time.Millisecond, func() { _ = e.Apply(order, fence) })
+	time.AfterFunc(time.Duration(faults.OrderDelayMs)*time.Millisecond, func() { _ = e.Apply(order, fencingNumber) })
 	return true
 }
--- a/stand/stream.go
+++ b/stand/stream.go
@@ -21,8 +21,8 @@
 	errNoStream   = errors.New("no_such_stream")
 )
 
-// generation is a request to generate text.
-type generation struct {
+// generateRequest is a request to generate text.
+type generateRequest struct {
 	Attempt   string                 `json:"attempt"`
 	Model     string                 `json:"model"`
 	Adapter   string                 `json:"adapter"`
@@ -44,9 +44,9 @@
 
 // stream is one run of a generation request.
 type stream struct {
-	gen    generation
-	tokens []string
-	cancel context.CancelFunc
+	request generateRequest
+	tokens  []string
+	cancel  context.CancelFunc
 
 	mu               sync.Mutex
 	produced         int
@@ -94,57 +94,57 @@
 }
 
 // startRun starts a run, or returns an error if the engine rejects it.
-func (e *Engine) startRun(gen generation) (*stream, error) {
+func (e *Engine) startRun(request generateRequest) (*stream, error) {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Draining {
 		return nil, errDraining
 	}
-	if e.streams[gen.Attempt] != nil {
+	if e.streams[request.Attempt] != nil {
 		return nil, errDuplicate
 	}
-	residents, err := e.requiredResidentsLocked(gen)
+	residents, err := e.requiredResidentsLocked(request)
 	if err != nil {
 		return nil, err
 	}
 	if e.QueueLimit > 0 && e.slots.queueLength() >= e.QueueLimit {
 		return nil, errOverloaded
 	}
-	return e.startRunLocked(gen, residents, 0), nil
+	return e.startRunLocked(request, residents, 0), nil
 }
 
 // requiredResidentsLocked returns the model and the adapter that a run uses.
-func (e *Engine) requiredResidentsLocked(gen generation) ([]residentKey, error) {
-	key, base := e.newestLoadedLocked(gen.Model, "")
+func (e *Engine) requiredResidentsLocked(request generateRequest) ([]residentKey, error) {
+	key, base := e.newestLoadedLocked(request.Model, "")
 	if base == nil {
 		return nil, errNotLoaded
 	}
 	required := []residentKey{key}
-	if gen.Adapter == "" {
+	if request.Adapter == "" {
 		return required, nil
 	}
-	key, adapter := e.newestLoadedLocked(gen.Model, gen.Adapter)
+	key, adapter := e.newestLoadedLocked(request.Model, request.Adapter)
 	if adapter == nil {
 		return nil, errNotLoaded
 	}
 	return append(required, key), nil
 }
 
-func (e *Engine) startRunLocked(gen generation, residents []residentKey, produced int) *stream {
+func (e *Engine) startRunLocked(request generateRequest, residents []residentKey, produced int) *stream {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &stream{
-		gen: gen, cancel: cancel, produced: produced, lastReaderChange: time.Now(), changed: make(chan struct{}),
-		tokens: CompletionTokens(gen.Model, gen.Adapter, gen.Prompt, gen.MaxTokens),
+		request: request, cancel: cancel, produced: produced, lastReaderChange: time.Now(), changed: make(chan struct{}),
+		tokens: CompletionTokens(request.Model, request.Adapter, request.Prompt, request.MaxTokens),
 	}
-	e.streams[gen.Attempt] = s
+	e.streams[request.Attempt] = s
 	for _, k := range residents {
 		e.residents[k].activeRuns++
 	}
 	e.counts.started.Add(1)
 	e.lastRunStart = time.Now()
 	if e.Runs != nil && produced == 0 {
-		e.Runs.Add(markedRequestID(gen.Prompt))
+		e.Runs.Add(markedRequestID(request.Prompt))
 	}
 	go e.generate(ctx, s, residents)
 	return s
@@ -152,13 +152,13 @@
 
 func (e *Engine) generate(ctx context.Context, s *stream, residents []residentKey) {
 	defer e.releaseRun(s, residents)
-	if err := e.slots.acquire(ctx, s.gen.Priority); err != nil {
+	if err := e.slots.acquire(ctx, s.request.Priority); err != nil {
 		s.update(func() { s.canceled = true })
 		return
 	}
 	defer e.slots.release()
 	wait := e.FirstTokenDelay
-	if e.cache.add(prefixHash(s.gen)) {
+	if e.cache.add(prefixHash(s.request)) {
 		wait /= 2
 	}
 	for {
@@ -182,8 +182,8 @@
 	}
 }
 
-func prefixHash(gen generation) uint64 {
-	r := hibiscuscart.Request{Model: gen.Model, Prompt: gen.Prompt, Messages: gen.messages}
+func prefixHash(request generateRequest) uint64 {
+	r := hibiscuscart.Request{Model: request.Model, Prompt: request.Prompt, Messages: request.messages}
 	return r.PrefixHash()
 }
 
@@ -206,7 +206,7 @@
 func (e *Engine) removeStream(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.streams, s.gen.Attempt)
+	delete(e.streams, s.request.Attempt)
 }
 
 func (e *Engine) findStream(attempt string) (*stream, error) {
@@ -232,9 +232,9 @@
 
 // kvState is an exported KV cache: the request and the number of tokens generated.
 type kvState struct {
-	Generation generation `json:"generation"`
-	Produced   int        `json:"produced"`
-	Bytes      int        `json:"bytes"`
+	Generation generateRequest `json:"generation"`
+	Produced   int             `json:"produced"`
+	Bytes      int             `json:"bytes"`
 }
 
 const kvBytesPerToken = 128 << 10
@@ -247,8 +247,8 @@
 	}
 	s.cancel()
 	produced, _, _, _ := s.progress()
-	tokens := produced + len(s.gen.Prompt)/4
-	return kvState{Generation: s.gen, Produced: produced, Bytes: tokens * kvBytesPerToken}, nil
+	tokens := produced + len(s.request.Prompt)/4
+	return kvState{Generation: s.request, Produced: produced, Bytes: tokens * kvBytesPerToken}, nil
 }
 
 // importKV continues a run that another engine exported. It is the same
