--- a/claim/runner_test.go
+++ b/claim/runner_test.go
@@ -94,7 +94,7 @@
 		d := r.Claim(testContext(t), request(fmt.Sprint(i), fmt.Sprint("g", i)))
 		require.Equal(t, dedup.Granted, d.Verdict)
 	}
-	require.Positive(t, p.Counts().Limited)
+	require.Positive(t, p.Counts().RateLimited)
 }
 
 // The platform is unavailable. Waiting and new claims must be refused
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -75,17 +75,17 @@
 		}
 		outcomes[id][outcome] = true
 	})
-	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.3})
+	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.3})
 	time.Sleep(300 * time.Millisecond)
 	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	time.Sleep(500 * time.Millisecond)
-	w.Platform.SetFaults(stand.PlatformFaults{LoseAnswers: 0.1})
+	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.1})
 	w.KillVM("two-1")
 	wg.Wait()
 	done := 0
 	for i := range keys {
 		id := fmt.Sprint("once", i)
-		runs := w.Runs.Of(id)
+		runs := w.Runs.Count(id)
 		require.LessOrEqual(t, runs, 1, id)
 		seen := outcomes[id]
 		if seen["done"] {
@@ -107,7 +107,7 @@
 	desk := w.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{Hang: true})
 	go callOnce(w, "one-1", "orphan")
-	require.Eventually(t, func() bool { return w.Runs.Of("orphan") == 1 }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return w.Runs.Count("orphan") == 1 }, testTimeout, 5*time.Millisecond)
 	w.KillVM("one-1")
 	desk.SetFaults(stand.ServiceFaults{})
 	first := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
@@ -115,7 +115,7 @@
 	time.Sleep(3500 * time.Millisecond) // the longest time a call of this profile can be in progress
 	r := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
 	require.Equal(t, "claim_unknown", r.problem.Title, r.body)
-	require.Equal(t, 1, w.Runs.Of("orphan"))
+	require.Equal(t, 1, w.Runs.Count("orphan"))
 }
 
 // A VM is killed during its graceful stop, with calls in progress. Their
@@ -149,7 +149,7 @@
 	for i := range 5 {
 		id := fmt.Sprint("shutdown", i)
 		require.Equal(t, "unknown", callOnce(w, "two-1", id), id)
-		require.Equal(t, 1, w.Runs.Of(id), id)
+		require.Equal(t, 1, w.Runs.Count(id), id)
 	}
 	require.Equal(t, "done", callOnce(w, "two-1", "after"))
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -93,7 +93,7 @@
 		config: c, bootID: uuid.NewString(), now: c.Now, meter: meter.New(),
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
 		store:   &store.Client{BaseURL: c.PlatformURL, Key: c.PlatformKey, VMName: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
-		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxAnswerBytes: c.Limits.ResponseBytes},
+		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxResponseBytes: c.Limits.ResponseBytes},
 		profiles: &profs.View{}, fleet: &fleet.View{}, modelLoads: &modelLoads{},
 	}
 	d.activeConfig = &activeConfig{profiles: d.profiles}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -272,8 +272,8 @@
 	return err
 }
 
-func (s *relayStage) newGeneration(x *Exchange) engine.Generation {
-	return engine.Generation{
+func (s *relayStage) newGeneration(x *Exchange) engine.GenerateRequest {
+	return engine.GenerateRequest{
 		Model: x.modelName, Adapter: x.request.Adapter, Prompt: x.request.Prompt, Messages: x.request.Messages,
 		MaxTokens: x.maxTokens(), Priority: x.profile.Priority(),
 	}
--- a/load/answer.go
+++ b/load/answer.go
@@ -15,57 +15,57 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// End is how a request ended, as the caller saw it.
-type End int
+// Verdict is the result of a request as the caller observed it.
+type Verdict int
 
 const (
-	// EndWhole means that the whole and right answer came.
-	EndWhole End = iota
-	// EndWrong means that an answer came, but not this request's.
-	EndWrong
-	// EndLost means that an answer was begun or promised and did not come whole, and no
-	// failure was told.
-	EndLost
-	// EndFailed means that a failure was told, with an outcome.
-	EndFailed
-	// EndBroken means that the connection broke without an answer.
-	EndBroken
-	// EndNotReached means that no VM could be reached.
-	EndNotReached
+	// VerdictCorrect means that the response was complete and correct.
+	VerdictCorrect Verdict = iota
+	// VerdictWrong means that the response was not the expected one.
+	VerdictWrong
+	// VerdictIncomplete means that a response started but was incomplete or malformed, and
+	// no failure was reported.
+	VerdictIncomplete
+	// VerdictFailed means that a failure with an outcome was reported.
+	VerdictFailed
+	// VerdictDisconnected means that the connection broke before a response.
+	VerdictDisconnected
+	// VerdictUnreachable means that no VM was reachable.
+	VerdictUnreachable
 )
 
-// Result is what came of one request.
+// Result is the result of one request.
 type Result struct {
 	Arrival Arrival
 	// Target is the address of the VM the request was sent to.
-	Target string
-	End    End
-	Status int
-	// Outcome is what a failure told; Code its code.
-	Outcome hibiscuscart.Outcome
-	Code    string
-	Detail  string
-	Began   time.Time
-	Took    time.Duration
-	// FirstToken is the time to the first token of a stream, Gaps the times
-	// between its tokens.
-	FirstToken time.Duration
-	Gaps       []time.Duration
-	Tokens     int
+	Target  string
+	Verdict Verdict
+	Status  int
+	// Outcome and Code are those of a reported failure.
+	Outcome   hibiscuscart.Outcome
+	Code      string
+	Detail    string
+	StartedAt time.Time
+	Duration  time.Duration
+	// TimeToFirstToken is the time from the start to the first token of a stream,
+	// TokenIntervals are the times between its tokens.
+	TimeToFirstToken time.Duration
+	TokenIntervals   []time.Duration
+	Tokens           int
 }
 
-// request builds the HTTP request of an arrival.
-func request(ctx context.Context, class Class, a Arrival, target string) (*http.Request, error) {
+// newRequest builds the HTTP request of an arrival.
+func newRequest(ctx context.Context, class Class, a Arrival, target string) (*http.Request, error) {
 	path, body := "/v1/chat/completions", ""
 	switch class.Kind {
 	case KindStream:
 		body = jsonBody(map[string]any{
-			"model": modelName(class, a), "stream": true, "max_tokens": a.Tokens,
+			"model": modelName(class, a), "stream": true, "max_tokens": a.MaxTokens,
 			"messages": []hibiscuscart.Message{{Role: "user", Content: a.Prompt}},
 		})
-	case KindWhole:
+	case KindCompletion:
 		path = "/v1/completions"
-		body = jsonBody(map[string]any{"model": modelName(class, a), "max_tokens": a.Tokens, "prompt": a.Prompt})
+		body = jsonBody(map[string]any{"model": modelName(class, a), "max_tokens": a.MaxTokens, "prompt": a.Prompt})
 	case KindService:
 		path = "/services/" + class.Profile.Name + "/entries"
 		body = jsonBody(map[string]any{"entry": a.Prompt})
@@ -75,11 +75,11 @@
 		return nil, fmt.Errorf("build request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if class.Caller != "" {
-		req.Header.Set("Authorization", "Bearer "+class.Caller)
+	if class.CallerKey != "" {
+		req.Header.Set("Authorization", "Bearer "+class.CallerKey)
 	}
-	if a.Key != "" {
-		req.Header.Set("Idempotency-Key", a.Key)
+	if a.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", a.IdempotencyKey)
 	}
 	return req, nil
 }
@@ -100,27 +100,27 @@
 	return name
 }
 
-// Answer returns the words that the stand-in gives for an arrival.
-func Answer(class Class, a Arrival) []string {
+// ExpectedTokens returns the tokens that the fake engine generates for an arrival.
+func ExpectedTokens(class Class, a Arrival) []string {
 	prompt := a.Prompt
 	if class.Kind == KindStream {
 		prompt = stand.ChatPrompt([]hibiscuscart.Message{{Role: "user", Content: a.Prompt}})
 	}
-	return stand.Answer(a.Model, a.Adapter, prompt, a.Tokens)
+	return stand.CompletionTokens(a.Model, a.Adapter, prompt, a.MaxTokens)
 }
 
-func want(class Class, a Arrival) string { return strings.Join(Answer(class, a), "") }
+func expectedText(class Class, a Arrival) string { return strings.Join(ExpectedTokens(class, a), "") }
 
-func readAnswer(resp *http.Response, class Class, res *Result) {
-	if isFailure(resp) {
+func readResponse(resp *http.Response, class Class, res *Result) {
+	if isErrorStatus(resp) {
 		readProblem(resp, res)
 		return
 	}
 	switch class.Kind {
 	case KindStream:
 		readStream(resp, class, res)
-	case KindWhole:
-		readWhole(resp, class, res)
+	case KindCompletion:
+		readCompletion(resp, class, res)
 	case KindService:
 		readService(resp, res)
 	}
@@ -135,54 +135,54 @@
 func readProblem(resp *http.Response, res *Result) {
 	var body problemBody
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, "a failure without a problem document"
+		res.Verdict, res.Detail = VerdictIncomplete, "error response without a problem document"
 		return
 	}
-	res.takeProblem(body)
+	res.setProblem(body)
 }
 
-func (r *Result) takeProblem(body problemBody) {
+func (r *Result) setProblem(body problemBody) {
 	outcome, err := hibiscuscart.ParseOutcome(body.Outcome)
 	if err != nil {
-		r.End, r.Detail = EndLost, err.Error()
+		r.Verdict, r.Detail = VerdictIncomplete, err.Error()
 		return
 	}
-	r.End, r.Outcome, r.Code, r.Detail = EndFailed, outcome, body.Title, body.Detail
+	r.Verdict, r.Outcome, r.Code, r.Detail = VerdictFailed, outcome, body.Title, body.Detail
 }
 
-func (r *Result) judge(got, want string) {
-	r.End = EndWhole
+func (r *Result) compare(got, want string) {
+	r.Verdict = VerdictCorrect
 	if got != want {
-		r.End, r.Detail = EndWrong, fmt.Sprintf("got %.60q, want %.60q", got, want)
+		r.Verdict, r.Detail = VerdictWrong, fmt.Sprintf("got %.60q, want %.60q", got, want)
 	}
 }
 
-func readWhole(resp *http.Response, class Class, res *Result) {
+func readCompletion(resp *http.Response, class Class, res *Result) {
 	var body struct {
 		Choices []struct {
 			Text string `json:"text"`
 		} `json:"choices"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || len(body.Choices) != 1 {
-		res.End, res.Detail = EndLost, fmt.Sprintf("answer not whole: %v", err)
+		res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
-	res.judge(body.Choices[0].Text, want(class, res.Arrival))
+	res.compare(body.Choices[0].Text, expectedText(class, res.Arrival))
 }
 
 func readService(resp *http.Response, res *Result) {
-	var body stand.ServiceAnswer
+	var body stand.ServiceResponse
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.End, res.Detail = EndLost, fmt.Sprintf("answer not whole: %v", err)
+		res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("incomplete response: %v", err)
 		return
 	}
 	sent := jsonBody(map[string]any{"entry": res.Arrival.Prompt})
-	res.judge(body.Digest, stand.DigestOf([]byte(sent)))
+	res.compare(body.Digest, stand.BodyDigest([]byte(sent)))
 }
 
 func readStream(resp *http.Response, class Class, res *Result) {
 	var text strings.Builder
-	last := res.Began
+	previousToken := res.StartedAt
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), 1<<20)
 	for lines.Scan() {
@@ -191,28 +191,28 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			res.judge(text.String(), want(class, res.Arrival))
+			res.compare(text.String(), expectedText(class, res.Arrival))
 			return
 		}
-		piece, problem := readEvent(data)
+		fragment, problem := readEvent(data)
 		if problem != nil {
-			res.takeProblem(*problem)
+			res.setProblem(*problem)
 			return
 		}
-		if piece == "" {
+		if fragment == "" {
 			continue
 		}
 		now := clock.Now()
 		if res.Tokens == 0 {
-			res.FirstToken = now.Sub(res.Began)
+			res.TimeToFirstToken = now.Sub(res.StartedAt)
 		} else {
-			res.Gaps = append(res.Gaps, now.Sub(last))
+			res.TokenIntervals = append(res.TokenIntervals, now.Sub(previousToken))
 		}
-		last = now
+		previousToken = now
 		res.Tokens++
-		text.WriteString(piece)
+		text.WriteString(fragment)
 	}
-	res.End, res.Detail = EndLost, fmt.Sprintf("the stream ended without its end: %v", lines.Err())
+	res.Verdict, res.Detail = VerdictIncomplete, fmt.Sprintf("stream ended without the end event: %v", lines.Err())
 }
 
 func readEvent(data []byte) (string, *problemBody) {
@@ -225,7 +225,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return "", &problemBody{Outcome: "not readable"}
+		return "", &problemBody{Outcome: "malformed event"}
 	}
 	if body.Outcome != "" {
 		return "", &body.problemBody
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -62,7 +62,7 @@
 // it would be applied twice.
 func TestLostResponseIsNotRetried(t *testing.T) {
 	p, c := newPlatform(t)
-	p.SetFaults(stand.PlatformFaults{LoseAnswers: 1})
+	p.SetFaults(stand.PlatformFaults{LostReplyShare: 1})
 	_, err := c.Put(timeoutContext(t, 5*time.Second), "things", "a", 0, 1)
 	require.True(t, store.IsResponseLost(err), "%v", err)
 	require.Equal(t, int64(1), p.Counts().Writes)
@@ -208,7 +208,7 @@
 // the two megabytes take over a second to encode and send on a busy machine.
 func TestCallerErrors(t *testing.T) {
 	p, c := newPlatform(t)
-	p.Key = "right"
+	p.APIKey = "right"
 	c.Timeout = time.Minute
 	_, err := c.Get(timeoutContext(t, time.Minute), "things", "a")
 	require.True(t, trace.IsAccessDenied(err), "%v", err)
