--- a/cmd/hibiscuscart/bench.go
+++ b/cmd/hibiscuscart/bench.go
@@ -13,7 +13,7 @@
 
 var benchCommand = command{
 	name: "bench", args: "-list | [-seed N] [-for DURATION] NAME",
-	summary: "run a named experiment; the last line is its figures as JSON",
+	summary: "run a named experiment; the last line of the output is its report as JSON",
 	examples: []string{
 		"bench -list",
 		"bench overhead",
@@ -24,41 +24,41 @@
 }
 
 func runBench(ctx context.Context, fs *flag.FlagSet, args []string) error {
-	o := bench.Options{Out: os.Stdout}
+	opts := bench.Options{Out: os.Stdout}
 	list := fs.Bool("list", false, "print the names of the experiments")
-	fs.Uint64Var(&o.Seed, "seed", 1, "`SEED` of the load and of the faults")
-	fs.DurationVar(&o.For, "for", 0, "`DURATION` of the load; by default the experiment's own")
-	fs.StringVar(&o.Plot, "plot", "", "draw a picture to this `FILE` (.png, .svg or .pdf); worst_ experiments only")
-	// The name may stand before the flags or after them.
+	fs.Uint64Var(&opts.Seed, "seed", 1, "`SEED` of the load and the faults")
+	fs.DurationVar(&opts.For, "for", 0, "`DURATION` of the load; each experiment has its own default")
+	fs.StringVar(&opts.Plot, "plot", "", "write a plot to this `FILE` (.png, .svg or .pdf); worst_ experiments only")
+	// The name may precede or follow the flags.
 	name := ""
 	if len(args) > 0 && !strings.HasPrefix(args[0], "-") {
 		name, args = args[0], args[1:]
 	}
-	if err := parse(fs, args); err != nil {
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
 	if *list {
-		for _, e := range bench.List() {
-			fmt.Println(e.Name)
+		for _, experiment := range bench.List() {
+			fmt.Println(experiment.Name)
 		}
 		return nil
 	}
 	if name == "" && fs.NArg() == 1 {
 		name = fs.Arg(0)
 	} else if fs.NArg() > 0 {
-		return misuse("unexpected argument %q", fs.Arg(0))
+		return usageErrorf("unexpected argument %q", fs.Arg(0))
 	}
-	e, err := bench.Find(name)
+	experiment, err := bench.Find(name)
 	if err != nil {
-		return misuse("%v; see bench -list", err)
+		return usageErrorf("%v; see bench -list", err)
 	}
-	figures, err := e.Run(ctx, o)
-	if figures != nil {
-		line, encodeErr := json.Marshal(figures)
+	report, err := experiment.Run(ctx, opts)
+	if report != nil {
+		encoded, encodeErr := json.Marshal(report)
 		if encodeErr != nil {
-			return fmt.Errorf("encode figures: %w", encodeErr)
+			return fmt.Errorf("encode report: %w", encodeErr)
 		}
-		fmt.Println(string(line))
+		fmt.Println(string(encoded))
 	}
 	return err
 }
--- a/cmd/hibiscuscart/check.go
+++ b/cmd/hibiscuscart/check.go
@@ -12,25 +12,25 @@
 
 var checkCommand = command{
 	name: "check", args: "FILE",
-	summary:  "check a settings file and name every fault in it",
+	summary:  "validate a settings file and print every violation",
 	examples: []string{"check sample/vidzeme.ini"},
-	run:      check,
+	run:      runCheck,
 }
 
-func check(_ context.Context, fs *flag.FlagSet, args []string) error {
-	if err := parse(fs, args); err != nil {
+func runCheck(_ context.Context, fs *flag.FlagSet, args []string) error {
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
 	if fs.NArg() != 1 {
-		return misuse("one settings file must be named")
+		return usageErrorf("exactly one settings file is required")
 	}
 	_, err := conf.Load(fs.Arg(0))
-	var faults *conf.ValidationError
-	if errors.As(err, &faults) {
-		for _, f := range faults.Violations {
-			fmt.Println(f)
+	var invalid *conf.ValidationError
+	if errors.As(err, &invalid) {
+		for _, violation := range invalid.Violations {
+			fmt.Println(violation)
 		}
-		return fmt.Errorf("%s: %d faults", fs.Arg(0), len(faults.Violations))
+		return fmt.Errorf("%s: %d violations", fs.Arg(0), len(invalid.Violations))
 	}
 	if err != nil {
 		return err
--- a/cmd/hibiscuscart/demo.go
+++ b/cmd/hibiscuscart/demo.go
@@ -15,7 +15,7 @@
 
 var demoCommand = command{
 	name: "demo", args: "[-deployment NAME] [-for DURATION] [-rate N] [-seed N] [-store]",
-	summary: "run a whole deployment with stand-ins in this process, on loopback",
+	summary: "run a whole deployment with simulated servers in this process, on loopback",
 	examples: []string{
 		"demo",
 		"demo -for 10s",
@@ -26,48 +26,48 @@
 }
 
 func runDemo(ctx context.Context, fs *flag.FlagSet, args []string) error {
-	o := demo.RunOptions{Out: os.Stdout}
-	fs.StringVar(&o.Deployment, "deployment", "vadodara", "example deployment `NAME`")
-	fs.DurationVar(&o.For, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
-	fs.Float64Var(&o.Rate, "rate", 400, "requests a second of the load")
-	fs.Uint64Var(&o.Seed, "seed", 1, "`SEED` of the load and of the stand-ins")
-	inStore := fs.Bool("store", false, "run the deployment that keeps everything in the platform's store; with -for it runs after the other in any case")
-	level := fs.String("log", "error", "least `LEVEL` that is logged")
-	if err := parse(fs, args); err != nil {
+	opts := demo.RunOptions{Out: os.Stdout}
+	fs.StringVar(&opts.Deployment, "deployment", "vadodara", "`NAME` of the example deployment")
+	fs.DurationVar(&opts.For, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
+	fs.Float64Var(&opts.Rate, "rate", 400, "requests per second of the load")
+	fs.Uint64Var(&opts.Seed, "seed", 1, "`SEED` of the load and the simulated servers")
+	storeOnly := fs.Bool("store", false, "run only the deployment that keeps all its state in the platform's store; with -for and without this flag, that deployment runs after the example deployment")
+	level := fs.String("log", "error", "minimum `LEVEL` of log entries")
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
-	if err := noArguments(fs); err != nil {
+	if err := rejectArguments(fs); err != nil {
 		return err
 	}
 	l, err := zerolog.ParseLevel(*level)
 	if err != nil {
-		return misuse("-log: %v", err)
+		return usageErrorf("-log: %v", err)
 	}
-	if _, err := sample.Settings(o.Deployment); err != nil {
-		return misuse("-deployment: %v", err)
+	if _, err := sample.Settings(opts.Deployment); err != nil {
+		return usageErrorf("-deployment: %v", err)
 	}
-	o.Log = zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.TimeOnly}).Level(l).With().Timestamp().Logger()
-	broken, err := runDemos(ctx, o, *inStore)
+	opts.Log = zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.TimeOnly}).Level(l).With().Timestamp().Logger()
+	violations, err := runDemos(ctx, opts, *storeOnly)
 	if err != nil {
 		return err
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d promises were broken", broken)
+	if violations > 0 {
+		return fmt.Errorf("%d guarantee violations", violations)
 	}
 	return nil
 }
 
-// runDemos runs the example deployment, the one of the platform's store, or
-// both.
-func runDemos(ctx context.Context, o demo.RunOptions, inStore bool) (int, error) {
-	broken := 0
-	if !inStore {
-		n, err := demo.Run(ctx, o)
-		if err != nil || o.For == 0 {
+// runDemos runs the example deployment, the deployment that uses the platform's
+// store, or both, and returns the number of guarantee violations.
+func runDemos(ctx context.Context, opts demo.RunOptions, storeOnly bool) (int, error) {
+	violations := 0
+	if !storeOnly {
+		n, err := demo.Run(ctx, opts)
+		if err != nil || opts.For == 0 {
 			return n, err
 		}
-		broken = n
+		violations = n
 	}
-	n, err := demo.RunSite(ctx, o)
-	return broken + n, err
+	n, err := demo.RunSite(ctx, opts)
+	return violations + n, err
 }
--- a/cmd/hibiscuscart/explain.go
+++ b/cmd/hibiscuscart/explain.go
@@ -15,7 +15,7 @@
 
 var explainCommand = command{
 	name: "explain", args: "[-request ID | -model NAME] [-plot FILE] [FILE...]",
-	summary: "tell from log lines which requests were lost or late, and why",
+	summary: "report from log lines which requests were lost or late, and why",
 	examples: []string{
 		"explain vm-1.log vm-2.log",
 		"explain -request 8c5b5c03c01a3c3e *.log",
@@ -25,43 +25,43 @@
 }
 
 func runExplain(_ context.Context, fs *flag.FlagSet, args []string) error {
-	request := fs.String("request", "", "show the way of the request with this `ID`")
-	var o trail.Options
-	fs.StringVar(&o.Model, "model", "", "only requests for this model")
-	fs.IntVar(&o.Top, "top", 0, "rows of the tables of causes, models and servers (default 10)")
-	fs.DurationVar(&o.Window, "window", 0, "length of a row of the table by time (default 2s)")
-	picture := fs.String("plot", "", "also draw a picture to this `FILE`, .svg or .png")
+	requestID := fs.String("request", "", "trace the request with this `ID`")
+	var opts trail.Options
+	fs.StringVar(&opts.Model, "model", "", "include only requests for this model")
+	fs.IntVar(&opts.Top, "top", 0, "maximum rows in the tables of causes, models and servers (default 10)")
+	fs.DurationVar(&opts.Window, "window", 0, "time span of each row in the timeline table (default 2s)")
+	plotFile := fs.String("plot", "", "also write a plot to this `FILE`, .svg or .png")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	format, err := pictureFormat(*picture)
+	format, err := plotFormat(*plotFile)
 	switch {
 	case err != nil:
 		return err
-	case o.Top < 0:
-		return misuse("-top must not be negative")
-	case o.Window < 0 || o.Window > 0 && o.Window < time.Millisecond:
-		return misuse("-window must be a millisecond or more")
-	case *request != "" && (o.Model != "" || *picture != ""):
-		return misuse("-request goes with neither -model nor -plot")
+	case opts.Top < 0:
+		return usageErrorf("-top must not be negative")
+	case opts.Window < 0 || opts.Window > 0 && opts.Window < time.Millisecond:
+		return usageErrorf("-window must be at least 1ms")
+	case *requestID != "" && (opts.Model != "" || *plotFile != ""):
+		return usageErrorf("-request cannot be combined with -model or -plot")
 	}
-	log := &trail.Log{Follow: *request}
+	log := &trail.Log{Follow: *requestID}
 	if err := readLogs(log, fs.Args()); err != nil {
 		return err
 	}
-	if *request != "" {
+	if *requestID != "" {
 		return log.Way(os.Stdout)
 	}
-	if err := log.Report(os.Stdout, o); err != nil {
+	if err := log.Report(os.Stdout, opts); err != nil {
 		return err
 	}
-	if *picture == "" {
+	if *plotFile == "" {
 		return nil
 	}
-	return drawPicture(log, *picture, format, o)
+	return writePlot(log, *plotFile, format, opts)
 }
 
-func pictureFormat(path string) (trail.Format, error) {
+func plotFormat(path string) (trail.Format, error) {
 	switch filepath.Ext(path) {
 	case ".png":
 		return trail.PNG, nil
@@ -70,10 +70,10 @@
 			return trail.SVG, nil
 		}
 	}
-	return trail.SVG, misuse("-plot %s: the name must end with .svg or .png", path)
+	return trail.SVG, usageErrorf("-plot %s: the name must end with .svg or .png", path)
 }
 
-// readLogs reads files, standard input where there are none.
+// readLogs reads the files, or standard input if there are none.
 func readLogs(log *trail.Log, paths []string) error {
 	if len(paths) == 0 {
 		return log.Read("standard input", os.Stdin)
@@ -91,11 +91,11 @@
 	return nil
 }
 
-func drawPicture(log *trail.Log, path string, format trail.Format, o trail.Options) (err error) {
+func writePlot(log *trail.Log, path string, format trail.Format, opts trail.Options) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("create picture: %w", err)
+		return fmt.Errorf("create plot: %w", err)
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	return log.Plot(io.Writer(f), format, o)
+	return log.Plot(io.Writer(f), format, opts)
 }
--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -20,7 +20,7 @@
 
 var loadCommand = command{
 	name: "load", args: "-settings FILE -profiles DIRECTORY [-targets ADDRESS,...] [FLAGS]",
-	summary: "send open-loop load to entry VMs and check every answer against the stand-ins",
+	summary: "send open-loop load to entry VMs and check every answer against the simulated servers",
 	examples: []string{
 		"load -settings sample/vadodara.ini -profiles sample/vadodara -for 30s -rate 300",
 		"load -settings sample/vadodara.ini -profiles sample/vadodara -targets 127.0.0.1:8000 -burst 5 -json",
@@ -31,40 +31,40 @@
 // loadFlags are the flags of the load command.
 type loadFlags struct {
 	settings, profiles, targets string
-	length                      time.Duration
+	duration                    time.Duration
 	rate, burst                 float64
 	seed                        uint64
-	asJSON                      bool
+	jsonOutput                  bool
 }
 
 func runLoad(ctx context.Context, fs *flag.FlagSet, args []string) error {
 	var f loadFlags
 	fs.StringVar(&f.settings, "settings", "", "settings `FILE`")
-	fs.StringVar(&f.profiles, "profiles", "", "`DIRECTORY` of the profile documents in force")
-	fs.StringVar(&f.targets, "targets", "", "`ADDRESSES` to send to, separated by commas; by default all VMs of the settings")
-	fs.DurationVar(&f.length, "for", 10*time.Second, "`DURATION` of the load")
-	fs.Float64Var(&f.rate, "rate", 100, "requests a second")
-	fs.Float64Var(&f.burst, "burst", 1, "factor of the rate in the middle third of the load")
-	fs.Uint64Var(&f.seed, "seed", uint64(time.Now().UnixNano()), "`SEED` of the load; two loads of one seed repeat each other's keys")
-	fs.BoolVar(&f.asJSON, "json", false, "print the summary as JSON")
-	if err := parse(fs, args); err != nil {
+	fs.StringVar(&f.profiles, "profiles", "", "`DIRECTORY` of the active profile documents")
+	fs.StringVar(&f.targets, "targets", "", "comma-separated `ADDRESSES` of the target VMs; by default all VMs in the settings")
+	fs.DurationVar(&f.duration, "for", 10*time.Second, "`DURATION` of the load")
+	fs.Float64Var(&f.rate, "rate", 100, "requests per second")
+	fs.Float64Var(&f.burst, "burst", 1, "factor applied to the rate in the middle third of the load")
+	fs.Uint64Var(&f.seed, "seed", uint64(time.Now().UnixNano()), "`SEED` of the load; loads with the same seed send the same idempotency keys")
+	fs.BoolVar(&f.jsonOutput, "json", false, "print the summary as JSON")
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
-	if err := noArguments(fs); err != nil {
+	if err := rejectArguments(fs); err != nil {
 		return err
 	}
 	if f.settings == "" || f.profiles == "" {
-		return misuse("-settings and -profiles must be given")
+		return usageErrorf("-settings and -profiles are required")
 	}
 	settings, err := conf.Load(f.settings)
 	if err != nil {
 		return err
 	}
-	docs, err := readProfiles(f.profiles)
+	profiles, err := readProfiles(f.profiles)
 	if err != nil {
 		return err
 	}
-	return f.send(ctx, settings, docs)
+	return f.sendLoad(ctx, settings, profiles)
 }
 
 func readProfiles(directory string) ([]wire.Profile, error) {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("find profiles: %w", err)
 	}
-	var docs []wire.Profile
+	var profiles []wire.Profile
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
@@ -82,15 +82,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
-		docs = append(docs, doc)
+		profiles = append(profiles, doc)
 	}
-	if len(docs) == 0 {
-		return nil, fmt.Errorf("there is no profile document in %s", directory)
+	if len(profiles) == 0 {
+		return nil, fmt.Errorf("no profile documents found in %s", directory)
 	}
-	return docs, nil
+	return profiles, nil
 }
 
-func (f loadFlags) send(ctx context.Context, settings *conf.Settings, docs []wire.Profile) error {
+func (f loadFlags) sendLoad(ctx context.Context, settings *conf.Settings, profiles []wire.Profile) error {
 	targets := strings.Split(f.targets, ",")
 	if f.targets == "" {
 		targets = nil
@@ -98,9 +98,9 @@
 			targets = append(targets, vm.Listen())
 		}
 	}
-	classes := demo.Mix(settings, docs, f.rate)
+	classes := demo.Mix(settings, profiles, f.rate)
 	for i := range classes {
-		classes[i].Burst, classes[i].BurstFrom, classes[i].BurstTo = f.burst, f.length/3, 2*f.length/3
+		classes[i].Burst, classes[i].BurstFrom, classes[i].BurstTo = f.burst, f.duration/3, 2*f.duration/3
 	}
 	runner := &load.Runner{
 		Classes: classes, Targets: func() []string { return targets },
@@ -108,44 +108,45 @@
 			fmt.Fprintf(os.Stderr, "%3.0fs sent %d answered %d\n", done.Seconds(), sent, answered)
 		},
 	}
-	results := runner.Run(ctx, load.Schedule(f.seed, f.length, classes))
-	summary := load.Summarise(classes, results, standinRuns(settings))
-	if f.asJSON {
+	results := runner.Run(ctx, load.Schedule(f.seed, f.duration, classes))
+	summary := load.Summarise(classes, results, fetchRunCounts(settings))
+	if f.jsonOutput {
 		return json.NewEncoder(os.Stdout).Encode(summary)
 	}
 	if err := summary.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if n := summary.Promises.Broken(); n > 0 {
-		return fmt.Errorf("%d promises were broken", n)
+	if violations := summary.Promises.Broken(); violations > 0 {
+		return fmt.Errorf("%d guarantee violations", violations)
 	}
 	return nil
 }
 
-// standinRuns asks the stand-ins how often each request ran.
-func standinRuns(settings *conf.Settings) map[string]int {
-	all := make(map[string]int)
+// fetchRunCounts returns how often each request ran, as counted by the simulated
+// servers.
+func fetchRunCounts(settings *conf.Settings) map[string]int {
+	counts := make(map[string]int)
 	for _, pool := range settings.Pools() {
-		// The stand-ins of one process share their counts, so that the highest
-		// is the whole; those of several processes would have to be added up.
+		// The simulated servers of one process share their counts, so the highest
+		// count is the total. The counts of several processes would have to be added.
 		for _, server := range pool.Servers(settings.FailureDomains()) {
-			for id, n := range runsOf(server.Address) {
-				all[id] = max(all[id], n)
+			for id, n := range fetchServerRunCounts(server.Address) {
+				counts[id] = max(counts[id], n)
 			}
 		}
 	}
-	return all
+	return counts
 }
 
-func runsOf(address string) map[string]int {
+func fetchServerRunCounts(address string) map[string]int {
 	resp, err := http.Get("http://" + address + "/control/runs")
 	if err != nil {
 		return nil
 	}
 	defer resp.Body.Close()
-	var runs map[string]int
-	if json.NewDecoder(resp.Body).Decode(&runs) != nil {
+	var counts map[string]int
+	if json.NewDecoder(resp.Body).Decode(&counts) != nil {
 		return nil
 	}
-	return runs
+	return counts
 }
--- a/cmd/hibiscuscart/main.go
+++ b/cmd/hibiscuscart/main.go
@@ -1,5 +1,5 @@
-// Command hibiscuscart serves many models on few accelerators: the daemon of an
-// entry VM, the operators' commands and the tools to try them out.
+// Command hibiscuscart serves many models on few accelerators. It has the daemon
+// of an entry VM, the operators' commands, and tools for demos and experiments.
 package main
 
 import (
@@ -16,28 +16,28 @@
 
 // Exit statuses.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// command is one sub-command.
+// command is a subcommand.
 type command struct {
 	name     string
 	args     string
 	summary  string
 	examples []string
-	// run defines its flags on the set, parses args and does the work.
+	// run registers the flags on fs, parses args and executes the command.
 	run func(ctx context.Context, fs *flag.FlagSet, args []string) error
 }
 
-// usageError is a misuse of the command line.
-type usageError struct{ text string }
+// usageError is an error in the command line arguments.
+type usageError struct{ message string }
 
-func (e *usageError) Error() string { return e.text }
+func (e *usageError) Error() string { return e.message }
 
-func misuse(format string, args ...any) error { return &usageError{fmt.Sprintf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return &usageError{fmt.Sprintf(format, args...)} }
 
-// commands is the registry of sub-commands, in the order of the help text.
+// commands lists the subcommands in the order of the help text.
 var commands = []command{
 	serveCommand, nodeCommand, profileCommand, checkCommand, fleetCommand,
 	standinCommand, demoCommand, loadCommand, benchCommand, explainCommand, versionCommand,
@@ -80,15 +80,15 @@
 		printUsage(os.Stderr, c, fs)
 		return 0
 	case errors.As(err, &usage):
-		fmt.Fprintf(os.Stderr, "hibiscuscart %s: %s; see hibiscuscart %s -h\n", c.name, usage.text, c.name)
+		fmt.Fprintf(os.Stderr, "hibiscuscart %s: %s; see hibiscuscart %s -h\n", c.name, usage.message, c.name)
 		return exitUsage
 	}
 	fmt.Fprintf(os.Stderr, "hibiscuscart %s: %v\n", c.name, err)
-	return exitFailed
+	return exitFailure
 }
 
-// parse parses flags; what the flag package finds wrong is a misuse.
-func parse(fs *flag.FlagSet, args []string) error {
+// parseFlags parses the flags and returns parse errors as usage errors.
+func parseFlags(fs *flag.FlagSet, args []string) error {
 	err := fs.Parse(args)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return err
@@ -96,10 +96,10 @@
 	return &usageError{err.Error()}
 }
 
-// noArguments refuses what is left after the flags.
-func noArguments(fs *flag.FlagSet) error {
+// rejectArguments returns a usage error if arguments follow the flags.
+func rejectArguments(fs *flag.FlagSet) error {
 	if fs.NArg() > 0 {
-		return misuse("unexpected argument %q", fs.Arg(0))
+		return usageErrorf("unexpected argument %q", fs.Arg(0))
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 	for _, c := range commands {
 		fmt.Fprintf(out, "  %-9s %s\n", c.name, c.summary)
 	}
-	fmt.Fprintln(out, "\nhibiscuscart COMMAND -h explains a command.")
+	fmt.Fprintln(out, "\nRun hibiscuscart COMMAND -h for help on a command.")
 }
 
 func printUsage(out io.Writer, c command, fs *flag.FlagSet) {
--- a/cmd/hibiscuscart/node.go
+++ b/cmd/hibiscuscart/node.go
@@ -23,71 +23,72 @@
 
 var nodeCommand = command{
 	name: "node", args: "-settings FILE",
-	summary:  "run the daemon of a VM that finds the rest of its deployment in the platform's store",
+	summary:  "run the daemon of a VM that reads its deployment's configuration from the platform's store",
 	examples: []string{"node -settings node.ini"},
 	run:      runNode,
 }
 
 func runNode(ctx context.Context, fs *flag.FlagSet, args []string) error {
 	file := fs.String("settings", "", "settings `FILE`")
-	if err := parse(fs, args); err != nil {
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
 	if *file == "" {
-		return misuse("-settings must be given")
+		return usageErrorf("-settings is required")
 	}
-	if err := noArguments(fs); err != nil {
+	if err := rejectArguments(fs); err != nil {
 		return err
 	}
 	settings, err := conf.LoadNode(*file)
 	if err != nil {
 		return err
 	}
-	// From here on, a SIGHUP that comes while the VM starts does not end it.
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	defer signal.Stop(hangup)
+	// SIGHUP is handled before the start, so that it does not terminate a
+	// starting process.
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
 	flush, err := setUpTraces(ctx, settings, settings.Text("vm", "name"))
 	if err != nil {
 		return err
 	}
-	out := node.NewLogWriter(os.Stdout)
-	n := node.New(nodeConfig(settings, out))
+	logWriter := node.NewLogWriter(os.Stdout)
+	n := node.New(nodeConfig(settings, logWriter))
 	if err := n.Start(context.WithoutCancel(ctx)); err != nil {
-		return errors.Join(fmt.Errorf("start: %w", err), out.Close())
+		return errors.Join(fmt.Errorf("start: %w", err), logWriter.Close())
 	}
-	watchSettings(ctx, *file, hangup, n)
-	err = errors.Join(n.Stop(), out.Close())
-	flushing, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushLimit)
+	watchSettings(ctx, *file, sighup, n)
+	err = errors.Join(n.Stop(), logWriter.Close())
+	flushCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), traceFlushTimeout)
 	defer cancel()
-	return errors.Join(err, flush(flushing))
+	return errors.Join(err, flush(flushCtx))
 }
 
-// flushLimit bounds the sending of spans at the end of the process, whose grace
-// time is over by then.
-const flushLimit = 500 * time.Millisecond
+// traceFlushTimeout bounds the export of the remaining spans at exit, when the
+// grace period is already over.
+const traceFlushTimeout = 500 * time.Millisecond
 
-// settingsEvery is how often the settings file is looked at for a change that
-// no signal told of.
-const settingsEvery = time.Second
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes that were not announced by SIGHUP.
+const settingsPollInterval = time.Second
 
 // watchSettings reloads the settings on SIGHUP or when the file has changed,
-// until ctx ends. Settings that are wrong are logged and the old ones stay.
-func watchSettings(ctx context.Context, file string, hangup <-chan os.Signal, n *node.Node) {
-	ticker := time.NewTicker(settingsEvery)
+// until ctx ends. Invalid settings are logged, and the previous ones stay active.
+func watchSettings(ctx context.Context, file string, sighup <-chan os.Signal, n *node.Node) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last := modified(file)
+	lastModTime := modTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
+		case <-sighup:
 		case <-ticker.C:
-			if m := modified(file); m.Equal(last) {
+			if m := modTime(file); m.Equal(lastModTime) {
 				continue
 			}
 		}
-		last = modified(file)
+		lastModTime = modTime(file)
 		settings, err := conf.LoadNode(file)
 		if err != nil {
 			n.ReloadFailed(err)
@@ -97,9 +98,9 @@
 	}
 }
 
-// modified returns when the file was changed last; the zero time when it can
-// not be looked at, as while it is being replaced.
-func modified(file string) time.Time {
+// modTime returns the modification time of the file. It returns the zero time if
+// the file is not accessible, for example while it is being replaced.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -107,38 +108,39 @@
 	return info.ModTime()
 }
 
-func nodeConfig(settings *conf.Settings, out *node.LogWriter) node.Config {
+func nodeConfig(settings *conf.Settings, logWriter *node.LogWriter) node.Config {
 	level, err := zerolog.ParseLevel(settings.Text("log", "level"))
 	if err != nil {
 		level = zerolog.InfoLevel
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	store, servers := plainClient(), plainClient()
+	storeClient, serverClient := newHTTPClient(), newHTTPClient()
 	return node.Config{
 		Settings: settings, Names: &platform.Names,
-		Objects:    platform.Store(store, settings.Text("store", "address")),
-		Commands:   platform.Commands(servers),
+		Objects:    platform.Store(storeClient, settings.Text("store", "address")),
+		Commands:   platform.Commands(serverClient),
 		ConfigKind: platform.KindConfig, ConfigName: platform.NameConfig, ServerKind: platform.KindServers,
 		Table: platform.Table, Entry: platform.Entry,
-		CloseIdle: store.CloseIdleConnections, Dropped: out.Dropped,
-		Now: clock.Now, Log: zerolog.New(out).Level(level).With().Timestamp().Logger(),
+		CloseIdle: storeClient.CloseIdleConnections, Dropped: logWriter.Dropped,
+		Now: clock.Now, Log: zerolog.New(logWriter).Level(level).With().Timestamp().Logger(),
 	}
 }
 
 const (
-	clientDial = time.Second
-	// clientIdle closes idle connections to servers before the servers do.
-	clientIdle = 3 * time.Second
+	clientDialTimeout = time.Second
+	// clientIdleTimeout closes idle connections to servers before the servers close
+	// them.
+	clientIdleTimeout = 3 * time.Second
 )
 
-// plainClient returns a client whose connections notice a dead peer.
-func plainClient() *http.Client {
+// newHTTPClient returns a client whose connections detect a dead peer.
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, clientDial)
+			ctx, cancel := context.WithTimeout(ctx, clientDialTimeout)
 			defer cancel()
 			return conns.Dial(ctx, address)
 		},
-		DisableCompression: true, IdleConnTimeout: clientIdle, MaxIdleConnsPerHost: 4,
+		DisableCompression: true, IdleConnTimeout: clientIdleTimeout, MaxIdleConnsPerHost: 4,
 	}}
 }
--- a/cmd/hibiscuscart/operate.go
+++ b/cmd/hibiscuscart/operate.go
@@ -21,7 +21,7 @@
 
 var profileCommand = command{
 	name: "profile", args: "apply|get|list|retire|status -settings FILE [FLAGS] [ARGUMENTS]",
-	summary: "create, change, retire and follow profiles",
+	summary: "create, change, inspect and retire profiles",
 	examples: []string{
 		"profile apply -settings sample/vadodara.ini sample/vadodara/label-issue.json",
 		"profile apply -settings sample/vadodara.ini -if-version 12 label-issue.json",
@@ -30,40 +30,40 @@
 		"profile retire -settings sample/vadodara.ini label-issue",
 		"profile status -settings sample/vadodara.ini -wait 10s label-issue",
 	},
-	run: profile,
+	run: runProfile,
 }
 
 var fleetCommand = command{
 	name: "fleet", args: "-settings FILE [-vm NAME]",
-	summary:  "show what a VM sees of the other VMs and of the backend servers",
+	summary:  "show the VMs and backend servers as observed by one VM",
 	examples: []string{"fleet -settings sample/vadodara.ini -vm alkapuri-1"},
-	run:      showFleet,
+	run:      runFleet,
 }
 
 const operatorTimeout = 30 * time.Second
 
-// operation holds the flags that the operators' commands share.
-type operation struct {
-	settings  *conf.Settings
-	tls       *tls.Config
-	file      string
-	vm        string
-	ifVersion int
-	wait      time.Duration
+// operatorCommand holds the flags and settings that the operators' commands share.
+type operatorCommand struct {
+	settings     *conf.Settings
+	tls          *tls.Config
+	settingsFile string
+	vmName       string
+	ifVersion    int
+	wait         time.Duration
 }
 
-func (o *operation) define(fs *flag.FlagSet) {
-	fs.StringVar(&o.file, "settings", "", "settings `FILE`")
-	fs.StringVar(&o.vm, "vm", "", "`NAME` of the VM to ask; by default the first that answers")
-	fs.IntVar(&o.ifVersion, "if-version", -1, "apply only when the profile has this `VERSION`; 0 for a new one")
-	fs.DurationVar(&o.wait, "wait", 0, "for status: wait this long for the newest version to be in force at every live VM")
+func (o *operatorCommand) registerFlags(fs *flag.FlagSet) {
+	fs.StringVar(&o.settingsFile, "settings", "", "settings `FILE`")
+	fs.StringVar(&o.vmName, "vm", "", "`NAME` of the VM to query; by default the first that responds")
+	fs.IntVar(&o.ifVersion, "if-version", -1, "apply only if this `VERSION` of the profile is current; 0 for a new profile")
+	fs.DurationVar(&o.wait, "wait", 0, "for status: how long to wait until the latest version is active on every live VM")
 }
 
-func (o *operation) load() error {
-	if o.file == "" {
-		return misuse("-settings must be given")
+func (o *operatorCommand) loadSettings() error {
+	if o.settingsFile == "" {
+		return usageErrorf("-settings is required")
 	}
-	settings, err := conf.Load(o.file)
+	settings, err := conf.Load(o.settingsFile)
 	if err != nil {
 		return err
 	}
@@ -72,54 +72,54 @@
 	return err
 }
 
-func (o *operation) operator() *profs.Operator {
+func (o *operatorCommand) newOperator() *profs.Operator {
 	c := store.New("http://"+o.settings.Text("platform", "address"), o.settings.Text("platform", "key"), "operator")
 	operator := profs.NewOperator(c)
 	operator.CheckCapacity = profs.CapacityCheck(c.List)
 	return operator
 }
 
-func profile(ctx context.Context, fs *flag.FlagSet, args []string) error {
-	o := &operation{}
-	o.define(fs)
+func runProfile(ctx context.Context, fs *flag.FlagSet, args []string) error {
+	o := &operatorCommand{}
+	o.registerFlags(fs)
 	if len(args) == 0 {
-		return misuse("one of apply, get, list, retire, status must be named")
+		return usageErrorf("one of apply, get, list, retire, status is required")
 	}
-	verb := args[0]
-	if verb == "-h" || verb == "--help" {
+	action := args[0]
+	if action == "-h" || action == "--help" {
 		return flag.ErrHelp
 	}
-	if err := parse(fs, args[1:]); err != nil {
+	if err := parseFlags(fs, args[1:]); err != nil {
 		return err
 	}
-	verbs := map[string]func(context.Context, []string) error{
+	actions := map[string]func(context.Context, []string) error{
 		"apply": o.apply, "get": o.get, "list": o.list, "retire": o.retire, "status": o.status,
 	}
-	do, ok := verbs[verb]
+	runAction, ok := actions[action]
 	if !ok {
-		return misuse("%q is not one of apply, get, list, retire, status", verb)
+		return usageErrorf("%q is not one of apply, get, list, retire, status", action)
 	}
-	if err := o.load(); err != nil {
+	if err := o.loadSettings(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout+o.wait)
 	defer cancel()
-	return do(ctx, fs.Args())
+	return runAction(ctx, fs.Args())
 }
 
-func one(args []string, what string) (string, error) {
+func singleArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
-		return "", misuse("one %s must be named", what)
+		return "", usageErrorf("exactly one %s is required", what)
 	}
 	return args[0], nil
 }
 
-func (o *operation) apply(ctx context.Context, args []string) error {
+func (o *operatorCommand) apply(ctx context.Context, args []string) error {
 	if len(args) == 0 {
-		return misuse("at least one profile document must be named")
+		return usageErrorf("at least one profile document is required")
 	}
 	if len(args) > 1 && o.ifVersion >= 0 {
-		return misuse("-if-version goes with one document")
+		return usageErrorf("-if-version requires exactly one document")
 	}
 	for _, file := range args {
 		if err := o.applyFile(ctx, file); err != nil {
@@ -129,16 +129,16 @@
 	return nil
 }
 
-func (o *operation) applyFile(ctx context.Context, file string) error {
+func (o *operatorCommand) applyFile(ctx context.Context, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return fmt.Errorf("read document: %w", err)
+		return fmt.Errorf("read profile document: %w", err)
 	}
 	doc, err := profs.Parse(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	version, err := o.operator().Apply(ctx, doc, o.ifVersion)
+	version, err := o.newOperator().Apply(ctx, doc, o.ifVersion)
 	if err != nil {
 		return err
 	}
@@ -146,17 +146,17 @@
 	return nil
 }
 
-func (o *operation) get(ctx context.Context, args []string) error {
-	name, err := one(args, "profile")
+func (o *operatorCommand) get(ctx context.Context, args []string) error {
+	name, err := singleArgument(args, "profile")
 	if err != nil {
 		return err
 	}
-	doc, version, err := o.operator().Lookup(ctx, name)
+	doc, version, err := o.newOperator().Lookup(ctx, name)
 	if err != nil {
 		return err
 	}
 	if version == 0 {
-		return fmt.Errorf("there is no profile %s", name)
+		return fmt.Errorf("profile %s not found", name)
 	}
 	text, err := json.MarshalIndent(doc, "", "  ")
 	if err != nil {
@@ -167,19 +167,19 @@
 	return nil
 }
 
-func (o *operation) list(ctx context.Context, _ []string) error {
-	list, err := o.operator().List(ctx, profs.ObjectKind)
+func (o *operatorCommand) list(ctx context.Context, _ []string) error {
+	list, err := o.newOperator().List(ctx, profs.ObjectKind)
 	if err != nil {
 		return err
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "profile\tversion\tback end\tmodels\tstate")
+	fmt.Fprintln(t, "profile\tversion\tbackend\tmodels\tstate")
 	for _, obj := range list.Items {
 		doc, err := profs.Parse(obj.Value)
-		state := "in force"
+		state := "active"
 		switch {
 		case err != nil:
-			state = "not valid"
+			state = "invalid"
 		case doc.Retired:
 			state = "retired"
 		}
@@ -188,12 +188,12 @@
 	return t.Flush()
 }
 
-func (o *operation) retire(ctx context.Context, args []string) error {
-	name, err := one(args, "profile")
+func (o *operatorCommand) retire(ctx context.Context, args []string) error {
+	name, err := singleArgument(args, "profile")
 	if err != nil {
 		return err
 	}
-	version, err := o.operator().Retire(ctx, name)
+	version, err := o.newOperator().Retire(ctx, name)
 	if err != nil {
 		return err
 	}
@@ -201,32 +201,32 @@
 	return nil
 }
 
-// status shows which version of a profile each VM has in force.
-func (o *operation) status(ctx context.Context, args []string) error {
-	name, err := one(args, "profile")
+// status prints the active version of a profile on each VM.
+func (o *operatorCommand) status(ctx context.Context, args []string) error {
+	name, err := singleArgument(args, "profile")
 	if err != nil {
 		return err
 	}
-	_, newest, err := o.operator().Lookup(ctx, name)
+	_, latest, err := o.newOperator().Lookup(ctx, name)
 	if err != nil {
 		return err
 	}
-	if newest == 0 {
-		return fmt.Errorf("there is no profile %s", name)
+	if latest == 0 {
+		return fmt.Errorf("profile %s not found", name)
 	}
 	deadline := time.Now().Add(o.wait)
 	for {
-		nodes, err := o.versions(ctx, name)
+		nodes, err := o.nodeVersions(ctx, name)
 		if err != nil {
 			return err
 		}
-		missing := countMissing(nodes, newest)
-		if missing == 0 || time.Now().After(deadline) {
-			if err := printVersions(nodes, name, newest); err != nil {
+		outdated := countOutdated(nodes, latest)
+		if outdated == 0 || time.Now().After(deadline) {
+			if err := printVersions(nodes, name, latest); err != nil {
 				return err
 			}
-			if missing > 0 && o.wait > 0 {
-				return fmt.Errorf("version %d of %s is not in force at %d VMs after %v", newest, name, missing, o.wait)
+			if outdated > 0 && o.wait > 0 {
+				return fmt.Errorf("version %d of %s is not active on %d VMs after %v", latest, name, outdated, o.wait)
 			}
 			return nil
 		}
@@ -234,39 +234,40 @@
 	}
 }
 
-// inForce is the version of a profile at one VM.
-type inForce struct {
+// nodeVersion is the active version of a profile on one VM.
+type nodeVersion struct {
 	wire.NodeStatus
 	version int
 }
 
-// versions asks a VM which others there are, and then each of them.
-func (o *operation) versions(ctx context.Context, name string) ([]inForce, error) {
-	reply, err := o.ask(ctx, false)
+// nodeVersions queries one VM for the list of VMs, then each VM for its active
+// version of the profile.
+func (o *operatorCommand) nodeVersions(ctx context.Context, name string) ([]nodeVersion, error) {
+	reply, err := o.queryFleet(ctx, false)
 	if err != nil {
 		return nil, err
 	}
-	nodes := make([]inForce, len(reply.Nodes))
-	var calls sync.WaitGroup
+	nodes := make([]nodeVersion, len(reply.Nodes))
+	var group sync.WaitGroup
 	for i, n := range reply.Nodes {
-		nodes[i] = inForce{NodeStatus: n}
+		nodes[i] = nodeVersion{NodeStatus: n}
 		if n.State == wire.NodeStatusStateUnknown {
 			continue
 		}
-		calls.Go(func() {
-			own, err := askVM(ctx, o.dialer(), n.PeerAddress, false)
+		group.Go(func() {
+			nodeReply, err := queryVM(ctx, o.dialer(), n.PeerAddress, false)
 			if err != nil {
 				nodes[i].State = wire.NodeStatusStateUnknown
 				return
 			}
-			nodes[i].version = versionOf(own, n.Node, name)
+			nodes[i].version = activeVersion(nodeReply, n.Node, name)
 		})
 	}
-	calls.Wait()
+	group.Wait()
 	return nodes, nil
 }
 
-func versionOf(reply *wire.FleetReply, node, name string) int {
+func activeVersion(reply *wire.FleetReply, node, name string) int {
 	for _, n := range reply.Nodes {
 		for _, v := range n.Versions {
 			if n.Node == node && v.Name == profs.ObjectKind+"/"+name {
@@ -277,54 +278,55 @@
 	return 0
 }
 
-// countMissing counts the live VMs without the newest version.
-func countMissing(nodes []inForce, newest int) int {
-	missing := 0
+// countOutdated counts the live VMs on which the latest version is not active.
+func countOutdated(nodes []nodeVersion, latest int) int {
+	outdated := 0
 	for _, n := range nodes {
-		if n.State == wire.NodeStatusStateLive && n.version < newest {
-			missing++
+		if n.State == wire.NodeStatusStateLive && n.version < latest {
+			outdated++
 		}
 	}
-	return missing
+	return outdated
 }
 
-func printVersions(nodes []inForce, name string, newest int) error {
+func printVersions(nodes []nodeVersion, name string, latest int) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "VM\tfailure domain\tstate\tversion of %s (newest %d)\n", name, newest)
+	fmt.Fprintf(t, "VM\tfailure domain\tstate\tversion of %s (latest %d)\n", name, latest)
 	for _, n := range nodes {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", n.Node, n.FailureDomain, n.State, n.version)
 	}
 	return t.Flush()
 }
 
-func (o *operation) dialer() *link.Dialer {
+func (o *operatorCommand) dialer() *link.Dialer {
 	return &link.Dialer{
 		TLS: o.tls, Key: o.settings.Text("peers", "operator_key"),
 		Hello: func() wire.Hello { return wire.Hello{Protocol: link.Protocol, Node: "operator"} },
 	}
 }
 
-// ask asks a VM what it sees.
-func (o *operation) ask(ctx context.Context, servers bool) (*wire.FleetReply, error) {
+// queryFleet returns the state of the fleet as observed by the selected VM, or by
+// the first VM that responds.
+func (o *operatorCommand) queryFleet(ctx context.Context, servers bool) (*wire.FleetReply, error) {
 	dialer := o.dialer()
-	var last error
+	var lastErr error
 	for _, vm := range o.settings.VMs() {
-		if o.vm != "" && vm.Name() != o.vm {
+		if o.vmName != "" && vm.Name() != o.vmName {
 			continue
 		}
-		reply, err := askVM(ctx, dialer, vm.PeerListen(), servers)
+		reply, err := queryVM(ctx, dialer, vm.PeerListen(), servers)
 		if err == nil {
 			return reply, nil
 		}
-		last = fmt.Errorf("ask %s: %w", vm.Name(), err)
+		lastErr = fmt.Errorf("query %s: %w", vm.Name(), err)
 	}
-	if last == nil {
-		return nil, fmt.Errorf("the settings have no VM %q", o.vm)
+	if lastErr == nil {
+		return nil, fmt.Errorf("no VM %q in the settings", o.vmName)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-func askVM(ctx context.Context, dialer *link.Dialer, address string, servers bool) (*wire.FleetReply, error) {
+func queryVM(ctx context.Context, dialer *link.Dialer, address string, servers bool) (*wire.FleetReply, error) {
 	conn, err := dialer.Dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -344,26 +346,26 @@
 	}
 }
 
-func showFleet(ctx context.Context, fs *flag.FlagSet, args []string) error {
-	o := &operation{}
-	fs.StringVar(&o.file, "settings", "", "settings `FILE`")
-	fs.StringVar(&o.vm, "vm", "", "`NAME` of the VM to ask; by default the first that answers")
-	if err := parse(fs, args); err != nil {
+func runFleet(ctx context.Context, fs *flag.FlagSet, args []string) error {
+	o := &operatorCommand{}
+	fs.StringVar(&o.settingsFile, "settings", "", "settings `FILE`")
+	fs.StringVar(&o.vmName, "vm", "", "`NAME` of the VM to query; by default the first that responds")
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
-	if err := noArguments(fs); err != nil {
+	if err := rejectArguments(fs); err != nil {
 		return err
 	}
-	if err := o.load(); err != nil {
+	if err := o.loadSettings(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	reply, err := o.ask(ctx, true)
+	reply, err := o.queryFleet(ctx, true)
 	if err != nil {
 		return err
 	}
-	fmt.Println("as seen by", reply.Node)
+	fmt.Println("as observed by", reply.Node)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "VM\tfailure domain\tstate\taddress")
 	for _, n := range reply.Nodes {
--- a/cmd/hibiscuscart/serve.go
+++ b/cmd/hibiscuscart/serve.go
@@ -17,28 +17,28 @@
 
 var serveCommand = command{
 	name: "serve", args: "-settings FILE -vm NAME",
-	summary:  "run the daemon of an entry VM until SIGTERM, then stop in peace",
+	summary:  "run the daemon of an entry VM until SIGTERM, then shut down gracefully",
 	examples: []string{"serve -settings sample/vadodara.ini -vm alkapuri-1"},
-	run:      serve,
+	run:      runServe,
 }
 
-func serve(ctx context.Context, fs *flag.FlagSet, args []string) error {
-	file := fs.String("settings", "", "settings `FILE`")
-	name := fs.String("vm", "", "`NAME` of this VM in the settings")
-	if err := parse(fs, args); err != nil {
+func runServe(ctx context.Context, fs *flag.FlagSet, args []string) error {
+	settingsFile := fs.String("settings", "", "settings `FILE`")
+	vmName := fs.String("vm", "", "`NAME` of this VM in the settings")
+	if err := parseFlags(fs, args); err != nil {
 		return err
 	}
-	if *file == "" || *name == "" {
-		return misuse("-settings and -vm must be given")
+	if *settingsFile == "" || *vmName == "" {
+		return usageErrorf("-settings and -vm are required")
 	}
-	if err := noArguments(fs); err != nil {
+	if err := rejectArguments(fs); err != nil {
 		return err
 	}
-	settings, err := conf.Load(*file)
+	settings, err := conf.Load(*settingsFile)
 	if err != nil {
 		return err
 	}
-	vm, err := settings.VM(*name)
+	vm, err := settings.VM(*vmName)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 }
 
 func serveVM(ctx context.Context, settings *conf.Settings, vm conf.VM) error {
-	log := newLog(settings)
+	log := newLogger(settings)
 	flush, err := setUpTraces(ctx, settings, vm.Name())
 	if err != nil {
 		return err
@@ -55,22 +55,22 @@
 	if err != nil {
 		return fmt.Errorf("configure: %w", err)
 	}
-	d := entry.New(config)
-	// The daemon's jobs outlive the signal: they go on while requests drain.
-	if err := d.Start(context.WithoutCancel(ctx)); err != nil {
+	daemon := entry.New(config)
+	// The daemon's background jobs continue after the signal, while requests drain.
+	if err := daemon.Start(context.WithoutCancel(ctx)); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	<-ctx.Done()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), config.DrainTimeout)
 	defer cancel()
-	if err := d.Stop(ctx); err != nil {
+	if err := daemon.Stop(ctx); err != nil {
 		return fmt.Errorf("stop: %w", err)
 	}
 	return flush(ctx)
 }
 
-// setUpTraces installs the tracer that the settings describe, and returns what
-// sends the spans that are left.
+// setUpTraces installs the tracer configured in the settings and returns the
+// function that flushes the remaining spans.
 func setUpTraces(ctx context.Context, settings *conf.Settings, vm string) (func(context.Context) error, error) {
 	flush, err := spans.Setup(ctx, spans.Config{
 		Exporter: settings.Text("traces", "exporter"), Endpoint: settings.Text("traces", "endpoint"),
@@ -82,8 +82,9 @@
 	return flush, nil
 }
 
-// newLog returns the log that the settings describe, on standard error.
-func newLog(s *conf.Settings) zerolog.Logger {
+// newLogger returns the logger configured in the settings. It writes to standard
+// error.
+func newLogger(s *conf.Settings) zerolog.Logger {
 	level, err := zerolog.ParseLevel(s.Text("log", "level"))
 	if err != nil {
 		level = zerolog.InfoLevel
--- a/cmd/hibiscuscart/standin.go
+++ b/cmd/hibiscuscart/standin.go
@@ -20,47 +20,47 @@
 
 var standinCommand = command{
 	name: "standin", args: "platform|engine|service -settings FILE [-server NAME]",
-	summary: "run a small stand-in of an outside system, for trying things out",
+	summary: "simulate the platform, engines or services, for development and tests",
 	examples: []string{
 		"standin platform -settings sample/vadodara.ini",
 		"standin engine -settings sample/vadodara.ini -server label-llm-1",
 		"standin service -settings sample/vadodara.ini -server label-desk-1",
 	},
-	run: standin,
+	run: runStandin,
 }
 
-func standin(ctx context.Context, fs *flag.FlagSet, args []string) error {
+func runStandin(ctx context.Context, fs *flag.FlagSet, args []string) error {
 	file := fs.String("settings", "", "settings `FILE`")
-	server := fs.String("server", "", "`NAME` of the backend server to stand in for; all of the kind by default")
-	seed := fs.Uint64("seed", 1, "`SEED` of the faults that strike at random")
+	server := fs.String("server", "", "`NAME` of the backend server to simulate; by default all of the kind")
+	seed := fs.Uint64("seed", 1, "`SEED` of the random faults")
 	if len(args) == 0 {
-		return misuse("one of platform, engine, service must be named")
+		return usageErrorf("one of platform, engine, service is required")
 	}
 	kind := args[0]
 	if kind == "-h" || kind == "--help" {
 		return flag.ErrHelp
 	}
-	if err := parse(fs, args[1:]); err != nil {
+	if err := parseFlags(fs, args[1:]); err != nil {
 		return err
 	}
 	if *file == "" {
-		return misuse("-settings must be given")
+		return usageErrorf("-settings is required")
 	}
 	settings, err := conf.Load(*file)
 	if err != nil {
 		return err
 	}
-	chance := seededChance(*seed)
+	random := seededRandom(*seed)
 	switch kind {
 	case "platform":
-		return standinPlatform(ctx, settings, chance)
+		return servePlatform(ctx, settings, random)
 	case "engine", "service":
-		return standinServers(ctx, settings, kind == "service", *server, chance)
+		return serveBackendServers(ctx, settings, kind == "service", *server, random)
 	}
-	return misuse("%q is not one of platform, engine, service", kind)
+	return usageErrorf("%q is not one of platform, engine, service", kind)
 }
 
-func seededChance(seed uint64) func() float64 {
+func seededRandom(seed uint64) func() float64 {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func() float64 {
@@ -70,12 +70,12 @@
 	}
 }
 
-// standinPlatform serves the object API, with the deployment's servers and VMs
-// entered, and the weight store.
-func standinPlatform(ctx context.Context, s *conf.Settings, chance func() float64) error {
+// servePlatform serves the weight store and the object API, with the deployment's
+// servers and VMs registered.
+func servePlatform(ctx context.Context, s *conf.Settings, random func() float64) error {
 	p := &stand.Platform{
 		WritesPerSecond: s.Float("platform", "writes_per_second"), ReadsPerSecond: s.Float("platform", "reads_per_second"),
-		Key: s.Text("platform", "key"), Chance: chance,
+		Key: s.Text("platform", "key"), Chance: random,
 	}
 	p.SetFaults(stand.PlatformFaults{ListLagMs: int(s.Duration("platform", "list_lag").Milliseconds())})
 	for _, pool := range s.Pools() {
@@ -93,11 +93,11 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Handler())
 	mux.Handle("POST /weights", demo.NewWeights(s).Handler())
-	return listen(ctx, map[string]http.Handler{s.Text("platform", "address"): mux})
+	return listenAndServe(ctx, map[string]http.Handler{s.Text("platform", "address"): mux})
 }
 
-// standinServers serves the engines or services of the settings.
-func standinServers(ctx context.Context, s *conf.Settings, service bool, only string, chance func() float64) error {
+// serveBackendServers serves the simulated engines or services in the settings.
+func serveBackendServers(ctx context.Context, s *conf.Settings, service bool, serverName string, random func() float64) error {
 	handlers := make(map[string]http.Handler)
 	runs := &stand.Runs{}
 	weights := stand.WeightsClient("http://" + s.Text("platform", "address"))
@@ -106,42 +106,42 @@
 			continue
 		}
 		for _, doc := range pool.Servers(s.FailureDomains()) {
-			if only != "" && doc.Name != only {
+			if serverName != "" && doc.Name != serverName {
 				continue
 			}
-			handlers[doc.Address] = newStandin(pool, doc, weights, runs, chance)
+			handlers[doc.Address] = newStandin(pool, doc, weights, runs, random)
 		}
 	}
 	if len(handlers) == 0 {
-		return misuse("the settings have no such server %q", only)
+		return usageErrorf("no matching server %q in the settings", serverName)
 	}
-	return listen(ctx, handlers)
+	return listenAndServe(ctx, handlers)
 }
 
-func newStandin(pool conf.Pool, doc wire.Server, fetch func(context.Context, wire.Order) error, runs *stand.Runs, chance func() float64) http.Handler {
+func newStandin(pool conf.Pool, doc wire.Server, fetch func(context.Context, wire.Order) error, runs *stand.Runs, random func() float64) http.Handler {
 	if pool.IsService() {
-		s := &stand.Service{Name: doc.Name, Runs: runs, Chance: chance}
+		s := &stand.Service{Name: doc.Name, Runs: runs, Chance: random}
 		return s.Handler()
 	}
 	e := demo.NewEngine(pool, doc.Name)
-	e.Fetch, e.Runs, e.Chance = fetch, runs, chance
+	e.Fetch, e.Runs, e.Chance = fetch, runs, random
 	return e.Handler()
 }
 
-// listen serves each address until ctx ends.
-func listen(ctx context.Context, handlers map[string]http.Handler) error {
-	failed := make(chan error, len(handlers))
+// listenAndServe serves each address until ctx ends.
+func listenAndServe(ctx context.Context, handlers map[string]http.Handler) error {
+	errs := make(chan error, len(handlers))
 	var servers []*http.Server
 	for address, h := range handlers {
 		s := &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: 10 * time.Second}
 		servers = append(servers, s)
-		go func() { failed <- s.ListenAndServe() }()
+		go func() { errs <- s.ListenAndServe() }()
 		fmt.Fprintln(os.Stderr, "listening on", address)
 	}
 	var err error
 	select {
 	case <-ctx.Done():
-	case err = <-failed:
+	case err = <-errs:
 	}
 	for _, s := range servers {
 		_ = s.Close()
--- a/cmd/hibiscuscart/version.go
+++ b/cmd/hibiscuscart/version.go
@@ -13,10 +13,10 @@
 	summary:  "print the version of this build",
 	examples: []string{"version"},
 	run: func(_ context.Context, fs *flag.FlagSet, args []string) error {
-		if err := parse(fs, args); err != nil {
+		if err := parseFlags(fs, args); err != nil {
 			return err
 		}
-		if err := noArguments(fs); err != nil {
+		if err := rejectArguments(fs); err != nil {
 			return err
 		}
 		fmt.Println("hibiscuscart", buildVersion(), runtime.Version())
@@ -24,8 +24,8 @@
 	},
 }
 
-// buildVersion returns the module's version, with the commit when the build
-// knows it.
+// buildVersion returns the module's version, with the commit if the build
+// information contains it.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
