--- a/bench/availability.go
+++ b/bench/availability.go
@@ -13,30 +13,31 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-type partsFigures struct {
+type availabilityReport struct {
 	Common
-	Attainment     float64 `json:"attainment"`
-	OnceAttainment float64 `json:"once_attainment"`
-	NotRun         int     `json:"not_run"`
-	Unknown        int     `json:"unknown"`
-	ReplacedVMs    int     `json:"replaced_vms"`
-	ReadyMs        float64 `json:"fresh_vm_ready_ms"`
-	ConvergeMs     float64 `json:"converged_after_ms"`
+	Attainment       float64 `json:"attainment"`
+	OnceAttainment   float64 `json:"once_attainment"`
+	NotRun           int     `json:"not_run"`
+	Unknown          int     `json:"unknown"`
+	ReplacedVMs      int     `json:"replaced_vms"`
+	FreshVMReadyMs   float64 `json:"fresh_vm_ready_ms"`
+	ConvergedAfterMs float64 `json:"converged_after_ms"`
 }
 
-// partsTrial is a deployment of three domains with both kinds of request.
-func partsTrial(length time.Duration) trial {
+// newAvailabilityTrial returns a trial with three failure domains and requests to
+// both engines and services.
+func newAvailabilityTrial(duration time.Duration) trial {
 	draft, desk := engineProfile("draft", 2, 3), serviceProfile("desk", 1)
 	return trial{
-		shape: shape{
-			domains: 3, vmsPerDomain: 2, engines: 6, services: 3, slots: 32, first: 10 * time.Millisecond, between: 3 * time.Millisecond,
+		spec: deploymentSpec{
+			domains: 3, vmsPerDomain: 2, engines: 6, services: 3, slots: 32, firstToken: 10 * time.Millisecond, betweenTokens: 3 * time.Millisecond,
 		},
 		profiles: []wire.Profile{draft, desk},
 		classes: []load.Class{
 			{Name: "draft", Profile: draft, Rate: 80, MaxTokens: 30},
 			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, Repeat: 0.1},
 		},
-		length: length,
+		duration: duration,
 		setUp: func(w *demo.World) {
 			for _, doc := range w.Servers() {
 				if e := w.Engine(doc.Name); e != nil {
@@ -49,121 +50,122 @@
 	}
 }
 
-func (t trial) parts(ctx context.Context, o Options, name string, f *partsFigures) error {
-	out, err := t.run(ctx, o, false)
+func (t trial) runAvailability(ctx context.Context, o Options, name string, report *availabilityReport) error {
+	result, err := t.run(ctx, o, false)
 	if err != nil {
 		return err
 	}
-	f.Common = t.common(name, o, out)
-	f.Attainment, f.OnceAttainment = out.summary.Total.Attained, out.summary.Classes[1].Attained
-	f.NotRun, f.Unknown = out.summary.Total.NotRun, out.summary.Total.Unknown
+	report.Common = t.commonReport(name, o, result)
+	report.Attainment, report.OnceAttainment = result.summary.Total.Attained, result.summary.Classes[1].Attained
+	report.NotRun, report.Unknown = result.summary.Total.NotRun, result.summary.Total.Unknown
 	return nil
 }
 
-// watchVersions samples the version of a profile at every VM. The returned
-// function ends it and tells how often a version fell.
-func watchVersions(w *demo.World, profile string) func() int {
-	seen := make(map[*entry.Daemon]int)
-	return sum(10*time.Millisecond, func() int {
-		fell := 0
+// countVersionDecreases samples the version of a profile on every VM. The returned
+// function stops sampling and returns how often a version decreased.
+func countVersionDecreases(w *demo.World, profile string) func() int {
+	lastVersions := make(map[*entry.Daemon]int)
+	return sampleSum(10*time.Millisecond, func() int {
+		decreases := 0
 		for _, d := range w.VMs() {
 			v := d.ProfileVersion(profile)
-			if v < seen[d] {
-				fell++
+			if v < lastVersions[d] {
+				decreases++
 			}
-			seen[d] = v
+			lastVersions[d] = v
 		}
-		return fell
+		return decreases
 	})
 }
 
-// outage: the platform is away for most of the run; a VM is replaced meanwhile
-// by a fresh one, which has only its peers to learn from.
+// outage makes the platform unavailable for most of the run. A VM is replaced in
+// the meantime by a fresh one, which can get its configuration only from its peers.
 func outage(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(16 * time.Second)
-	t := partsTrial(length)
-	var f partsFigures
-	var ready time.Duration
-	var failed error
-	t.faults = func(ctx context.Context, w *demo.World) int {
-		pause.For(ctx, length/8)
+	duration := o.duration(16 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var readyAfter time.Duration
+	var failure error
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+		pause.For(ctx, duration/8)
 		w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
-		pause.For(ctx, length/4)
-		ready, failed = replaceVM(ctx, w, "domain-1-1")
-		pause.For(ctx, length/4)
+		pause.For(ctx, duration/4)
+		readyAfter, failure = replaceVM(ctx, w, "domain-1-1")
+		pause.For(ctx, duration/4)
 		w.Platform.SetFaults(stand.PlatformFaults{})
 		return 2
 	}
-	if err := t.parts(ctx, o, "outage", &f); err != nil {
+	if err := t.runAvailability(ctx, o, "outage", &report); err != nil {
 		return nil, err
 	}
-	if failed != nil {
-		return nil, failed
+	if failure != nil {
+		return nil, failure
 	}
-	f.ReplacedVMs, f.ReadyMs = 1, float64(ready.Milliseconds())
-	return f, f.broken()
+	report.ReplacedVMs, report.FreshVMReadyMs = 1, float64(readyAfter.Milliseconds())
+	return report, report.violationError()
 }
 
-// replaceVM stops a VM in peace and starts a fresh one under its name; it
-// returns the time until that is ready.
+// replaceVM stops a VM gracefully and starts a fresh one with the same name. It
+// returns the time until the new VM is ready.
 func replaceVM(ctx context.Context, w *demo.World, name string) (time.Duration, error) {
 	stop, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := w.StopVM(stop, name); err != nil {
 		return 0, fmt.Errorf("stop %s: %w", name, err)
 	}
-	began := time.Now()
+	start := time.Now()
 	d, err := w.RestartVM(ctx, name)
 	if err != nil {
 		return 0, err
 	}
-	if !await(ctx, d.Ready) {
-		return 0, fmt.Errorf("%s did not get ready", name)
+	if !waitUntil(ctx, d.Ready) {
+		return 0, fmt.Errorf("%s did not become ready", name)
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
-// rolling: all VMs are replaced one after the other under load.
+// rolling replaces all VMs one after the other under load.
 func rolling(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(24 * time.Second)
-	t := partsTrial(length)
-	var f partsFigures
-	var worst time.Duration
-	var failed error
+	duration := o.duration(24 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var worstReady time.Duration
+	var failure error
 	names := []string{"domain-1-1", "domain-2-1", "domain-3-1", "domain-1-2", "domain-2-2", "domain-3-2"}
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
 		for _, name := range names {
-			pause.For(ctx, length/16)
+			pause.For(ctx, duration/16)
 			ready, err := replaceVM(ctx, w, name)
 			if err != nil {
-				failed = err
+				failure = err
 				return 0
 			}
-			worst = max(worst, ready)
+			worstReady = max(worstReady, ready)
 		}
 		return len(names)
 	}
-	if err := t.parts(ctx, o, "rolling", &f); err != nil {
+	if err := t.runAvailability(ctx, o, "rolling", &report); err != nil {
 		return nil, err
 	}
-	if failed != nil {
-		return nil, failed
+	if failure != nil {
+		return nil, failure
 	}
-	f.ReplacedVMs, f.ReadyMs = len(names), float64(worst.Milliseconds())
-	return f, f.broken()
+	report.ReplacedVMs, report.FreshVMReadyMs = len(names), float64(worstReady.Milliseconds())
+	return report, report.violationError()
 }
 
-// partition: a failure domain is cut off from the others and from the platform,
-// first one way and then both, while a profile changes; then the links heal.
+// partition disconnects a failure domain from the others and from the platform,
+// first one way and then both, while a profile changes. Then it reconnects the
+// links.
 func partition(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(24 * time.Second)
-	t := partsTrial(length)
-	var f partsFigures
-	var converged time.Duration
-	var failed error
+	duration := o.duration(24 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var convergedAfter time.Duration
+	var failure error
 	reverts := 0
-	t.faults = func(ctx context.Context, w *demo.World) int {
-		stop := watchVersions(w, "draft")
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+		stop := countVersionDecreases(w, "draft")
 		defer func() { reverts = stop() }()
 		inside, outside := w.Split("domain-3")
 		cut := func(on, both bool) {
@@ -174,30 +176,30 @@
 				}
 			}
 		}
-		pause.For(ctx, length/8)
+		pause.For(ctx, duration/8)
 		cut(true, false)
-		pause.For(ctx, length/8)
+		pause.For(ctx, duration/8)
 		cut(true, true)
 		doc := t.profiles[0]
 		doc.Priority = 7
-		failed = w.ApplyProfile(doc)
-		pause.For(ctx, length/4)
+		failure = w.ApplyProfile(doc)
+		pause.For(ctx, duration/4)
 		cut(false, false)
 		obj, _ := w.Platform.Get("profiles", "draft")
-		began := time.Now()
-		if !await(ctx, func() bool { return inForce(w, "draft", obj.Version) == len(w.VMs()) }) {
-			failed = fmt.Errorf("the change is not in force everywhere after the partition")
+		start := time.Now()
+		if !waitUntil(ctx, func() bool { return countActive(w, "draft", obj.Version) == len(w.VMs()) }) {
+			failure = fmt.Errorf("the profile change is not active on all VMs after the partition")
 		}
-		converged = time.Since(began)
+		convergedAfter = time.Since(start)
 		return 2 * len(inside) * len(outside)
 	}
-	if err := t.parts(ctx, o, "partition", &f); err != nil {
+	if err := t.runAvailability(ctx, o, "partition", &report); err != nil {
 		return nil, err
 	}
-	if failed != nil {
-		return nil, failed
+	if failure != nil {
+		return nil, failure
 	}
-	f.ConfigReverts = reverts
-	f.ConvergeMs = float64(converged.Milliseconds())
-	return f, f.broken()
+	report.ConfigReverts = reverts
+	report.ConvergedAfterMs = float64(convergedAfter.Milliseconds())
+	return report, report.violationError()
 }
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench has the named experiments: each runs a deployment of stand-ins
-// and entry VMs under a load with faults, beside a baseline, and returns its
-// figures.
+// Package bench contains the named experiments. Each one runs a deployment of
+// entry VMs and simulated servers under load with injected faults, compares it
+// with a baseline, and returns a report.
 package bench
 
 import (
@@ -14,87 +14,87 @@
 	"github.com/hibiscuscart/hibiscuscart/load"
 )
 
-// Options say how to run an experiment.
+// Options configure an experiment.
 type Options struct {
 	Seed uint64
-	// For is the length of the load; 0 takes the experiment's own.
+	// For is the duration of the load; 0 selects the experiment's default.
 	For time.Duration
-	// Out takes progress and tables.
+	// Out receives progress and tables.
 	Out io.Writer
-	// Plot is the file of a picture, "" for none. Only the experiments that are replays
-	// draw one.
+	// Plot is the path of the plot file, or "" for none. Only the replay experiments
+	// write one.
 	Plot string
 }
 
-// length returns the wanted length of the load.
-func (o Options) length(fallback time.Duration) time.Duration {
+// duration returns the duration of the load.
+func (o Options) duration(defaultDuration time.Duration) time.Duration {
 	if o.For > 0 {
 		return o.For
 	}
-	return fallback
+	return defaultDuration
 }
 
-// Figures are the figures of an experiment, as one JSON object.
+// Figures is the report of an experiment. It is encoded as one JSON object.
 type Figures any
 
-// Common are the figures that every experiment has.
+// Common contains the fields that every report has.
 type Common struct {
 	Experiment string `json:"experiment"`
 	Seed       uint64 `json:"seed"`
 	load.Promises
-	// FaultsInjected counts what was done to the system; a run without faults
-	// proves nothing.
+	// FaultsInjected counts the injected faults. A run without faults proves
+	// nothing.
 	FaultsInjected int `json:"faults_injected"`
 	Requests       int `json:"requests"`
 }
 
-// Experiment is one named experiment.
+// Experiment is a named experiment.
 type Experiment struct {
 	Name    string
 	Summary string
 	Run     func(ctx context.Context, o Options) (Figures, error)
 }
 
-// experiments is the registry.
+// experiments lists all experiments.
 var experiments = []Experiment{
-	{"overhead", "latency that the path adds to a direct call of an engine", overhead},
-	{"flood", "one caller floods a profile that others share", flood},
-	{"leave", "a backend server and two VMs leave under full load", leave},
-	{"storm", "a third of the servers die under load", storm},
-	{"streams", "connections of streams break, frames are crossed and repeated", streams},
-	{"spread", "changes spread while a domain can not reach the platform", spread},
-	{"partition", "a failure domain is cut off, one way and both, and heals", partition},
-	{"outage", "the platform is away and a VM is replaced meanwhile", outage},
-	{"rolling", "all VMs are replaced under load", rolling},
-	{"control", "what control costs a VM, at growing sizes", control},
-	{"takeover", "controllers and a server with only copies die", takeover},
-	{"late_orders", "orders are lost, late and doubled while demand moves", lateOrders},
-	{"shift", "all demand moves from some models to others at once", shift},
-	{"vadodara", "the Utility's models under bursts, against static placement", vadodara},
-	{"vidzeme", "the Cooperative's models under wandering demand, against swapping", vidzeme},
-	{"worst_small", "replay of 9 VMs and 12 servers at their worst load", worst("small")},
-	{"worst_medium", "replay of 71 VMs and 112 servers at their worst load", worst("medium")},
-	{"worst_large", "replay of 195 VMs and 156 servers at their worst load", worst("large")},
-	{"repeat", "claims of idempotency keys, in batches and one write each; repeated keys under store faults", repeat},
+	{"overhead", "latency that the gateway adds to a direct call to an engine", overhead},
+	{"flood", "one caller floods a profile that other callers share", flood},
+	{"leave", "a backend server and two VMs shut down under full load", leave},
+	{"storm", "a third of the servers crash under load", storm},
+	{"streams", "streaming connections break; frames are repeated or mixed with those of other attempts", streams},
+	{"spread", "a configuration change propagates while a failure domain cannot reach the platform", spread},
+	{"partition", "a failure domain is partitioned, first one way and then both, and reconnected", partition},
+	{"outage", "a VM is replaced while the platform is unavailable", outage},
+	{"rolling", "all VMs are replaced in turn under load", rolling},
+	{"control", "control-plane cost per VM at increasing fleet sizes", control},
+	{"takeover", "controllers and a server with the only copies of models crash", takeover},
+	{"late_orders", "orders are lost, late or duplicated while demand shifts", lateOrders},
+	{"shift", "all demand shifts from some models to others at once", shift},
+	{"vadodara", "the models of the vadodara deployment under bursts, against static placement", vadodara},
+	{"vidzeme", "the models of the vidzeme deployment under shifting demand, against swapping", vidzeme},
+	{"worst_small", "replay of 9 VMs and 12 servers at their worst-case load", worst("small")},
+	{"worst_medium", "replay of 71 VMs and 112 servers at their worst-case load", worst("medium")},
+	{"worst_large", "replay of 195 VMs and 156 servers at their worst-case load", worst("large")},
+	{"repeat", "claims of idempotency keys, batched and with one write each; repeated keys under store faults", repeat},
 }
 
-// List returns the experiments.
+// List returns all experiments.
 func List() []Experiment { return experiments }
 
-// Find returns the experiment with a name.
+// Find returns the experiment with the given name.
 func Find(name string) (Experiment, error) {
 	for _, e := range experiments {
 		if e.Name == name {
 			return e, nil
 		}
 	}
-	return Experiment{}, trace.NotFound("there is no experiment %q", name)
+	return Experiment{}, trace.NotFound("no experiment named %q", name)
 }
 
-// broken returns an error when promises were broken.
-func (c Common) broken() error {
+// violationError returns an error if guarantees were violated.
+func (c Common) violationError() error {
 	if n := c.Broken(); n > 0 {
-		return fmt.Errorf("%d promises were broken: %+v", n, c.Promises)
+		return fmt.Errorf("%d guarantee violations: %+v", n, c.Promises)
 	}
 	return nil
 }
--- a/bench/control.go
+++ b/bench/control.go
@@ -15,87 +15,87 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// takeoverFigures tell how fast a group of servers and a model come back.
-type takeoverFigures struct {
+// takeoverReport contains the recovery times of a controller and of models.
+type takeoverReport struct {
 	Common
-	Takeover      float64 `json:"takeover_ms"`
-	TakeoverWorst float64 `json:"takeover_worst_ms"`
-	Reachable     float64 `json:"reachable_again_ms"`
+	TakeoverMeanMs   float64 `json:"takeover_ms"`
+	TakeoverWorstMs  float64 `json:"takeover_worst_ms"`
+	ReachableAgainMs float64 `json:"reachable_again_ms"`
 }
 
 const (
-	takeovers      = 3
-	takeoverLimit  = 20 * time.Second
-	leaseKind      = "leases"
-	takeoverDomain = "domain-1"
+	takeoverCount   = 3
+	takeoverTimeout = 20 * time.Second
+	leaseKind       = "leases"
+	takeoverDomain  = "domain-1"
 )
 
-var errNoTakeover = errors.New("nobody took over in time")
+var errNoTakeover = errors.New("no VM took over the controller lease in time")
 
-// takeover kills the controller of a failure domain again and again, then a
-// server that holds the only copies of models.
+// takeover kills the controller of a failure domain repeatedly, then a server that
+// holds the only copies of models.
 func takeover(ctx context.Context, o Options) (Figures, error) {
-	s := shape{
-		domains: 1, vmsPerDomain: takeovers + 1, engines: 4, slots: 32, first: 10 * time.Millisecond, between: 2 * time.Millisecond,
-		lateness: 2 * time.Second,
+	spec := deploymentSpec{
+		domains: 1, vmsPerDomain: takeoverCount + 1, engines: 4, slots: 32, firstToken: 10 * time.Millisecond, betweenTokens: 2 * time.Millisecond,
+		orderLateness: 2 * time.Second,
 	}
 	profile := engineProfile("label", 8, 3)
 	for i := range profile.Models {
 		profile.Models[i].Bytes = 18 << 30
 	}
-	w, err := s.start(ctx, o, []wire.Profile{profile}, nil)
+	w, err := spec.start(ctx, o, []wire.Profile{profile}, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	f := takeoverFigures{Common: Common{Experiment: "takeover", Seed: o.Seed}}
-	total := 0.0
-	for range takeovers {
-		took, err := killController(ctx, w)
+	report := takeoverReport{Common: Common{Experiment: "takeover", Seed: o.Seed}}
+	totalMs := 0.0
+	for range takeoverCount {
+		tookMs, err := killController(ctx, w)
 		if err != nil {
 			return nil, err
 		}
-		f.FaultsInjected++
-		total += took
-		f.TakeoverWorst = max(f.TakeoverWorst, took)
+		report.FaultsInjected++
+		totalMs += tookMs
+		report.TakeoverWorstMs = max(report.TakeoverWorstMs, tookMs)
 	}
-	f.Takeover = total / takeovers
-	f.Reachable, err = killOnlyCopies(ctx, w)
+	report.TakeoverMeanMs = totalMs / takeoverCount
+	report.ReachableAgainMs, err = killOnlyCopies(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	f.FaultsInjected++
-	f.Overcommits, f.UnreachableModels = w.Overcommits(), len(w.UnreachableModels())
-	return f, f.broken()
+	report.FaultsInjected++
+	report.Overcommits, report.UnreachableModels = w.Overcommits(), len(w.UnreachableModels())
+	return report, report.violationError()
 }
 
-// holder returns the VM that holds the lease of the domain.
-func holder(w *demo.World) string {
+// leaseHolder returns the VM that holds the controller lease of the domain.
+func leaseHolder(w *demo.World) string {
 	obj, _ := w.Platform.Get(leaseKind, "controller-"+takeoverDomain)
-	var r lease.Record
-	_ = json.Unmarshal(obj.Value, &r)
-	return r.Holder
+	var record lease.Record
+	_ = json.Unmarshal(obj.Value, &record)
+	return record.Holder
 }
 
-// killController returns the time from the controller's death until another VM
-// has taken its place, in milliseconds.
+// killController kills the controller and returns the time until another VM holds
+// the lease, in milliseconds.
 func killController(ctx context.Context, w *demo.World) (float64, error) {
-	if !await(ctx, func() bool { return holder(w) != "" }) {
+	if !waitUntil(ctx, func() bool { return leaseHolder(w) != "" }) {
 		return 0, errNoTakeover
 	}
-	dead := holder(w)
-	began := time.Now()
-	w.KillVM(dead)
-	if !await(ctx, func() bool { return holder(w) != dead && holder(w) != "" }) {
+	killed := leaseHolder(w)
+	start := time.Now()
+	w.KillVM(killed)
+	if !waitUntil(ctx, func() bool { return leaseHolder(w) != killed && leaseHolder(w) != "" }) {
 		return 0, errNoTakeover
 	}
-	return float64(time.Since(began)) / float64(time.Millisecond), nil
+	return float64(time.Since(start)) / float64(time.Millisecond), nil
 }
 
-// killOnlyCopies kills the server that holds the most only copies and returns
-// the time until every model has a copy again.
+// killOnlyCopies kills the server that holds the only copies of the most models.
+// It returns the time until every model has a copy again, in milliseconds.
 func killOnlyCopies(ctx context.Context, w *demo.World) (float64, error) {
-	time.Sleep(2 * time.Second) // until the second copies there is room for are loaded
+	time.Sleep(2 * time.Second) // until the second copies that fit in memory are loaded
 	victim, most := "", 0
 	for _, doc := range w.Servers() {
 		if n := w.OnlyCopies(doc.Name); n > most {
@@ -103,18 +103,18 @@
 		}
 	}
 	if victim == "" {
-		return 0, errors.New("no server holds an only copy")
+		return 0, errors.New("no server holds the only copy of a model")
 	}
-	began := time.Now()
+	start := time.Now()
 	w.KillServer(victim)
-	if !await(ctx, func() bool { return len(w.UnreachableModels()) == 0 }) {
-		return 0, fmt.Errorf("%d models stay unreachable", len(w.UnreachableModels()))
+	if !waitUntil(ctx, func() bool { return len(w.UnreachableModels()) == 0 }) {
+		return 0, fmt.Errorf("%d models are still unreachable", len(w.UnreachableModels()))
 	}
-	return float64(time.Since(began)) / float64(time.Millisecond), nil
+	return float64(time.Since(start)) / float64(time.Millisecond), nil
 }
 
-func await(ctx context.Context, done func() bool) bool {
-	deadline := time.Now().Add(takeoverLimit)
+func waitUntil(ctx context.Context, done func() bool) bool {
+	deadline := time.Now().Add(takeoverTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		if done() {
 			return true
@@ -124,17 +124,18 @@
 	return false
 }
 
-type lateOrdersFigures struct {
+type lateOrdersReport struct {
 	Common
 	Moves      int     `json:"moves"`
 	LateOrders int64   `json:"late_orders"`
 	Attainment float64 `json:"attainment"`
 }
 
-// lateOrders: engines that ignore fencing numbers get orders late, twice or not
-// at all while demand moves from model to model and controllers die.
+// lateOrders delivers orders late, twice or not at all to engines that ignore
+// fencing tokens, while demand shifts from model to model and a controller is
+// killed.
 func lateOrders(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(20 * time.Second)
+	duration := o.duration(20 * time.Second)
 	profile := engineProfile("label", 6, 3)
 	profile.AttainmentWeight, profile.ConcurrencyLimit = 0.95, 1000
 	for i := range profile.Models {
@@ -142,37 +143,37 @@
 	}
 	var classes []load.Class
 	for i, m := range profile.Models {
-		step := length / time.Duration(len(profile.Models))
+		step := duration / time.Duration(len(profile.Models))
 		classes = append(classes, load.Class{
-			Name: m.Name, Profile: oneModel(profile, m), Rate: 2, MaxTokens: placeTokens,
+			Name: m.Name, Profile: withOnlyModel(profile, m), Rate: 2, MaxTokens: placementMaxTokens,
 			Burst: 60, BurstFrom: step * time.Duration(i), BurstTo: step * time.Duration(i+1),
 		})
 	}
 	t := trial{
-		shape:    shape{domains: 2, vmsPerDomain: 2, engines: 4, slots: placeSlots, first: placeFirst, between: placeBetween, lateness: 2 * time.Second},
-		profiles: []wire.Profile{profile}, classes: classes, length: length,
+		spec:     deploymentSpec{domains: 2, vmsPerDomain: 2, engines: 4, slots: placementSlots, firstToken: placementFirstToken, betweenTokens: placementBetweenTokens, orderLateness: 2 * time.Second},
+		profiles: []wire.Profile{profile}, classes: classes, duration: duration,
 		setUp: func(w *demo.World) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LoseOrders: 0.2, LateOrders: 0.3, LateOrdersMs: 900})
 			}
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
-			pause.For(ctx, length/2)
-			w.KillVM(holder(w))
+		injectFaults: func(ctx context.Context, w *demo.World) int {
+			pause.For(ctx, duration/2)
+			w.KillVM(leaseHolder(w))
 			return 1
 		},
 	}
-	out, err := t.run(ctx, o, false)
+	result, err := t.run(ctx, o, false)
 	if err != nil {
 		return nil, err
 	}
-	f := lateOrdersFigures{Common: t.common("late_orders", o, out), Moves: out.world.Moves(), Attainment: out.summary.Total.Attained}
-	// What the killed VM was answering is cut off by its death, which is no
-	// broken promise of a shutdown.
-	f.LostAnswers = 0
-	for _, doc := range out.world.Servers() {
-		f.LateOrders += out.world.Engine(doc.Name).Counts().LateOrders
+	report := lateOrdersReport{Common: t.commonReport("late_orders", o, result), Moves: result.world.Moves(), Attainment: result.summary.Total.Attained}
+	// The crash of the killed VM cuts off the answers in progress, which does not
+	// violate the guarantee for a shutdown.
+	report.LostAnswers = 0
+	for _, doc := range result.world.Servers() {
+		report.LateOrders += result.world.Engine(doc.Name).Counts().LateOrders
 	}
-	f.FaultsInjected += int(f.LateOrders)
-	return f, f.broken()
+	report.FaultsInjected += int(report.LateOrders)
+	return report, report.violationError()
 }
--- a/bench/deploy.go
+++ b/bench/deploy.go
@@ -17,61 +17,62 @@
 
 const readyTimeout = time.Minute
 
-// shape is a made-up deployment of one pool of engines and one of services.
-type shape struct {
-	domains      int
-	vmsPerDomain int
-	engines      int
-	services     int
-	slots        int
-	first        time.Duration
-	between      time.Duration
-	lateness     time.Duration
-	extra        string
+// deploymentSpec describes a synthetic deployment with a pool of engines and a pool
+// of services.
+type deploymentSpec struct {
+	domains       int
+	vmsPerDomain  int
+	engines       int
+	services      int
+	slots         int
+	firstToken    time.Duration
+	betweenTokens time.Duration
+	orderLateness time.Duration
+	extraSettings string
 }
 
-// settings returns the checked settings of a shape.
-func (s shape) settings() (*conf.Settings, error) {
-	var b strings.Builder
+// settings returns the validated settings of the deployment.
+func (s deploymentSpec) settings() (*conf.Settings, error) {
+	var text strings.Builder
 	var domains []string
 	for i := range s.domains {
 		domains = append(domains, fmt.Sprintf("domain-%d", i+1))
 	}
-	fmt.Fprintf(&b, "[deployment]\nname = bench\nfailure_domains = %s\n", strings.Join(domains, ", "))
-	fmt.Fprint(&b, "[platform]\naddress = 127.0.0.1:1000\n")
-	fmt.Fprint(&b, "[peers]\nkey = peer-key-0123456789\noperator_key = operator-key-0123456789\n")
-	fmt.Fprint(&b, "[weight_store]\nloads_per_second = 100\nloads_at_full_speed = 100\nmodel_load = 50ms\n")
-	fmt.Fprintf(&b, "[pool llm]\nservers = %d\nfirst_address = 127.0.0.1:2000\nslots = %d\nfirst_token = %v\nbetween_tokens = %v\n",
-		s.engines, s.slots, s.first, s.between)
-	if s.lateness > 0 {
-		fmt.Fprintf(&b, "order_lateness = %v\n", s.lateness)
+	fmt.Fprintf(&text, "[deployment]\nname = bench\nfailure_domains = %s\n", strings.Join(domains, ", "))
+	fmt.Fprint(&text, "[platform]\naddress = 127.0.0.1:1000\n")
+	fmt.Fprint(&text, "[peers]\nkey = peer-key-0123456789\noperator_key = operator-key-0123456789\n")
+	fmt.Fprint(&text, "[weight_store]\nloads_per_second = 100\nloads_at_full_speed = 100\nmodel_load = 50ms\n")
+	fmt.Fprintf(&text, "[pool llm]\nservers = %d\nfirst_address = 127.0.0.1:2000\nslots = %d\nfirst_token = %v\nbetween_tokens = %v\n",
+		s.engines, s.slots, s.firstToken, s.betweenTokens)
+	if s.orderLateness > 0 {
+		fmt.Fprintf(&text, "order_lateness = %v\n", s.orderLateness)
 	}
 	if s.services > 0 {
-		fmt.Fprintf(&b, "[pool desk]\nbackend = service\nservers = %d\nfirst_address = 127.0.0.1:3000\n", s.services)
+		fmt.Fprintf(&text, "[pool desk]\nbackend = service\nservers = %d\nfirst_address = 127.0.0.1:3000\n", s.services)
 	}
 	port := 4000
 	for _, domain := range domains {
 		for i := range s.vmsPerDomain {
-			fmt.Fprintf(&b, "[vm %s-%d]\nfailure_domain = %s\nlisten = 127.0.0.1:%d\npeer_listen = 127.0.0.1:%d\n", domain, i+1, domain, port, port+1)
+			fmt.Fprintf(&text, "[vm %s-%d]\nfailure_domain = %s\nlisten = 127.0.0.1:%d\npeer_listen = 127.0.0.1:%d\n", domain, i+1, domain, port, port+1)
 			port += 2
 		}
 	}
-	b.WriteString(s.extra)
-	settings, err := conf.Parse([]byte(b.String()))
+	text.WriteString(s.extraSettings)
+	settings, err := conf.Parse([]byte(text.String()))
 	if err != nil {
-		return nil, fmt.Errorf("settings of the experiment: %w", err)
+		return nil, fmt.Errorf("parse settings of the experiment: %w", err)
 	}
 	return settings, nil
 }
 
-// start runs a shape with profiles and waits until it is ready.
-func (s shape) start(ctx context.Context, o Options, profiles []wire.Profile, adjust func(*entry.Config)) (*demo.World, error) {
+// start starts the deployment with the profiles and waits until it is ready.
+func (s deploymentSpec) start(ctx context.Context, o Options, profiles []wire.Profile, adjustConfig func(*entry.Config)) (*demo.World, error) {
 	settings, err := s.settings()
 	if err != nil {
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), Adjust: adjust,
+		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), Adjust: adjustConfig,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start deployment: %w", err)
@@ -85,19 +86,19 @@
 	return w, nil
 }
 
-// engineProfile returns a profile of small models on the engines.
-func engineProfile(name string, models, runs int) wire.Profile {
+// engineProfile returns a profile of small models that run on engines.
+func engineProfile(name string, models, runsAllowed int) wire.Profile {
 	p := profs.Defaults()
-	p.Name, p.Pool, p.RunsAllowed = name, "llm", runs
+	p.Name, p.Pool, p.RunsAllowed = name, "llm", runsAllowed
 	for i := range models {
 		p.Models = append(p.Models, wire.Model{Name: fmt.Sprintf("%s-%d", name, i+1), Version: 1, Bytes: 1 << 30})
 	}
 	return p
 }
 
-// serviceProfile returns a profile of the plain services.
-func serviceProfile(name string, runs int) wire.Profile {
+// serviceProfile returns a profile that is served by plain services.
+func serviceProfile(name string, runsAllowed int) wire.Profile {
 	p := profs.Defaults()
-	p.Name, p.Pool, p.Backend, p.RunsAllowed = name, "desk", wire.ProfileBackendService, runs
+	p.Name, p.Pool, p.Backend, p.RunsAllowed = name, "desk", wire.ProfileBackendService, runsAllowed
 	return p
 }
--- a/bench/flood.go
+++ b/bench/flood.go
@@ -9,16 +9,16 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-type floodFigures struct {
+type floodReport struct {
 	Common
-	latencies
-	naiveLatencies
+	latencyReport
+	naiveLatencyReport
 	QuietAttainment      float64 `json:"quiet_attainment"`
 	NaiveQuietAttainment float64 `json:"naive_quiet_attainment"`
 	FloodAttainment      float64 `json:"flood_attainment"`
 	NaiveFloodAttainment float64 `json:"naive_flood_attainment"`
-	FloodShare           float64 `json:"flood_share_of_whole_answers"`
-	QuietShare           float64 `json:"quiet_share_of_whole_answers"`
+	FloodWholeShare      float64 `json:"flood_share_of_whole_answers"`
+	QuietWholeShare      float64 `json:"quiet_share_of_whole_answers"`
 }
 
 const (
@@ -29,40 +29,40 @@
 	steadyKey    = "steady-caller-key"
 )
 
-// flood: one caller sends as many requests in half a second as the servers can
-// answer in some twelve, while another sends few and a third half of what the
-// servers can take. All use one profile.
+// flood makes one caller send as many requests in half a second as the servers can
+// answer in about twelve seconds. A second caller sends few requests and a third
+// half of what the servers can handle. All use one profile.
 func flood(ctx context.Context, o Options) (Figures, error) {
 	profile := engineProfile("label", 2, 3)
 	profile.FirstTokenMs, profile.WholeAnswerMs = 1000, 8000
 	profile.ConcurrencyLimit, profile.QueueLimit = floodEngines*floodSlots, 8192
-	length := o.length(16 * time.Second)
+	duration := o.duration(16 * time.Second)
 	class := func(name, key string, rate float64) load.Class {
 		return load.Class{Name: name, Profile: profile, Caller: key, Rate: rate, MaxTokens: 40}
 	}
 	floodClass := class("flood", floodKey, 10)
 	floodClass.Burst, floodClass.BurstFrom, floodClass.BurstTo = 800, 2*time.Second, 2500*time.Millisecond
 	t := trial{
-		shape:    shape{domains: 2, vmsPerDomain: 1, engines: floodEngines, slots: floodSlots, first: 20 * time.Millisecond, between: 5 * time.Millisecond},
+		spec:     deploymentSpec{domains: 2, vmsPerDomain: 1, engines: floodEngines, slots: floodSlots, firstToken: 20 * time.Millisecond, betweenTokens: 5 * time.Millisecond},
 		profiles: []wire.Profile{profile},
 		classes:  []load.Class{class("quiet", quietKey, 20), class("steady", steadyKey, 150), floodClass},
-		length:   length,
-		adjust: func(c *entry.Config) {
+		duration: duration,
+		adjustConfig: func(c *entry.Config) {
 			c.Callers = map[string]string{quietKey: "quiet", floodKey: "flood", steadyKey: "steady"}
 		},
 	}
-	ours, baseline, err := t.pair(ctx, o)
+	system, baseline, err := t.runPair(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	f := floodFigures{Common: t.common("flood", o, ours)}
-	f.FaultsInjected = 1 // the flood
-	f.latencies = newLatencies(ours.summary.Total, floodEngines)
-	f.naiveLatencies = naiveLatencies(newLatencies(baseline.summary.Total, floodEngines))
-	f.QuietAttainment, f.NaiveQuietAttainment = ours.summary.Classes[0].Attained, baseline.summary.Classes[0].Attained
-	f.FloodAttainment, f.NaiveFloodAttainment = ours.summary.Classes[2].Attained, baseline.summary.Classes[2].Attained
-	whole := float64(max(ours.summary.Total.Whole, 1))
-	f.QuietShare = float64(ours.summary.Classes[0].Whole) / whole
-	f.FloodShare = float64(ours.summary.Classes[2].Whole) / whole
-	return f, f.broken()
+	report := floodReport{Common: t.commonReport("flood", o, system)}
+	report.FaultsInjected = 1 // the flood
+	report.latencyReport = newLatencyReport(system.summary.Total, floodEngines)
+	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, floodEngines))
+	report.QuietAttainment, report.NaiveQuietAttainment = system.summary.Classes[0].Attained, baseline.summary.Classes[0].Attained
+	report.FloodAttainment, report.NaiveFloodAttainment = system.summary.Classes[2].Attained, baseline.summary.Classes[2].Attained
+	whole := float64(max(system.summary.Total.Whole, 1))
+	report.QuietWholeShare = float64(system.summary.Classes[0].Whole) / whole
+	report.FloodWholeShare = float64(system.summary.Classes[2].Whole) / whole
+	return report, report.violationError()
 }
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -17,45 +17,47 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// nodeFigures are the cost of control at one size.
-type nodeFigures struct {
-	Nodes              int     `json:"nodes"`
-	CPUPercent         float64 `json:"cpu_percent_of_core"`
-	ResidentMB         float64 `json:"resident_mb"`
-	BytesPerSecond     float64 `json:"bytes_per_second"`
-	StoreCallsPerSec   float64 `json:"store_calls_per_second"`
-	InForceP50         float64 `json:"in_force_p50_ms"`
-	InForceP99         float64 `json:"in_force_p99_ms"`
-	UnheardByOneAnyone int     `json:"pairs_not_alive"`
+// fleetCost is the cost of the control plane at one fleet size.
+type fleetCost struct {
+	Nodes               int     `json:"nodes"`
+	CPUPercent          float64 `json:"cpu_percent_of_core"`
+	ResidentMB          float64 `json:"resident_mb"`
+	BytesPerSecond      float64 `json:"bytes_per_second"`
+	StoreCallsPerSecond float64 `json:"store_calls_per_second"`
+	ActiveP50Ms         float64 `json:"in_force_p50_ms"`
+	ActiveP99Ms         float64 `json:"in_force_p99_ms"`
+	PairsNotAlive       int     `json:"pairs_not_alive"`
 }
 
-type controlFigures struct {
+type controlReport struct {
 	Common
-	nodeFigures
-	Sizes []nodeFigures `json:"sizes"`
+	fleetCost
+	Sizes []fleetCost `json:"sizes"`
 }
 
 const (
-	nodesPerDomain = 26
-	controlSettle  = 20 * time.Second
-	controlMeasure = 10 * time.Second
-	spreadChanges  = 10
-	spreadLimit    = 30 * time.Second
+	maxVMsPerDomain    = 26
+	controlSettleTime  = 20 * time.Second
+	controlMeasureTime = 10 * time.Second
+	propagationChanges = 10
+	propagationTimeout = 30 * time.Second
 )
 
-var nodeSizes = []int{10, 30, 100, 390}
+var fleetSizes = []int{10, 30, 100, 390}
 
-// fleetShape is a deployment of n VMs without load, in domains of 26.
-func fleetShape(n int) shape {
-	domains := (n + nodesPerDomain - 1) / nodesPerDomain
-	return shape{
-		domains: domains, vmsPerDomain: (n + domains - 1) / domains, engines: 1, slots: 1, first: time.Millisecond, between: time.Millisecond,
+// fleetSpec returns a deployment of n VMs without load, in failure domains of up
+// to 26 VMs.
+func fleetSpec(n int) deploymentSpec {
+	domains := (n + maxVMsPerDomain - 1) / maxVMsPerDomain
+	return deploymentSpec{
+		domains: domains, vmsPerDomain: (n + domains - 1) / domains, engines: 1, slots: 1, firstToken: time.Millisecond, betweenTokens: time.Millisecond,
 	}
 }
 
-// startFleet runs n VMs with the profiles of the two-year size in force.
+// startFleet starts n VMs with as many active profiles as are expected in two
+// years.
 func startFleet(ctx context.Context, o Options, n int) (*demo.World, error) {
-	settings, err := fleetShape(n).settings()
+	settings, err := fleetSpec(n).settings()
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +73,7 @@
 	for len(w.Ready()) < n {
 		if ready.Err() != nil {
 			w.Close()
-			return nil, fmt.Errorf("%d of %d VMs got ready", len(w.Ready()), n)
+			return nil, fmt.Errorf("%d of %d VMs became ready", len(w.Ready()), n)
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
@@ -88,48 +90,48 @@
 	return docs
 }
 
-// control runs the control part of growing fleets, each VM a daemon with its
-// links, in one process, and measures what it costs a VM.
+// control runs the control plane of fleets of increasing size and measures its cost
+// per VM. Each VM is a daemon with its own links; all run in one process.
 func control(ctx context.Context, o Options) (Figures, error) {
-	f := controlFigures{Common: Common{Experiment: "control", Seed: o.Seed}}
-	for _, n := range nodeSizes {
-		figures, err := measureFleet(ctx, o, n)
+	report := controlReport{Common: Common{Experiment: "control", Seed: o.Seed}}
+	for _, n := range fleetSizes {
+		cost, err := measureFleet(ctx, o, n)
 		if err != nil {
 			return nil, err
 		}
-		fmt.Fprintf(o.Out, "%+v\n", figures)
-		f.Sizes = append(f.Sizes, figures)
-		f.nodeFigures = figures
+		fmt.Fprintf(o.Out, "%+v\n", cost)
+		report.Sizes = append(report.Sizes, cost)
+		report.fleetCost = cost
 	}
-	f.FaultsInjected = len(nodeSizes) // a VM of each fleet dies
-	return f, nil
+	report.FaultsInjected = len(fleetSizes) // one VM of each fleet is killed
+	return report, nil
 }
 
-func measureFleet(ctx context.Context, o Options, n int) (nodeFigures, error) {
+func measureFleet(ctx context.Context, o Options, n int) (fleetCost, error) {
 	w, err := startFleet(ctx, o, n)
 	if err != nil {
-		return nodeFigures{}, err
+		return fleetCost{}, err
 	}
 	defer w.Close()
-	pause.For(ctx, controlSettle)
-	began, cpu, bytes, calls := time.Now(), cpuTime(), w.PeerBytes(), storeCalls(w)
-	pause.For(ctx, controlMeasure)
-	seconds := time.Since(began).Seconds()
-	f := nodeFigures{
+	pause.For(ctx, controlSettleTime)
+	start, cpu, bytes, calls := time.Now(), cpuTime(), w.PeerBytes(), storeCalls(w)
+	pause.For(ctx, controlMeasureTime)
+	seconds := time.Since(start).Seconds()
+	cost := fleetCost{
 		Nodes: n, CPUPercent: (cpuTime() - cpu).Seconds() / seconds / float64(n) * 100,
-		ResidentMB:       float64(residentBytes()) / (1 << 20) / float64(n),
-		BytesPerSecond:   float64(w.PeerBytes()-bytes) / seconds / float64(n),
-		StoreCallsPerSec: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.Watching()),
+		ResidentMB:          float64(residentBytes()) / (1 << 20) / float64(n),
+		BytesPerSecond:      float64(w.PeerBytes()-bytes) / seconds / float64(n),
+		StoreCallsPerSecond: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.Watching()),
 	}
 	for _, d := range w.VMs() {
-		f.UnheardByOneAnyone += n - len(d.LiveNodes())
+		cost.PairsNotAlive += n - len(d.LiveNodes())
 	}
-	h, err := spreadOver(ctx, w, n)
+	latencies, err := measurePropagation(ctx, w, n)
 	if err != nil {
-		return f, err
+		return cost, err
 	}
-	f.InForceP50, f.InForceP99 = quantileMs(h, 50), quantileMs(h, 99)
-	return f, nil
+	cost.ActiveP50Ms, cost.ActiveP99Ms = quantileMs(latencies, 50), quantileMs(latencies, 99)
+	return cost, nil
 }
 
 func storeCalls(w *demo.World) int64 {
@@ -145,7 +147,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentBytes returns the resident memory of the process.
+// residentBytes returns the resident set size of the process.
 func residentBytes() int {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -162,30 +164,30 @@
 	return pages * os.Getpagesize()
 }
 
-// spreadOver changes a profile again and again and returns the times until the
-// change is in force at the last VM.
-func spreadOver(ctx context.Context, w *demo.World, n int) (*hdrhistogram.Histogram, error) {
-	h := newMicros()
+// measurePropagation changes a profile repeatedly and returns the times until each
+// change is active on all n VMs.
+func measurePropagation(ctx context.Context, w *demo.World, n int) (*hdrhistogram.Histogram, error) {
+	latencies := newMicrosecondHistogram()
 	doc := fleetProfiles()[0]
-	for i := range spreadChanges {
+	for i := range propagationChanges {
 		doc.Priority = i % 10
-		began := time.Now()
+		start := time.Now()
 		if err := w.ApplyProfile(doc); err != nil {
 			return nil, err
 		}
 		obj, _ := w.Platform.Get("profiles", doc.Name)
-		for inForce(w, doc.Name, obj.Version) < n {
-			if time.Since(began) > spreadLimit {
-				return nil, fmt.Errorf("a change is in force at %d of %d VMs after %v", inForce(w, doc.Name, obj.Version), n, spreadLimit)
+		for countActive(w, doc.Name, obj.Version) < n {
+			if time.Since(start) > propagationTimeout {
+				return nil, fmt.Errorf("profile change is active on %d of %d VMs after %v", countActive(w, doc.Name, obj.Version), n, propagationTimeout)
 			}
 			pause.For(ctx, 2*time.Millisecond)
 		}
-		_ = h.RecordValue(time.Since(began).Microseconds())
+		_ = latencies.RecordValue(time.Since(start).Microseconds())
 	}
-	return h, nil
+	return latencies, nil
 }
 
-func inForce(w *demo.World, profile string, version int) int {
+func countActive(w *demo.World, profile string, version int) int {
 	n := 0
 	for _, d := range w.VMs() {
 		if d.ProfileVersion(profile) >= version {
@@ -195,15 +197,15 @@
 	return n
 }
 
-type spreadFigures struct {
+type spreadReport struct {
 	Common
-	Nodes      int     `json:"nodes"`
-	InForceP50 float64 `json:"in_force_p50_ms"`
-	InForceP99 float64 `json:"in_force_p99_ms"`
+	Nodes       int     `json:"nodes"`
+	ActiveP50Ms float64 `json:"in_force_p50_ms"`
+	ActiveP99Ms float64 `json:"in_force_p99_ms"`
 }
 
-// spread measures the time until a change is in force everywhere, while a
-// failure domain can not reach the platform.
+// spread measures the time until a profile change is active on all VMs while a
+// failure domain cannot reach the platform.
 func spread(ctx context.Context, o Options) (Figures, error) {
 	const n = 100
 	w, err := startFleet(ctx, o, n)
@@ -211,7 +213,7 @@
 		return nil, err
 	}
 	defer w.Close()
-	pause.For(ctx, controlSettle/2)
+	pause.For(ctx, controlSettleTime/2)
 	faults := w.Platform.Faults()
 	for name, d := range w.VMs() {
 		if d.FailureDomain() == "domain-1" {
@@ -220,11 +222,11 @@
 	}
 	w.Platform.SetFaults(faults)
 	pause.For(ctx, 2*time.Second)
-	h, err := spreadOver(ctx, w, n)
+	latencies, err := measurePropagation(ctx, w, n)
 	if err != nil {
 		return nil, err
 	}
-	f := spreadFigures{Common: Common{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.CutNodes)}, Nodes: n}
-	f.InForceP50, f.InForceP99 = quantileMs(h, 50), quantileMs(h, 99)
-	return f, nil
+	report := spreadReport{Common: Common{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.CutNodes)}, Nodes: n}
+	report.ActiveP50Ms, report.ActiveP99Ms = quantileMs(latencies, 50), quantileMs(latencies, 99)
+	return report, nil
 }
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -16,33 +16,33 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// overheadFigures compare a call through the gateway with a direct call.
-type overheadFigures struct {
+// overheadReport compares calls through the gateway with direct calls.
+type overheadReport struct {
 	Common
-	DirectP50  float64 `json:"direct_p50_ms"`
-	DirectP99  float64 `json:"direct_p99_ms"`
-	GatewayP50 float64 `json:"gateway_p50_ms"`
-	GatewayP99 float64 `json:"gateway_p99_ms"`
-	AddedP50   float64 `json:"added_p50_ms"`
-	AddedP99   float64 `json:"added_p99_ms"`
-	// The processor times are those of the whole process: stand-in, gateway
-	// and caller; their difference is the gateway and one more hop.
-	DirectCPU  float64 `json:"direct_cpu_us_per_token"`
-	GatewayCPU float64 `json:"gateway_cpu_us_per_token"`
-	AddedCPU   float64 `json:"added_cpu_us_per_token"`
+	DirectP50Ms  float64 `json:"direct_p50_ms"`
+	DirectP99Ms  float64 `json:"direct_p99_ms"`
+	GatewayP50Ms float64 `json:"gateway_p50_ms"`
+	GatewayP99Ms float64 `json:"gateway_p99_ms"`
+	AddedP50Ms   float64 `json:"added_p50_ms"`
+	AddedP99Ms   float64 `json:"added_p99_ms"`
+	// The CPU times are those of the whole process: simulated engine, gateway and
+	// caller. The difference is the cost of the gateway and one more hop.
+	DirectCPUUsPerToken  float64 `json:"direct_cpu_us_per_token"`
+	GatewayCPUUsPerToken float64 `json:"gateway_cpu_us_per_token"`
+	AddedCPUUsPerToken   float64 `json:"added_cpu_us_per_token"`
 }
 
 const (
-	overheadTokens = 8
-	overheadWarmUp = 200
-	overheadLeast  = 300
+	overheadTokens      = 8
+	overheadWarmUpPairs = 200
+	overheadMinPairs    = 300
 )
 
-// overhead calls one engine directly and through one VM in turn, one call at a
-// time, so that neither waits for anything but the path.
+// overhead calls one engine directly and through one VM in turn. It makes one call
+// at a time, so that no call queues behind another.
 func overhead(ctx context.Context, o Options) (Figures, error) {
-	s := shape{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, first: time.Millisecond, between: 100 * time.Microsecond}
-	w, err := s.start(ctx, o, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
+	spec := deploymentSpec{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, firstToken: time.Millisecond, betweenTokens: 100 * time.Microsecond}
+	w, err := spec.start(ctx, o, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -51,29 +51,29 @@
 		e := w.Engine(doc.Name)
 		e.FirstToken, e.BetweenTokens = time.Microsecond, time.Microsecond
 	}
-	direct, gateway := newMicros(), newMicros()
-	c := &caller{w: w, engines: engine.New()}
-	f := overheadFigures{Common: Common{Experiment: "overhead", Seed: o.Seed}}
-	deadline := time.Now().Add(o.length(5 * time.Second))
-	for n := 0; n < overheadLeast || time.Now().Before(deadline); n++ {
-		d, g, err := c.pair(ctx, n)
+	direct, gateway := newMicrosecondHistogram(), newMicrosecondHistogram()
+	client := &overheadClient{world: w, engines: engine.New()}
+	report := overheadReport{Common: Common{Experiment: "overhead", Seed: o.Seed}}
+	deadline := time.Now().Add(o.duration(5 * time.Second))
+	for n := 0; n < overheadMinPairs || time.Now().Before(deadline); n++ {
+		directTook, gatewayTook, err := client.measurePair(ctx, n)
 		if err != nil {
 			return nil, err
 		}
-		if n < overheadWarmUp {
+		if n < overheadWarmUpPairs {
 			continue
 		}
-		_ = direct.RecordValue(d.Microseconds())
-		_ = gateway.RecordValue(g.Microseconds())
-		f.Requests += 2
+		_ = direct.RecordValue(directTook.Microseconds())
+		_ = gateway.RecordValue(gatewayTook.Microseconds())
+		report.Requests += 2
 	}
-	f.DirectP50, f.DirectP99 = quantileMs(direct, 50), quantileMs(direct, 99)
-	f.GatewayP50, f.GatewayP99 = quantileMs(gateway, 50), quantileMs(gateway, 99)
-	f.AddedP50, f.AddedP99 = f.GatewayP50-f.DirectP50, f.GatewayP99-f.DirectP99
-	if err := c.measureTokens(ctx, &f); err != nil {
+	report.DirectP50Ms, report.DirectP99Ms = quantileMs(direct, 50), quantileMs(direct, 99)
+	report.GatewayP50Ms, report.GatewayP99Ms = quantileMs(gateway, 50), quantileMs(gateway, 99)
+	report.AddedP50Ms, report.AddedP99Ms = report.GatewayP50Ms-report.DirectP50Ms, report.GatewayP99Ms-report.DirectP99Ms
+	if err := client.measureCPU(ctx, &report); err != nil {
 		return nil, err
 	}
-	return f, nil
+	return report, nil
 }
 
 const (
@@ -81,30 +81,30 @@
 	longTokens  = 200
 )
 
-// measureTokens takes the processor time of long answers.
-func (c *caller) measureTokens(ctx context.Context, f *overheadFigures) error {
+// measureCPU measures the CPU time per token of long answers.
+func (c *overheadClient) measureCPU(ctx context.Context, report *overheadReport) error {
 	var tokens int
-	began := cpuTime()
+	start := cpuTime()
 	for n := range longAnswers {
-		count, err := c.direct(ctx, fmt.Sprint("long ", n), longTokens)
+		count, err := c.callDirect(ctx, fmt.Sprint("long ", n), longTokens)
 		if err != nil {
 			return err
 		}
 		tokens += count
 	}
-	f.DirectCPU = float64((cpuTime() - began).Microseconds()) / float64(tokens)
-	began = cpuTime()
+	report.DirectCPUUsPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
+	start = cpuTime()
 	for n := range longAnswers {
-		if err := c.gateway(ctx, fmt.Sprint("long ", n), longTokens); err != nil {
+		if err := c.callGateway(ctx, fmt.Sprint("long ", n), longTokens); err != nil {
 			return err
 		}
 	}
-	f.GatewayCPU = float64((cpuTime() - began).Microseconds()) / float64(tokens)
-	f.AddedCPU = f.GatewayCPU - f.DirectCPU
+	report.GatewayCPUUsPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
+	report.AddedCPUUsPerToken = report.GatewayCPUUsPerToken - report.DirectCPUUsPerToken
 	return nil
 }
 
-func newMicros() *hdrhistogram.Histogram {
+func newMicrosecondHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
@@ -112,33 +112,33 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// caller makes the two kinds of call.
-type caller struct {
-	w       *demo.World
-	engines *engine.Client
-	calls   int
+// overheadClient makes direct calls and calls through the gateway.
+type overheadClient struct {
+	world     *demo.World
+	engines   *engine.Client
+	callCount int
 }
 
-// pair makes a direct call and one through the gateway.
-func (c *caller) pair(ctx context.Context, n int) (direct, gateway time.Duration, err error) {
+// measurePair measures one direct call and one call through the gateway.
+func (c *overheadClient) measurePair(ctx context.Context, n int) (direct, gateway time.Duration, err error) {
 	prompt := fmt.Sprint("menu ", n)
-	began := time.Now()
-	if _, err := c.direct(ctx, prompt, overheadTokens); err != nil {
+	start := time.Now()
+	if _, err := c.callDirect(ctx, prompt, overheadTokens); err != nil {
 		return 0, 0, err
 	}
-	direct = time.Since(began)
-	began = time.Now()
-	if err := c.gateway(ctx, prompt, overheadTokens); err != nil {
+	direct = time.Since(start)
+	start = time.Now()
+	if err := c.callGateway(ctx, prompt, overheadTokens); err != nil {
 		return 0, 0, err
 	}
-	return direct, time.Since(began), nil
+	return direct, time.Since(start), nil
 }
 
-// direct calls the engine and returns how many tokens came.
-func (c *caller) direct(ctx context.Context, prompt string, tokens int) (int, error) {
-	c.calls++
+// callDirect calls the engine and returns the number of received tokens.
+func (c *overheadClient) callDirect(ctx context.Context, prompt string, tokens int) (int, error) {
+	c.callCount++
 	count := 0
-	err := c.engines.Generate(ctx, c.w.Servers()[0].Address, fmt.Sprint("direct-", c.calls),
+	err := c.engines.Generate(ctx, c.world.Servers()[0].Address, fmt.Sprint("direct-", c.callCount),
 		engine.Generation{Model: "draft-1", Prompt: prompt, MaxTokens: tokens},
 		func(hibiscuscart.Frame) error {
 			count++
@@ -150,10 +150,10 @@
 	return count, nil
 }
 
-// gateway makes a call through the VM and checks that the answer is whole.
-func (c *caller) gateway(ctx context.Context, prompt string, tokens int) error {
+// callGateway makes a call through the VM and checks that the answer is complete.
+func (c *overheadClient) callGateway(ctx context.Context, prompt string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"draft/draft-1","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.w.Ready()[0]+"/v1/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.world.Ready()[0]+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build request: %w", err)
 	}
@@ -167,7 +167,7 @@
 		return fmt.Errorf("read answer: %w", err)
 	}
 	if !strings.HasSuffix(string(text), "[DONE]\n\n") {
-		return fmt.Errorf("answer through the gateway is not whole: %.200s", text)
+		return fmt.Errorf("incomplete answer through the gateway: %.200s", text)
 	}
 	return nil
 }
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -15,11 +15,11 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// BenchmarkDirect and BenchmarkPipe tell the time and allocations of one
-// request of eight tokens: to the engine stand-in alone, and through the pipe
-// of a gateway to it. The difference is the path's own cost.
+// BenchmarkDirect and BenchmarkPipe measure the time and allocations of a request
+// of eight tokens, sent directly to a simulated engine and through the request
+// pipeline of a gateway. The difference is the cost of the pipeline.
 func BenchmarkDirect(b *testing.B) {
-	w := overheadWorld(b)
+	w := newOverheadWorld(b)
 	engines := engine.New()
 	address := w.Servers()[0].Address
 	b.ReportAllocs()
@@ -31,9 +31,9 @@
 	}
 }
 
-func overheadWorld(b *testing.B) *demo.World {
+func newOverheadWorld(b *testing.B) *demo.World {
 	b.Helper()
-	s := shape{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, first: time.Millisecond, between: 100 * time.Microsecond}
+	s := deploymentSpec{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, firstToken: time.Millisecond, betweenTokens: 100 * time.Microsecond}
 	w, err := s.start(context.Background(), Options{Seed: 1}, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
 	require.NoError(b, err)
 	b.Cleanup(w.Close)
@@ -45,7 +45,7 @@
 }
 
 func BenchmarkPipe(b *testing.B) {
-	w := overheadWorld(b)
+	w := newOverheadWorld(b)
 	d := w.VMs()["domain-1-1"]
 	sink := entry.Sink{Text: func(string) error { return nil }, Whole: func(hibiscuscart.Answer) error { return nil }}
 	b.ReportAllocs()
@@ -69,6 +69,6 @@
 func TestOverheadRuns(t *testing.T) {
 	figures, err := overhead(context.Background(), Options{Seed: 1, For: 300 * time.Millisecond})
 	require.NoError(t, err)
-	require.Zero(t, figures.(overheadFigures).Broken())
-	require.Positive(t, figures.(overheadFigures).GatewayP50)
+	require.Zero(t, figures.(overheadReport).Broken())
+	require.Positive(t, figures.(overheadReport).GatewayP50Ms)
 }
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -17,59 +17,60 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// placeFigures compare placements under one load.
-type placeFigures struct {
+// placementReport compares placements under one load.
+type placementReport struct {
 	Common
-	latencies
-	Moves           int     `json:"moves"`
-	Bound           float64 `json:"bound_attainment_per_accelerator"`
-	NaiveAttainment float64 `json:"naive_attainment"`
-	NaivePerAcc     float64 `json:"naive_attainment_per_accelerator"`
-	NaiveMoves      int     `json:"naive_moves"`
-	ShareOfBound    float64 `json:"share_of_bound"`
+	latencyReport
+	Moves               int     `json:"moves"`
+	BoundPerAccelerator float64 `json:"bound_attainment_per_accelerator"`
+	NaiveAttainment     float64 `json:"naive_attainment"`
+	NaivePerAccelerator float64 `json:"naive_attainment_per_accelerator"`
+	NaiveMoves          int     `json:"naive_moves"`
+	ShareOfBound        float64 `json:"share_of_bound"`
 }
 
-// The engines of the placement experiments are slow and small, so that a few
-// hundred requests a second fill them and the machine that runs them does not
-// become the bottleneck.
+// The engines of the placement experiments are slow and small. A few hundred
+// requests per second saturate them, so the machine that runs the experiment does
+// not become the bottleneck.
 const (
-	placeSlots   = 8
-	placeFirst   = 40 * time.Millisecond
-	placeBetween = 12 * time.Millisecond
-	placeTokens  = 40
-	settleTime   = 2 * time.Second
+	placementSlots         = 8
+	placementFirstToken    = 40 * time.Millisecond
+	placementBetweenTokens = 12 * time.Millisecond
+	placementMaxTokens     = 40
+	placementSettleTime    = 2 * time.Second
 )
 
-// hot is a time during which a model is asked for ten times as much.
-type hot struct {
+// demandPeak is a period during which the demand for a model is more than ten times
+// its base rate.
+type demandPeak struct {
 	model    string
 	from, to time.Duration
 	rate     float64
 }
 
-// placeTrial is a deployment of the examples with demand that moves.
-type placeTrial struct {
+// placementTrial is an example deployment under demand that shifts between models.
+type placementTrial struct {
 	deployment string
-	length     time.Duration
-	base       float64
-	hot        []hot
-	// weight replaces the weight of attainment in the profiles, when not 0.
-	weight float64
+	duration   time.Duration
+	baseRate   float64
+	peaks      []demandPeak
+	// attainmentWeight replaces the attainment weight of the profiles if it is not 0.
+	attainmentWeight float64
 }
 
-// classes returns one class for each model, with its bursts.
-func (p placeTrial) classes(profiles []wire.Profile) []load.Class {
+// classes returns a class for each model and for each of its demand peaks.
+func (p placementTrial) classes(profiles []wire.Profile) []load.Class {
 	var classes []load.Class
 	for _, doc := range profiles {
 		for _, m := range doc.Models {
-			class := load.Class{Name: m.Name, Profile: oneModel(doc, m), Rate: p.base, MaxTokens: placeTokens}
-			for _, h := range p.hot {
-				if h.model != m.Name {
+			class := load.Class{Name: m.Name, Profile: withOnlyModel(doc, m), Rate: p.baseRate, MaxTokens: placementMaxTokens}
+			for _, peak := range p.peaks {
+				if peak.model != m.Name {
 					continue
 				}
 				burst := class
 				burst.Name += "-burst"
-				burst.Rate, burst.Burst, burst.BurstFrom, burst.BurstTo = h.rate/1000, 1000, h.from, h.to
+				burst.Rate, burst.Burst, burst.BurstFrom, burst.BurstTo = peak.rate/1000, 1000, peak.from, peak.to
 				classes = append(classes, burst)
 			}
 			classes = append(classes, class)
@@ -78,21 +79,21 @@
 	return classes
 }
 
-// oneModel returns the profile with one of its models, for a class of load.
-func oneModel(doc wire.Profile, m wire.Model) wire.Profile {
+// withOnlyModel returns the profile with m as its only model, for a load class.
+func withOnlyModel(doc wire.Profile, m wire.Model) wire.Profile {
 	doc.Models = []wire.Model{m}
 	return doc
 }
 
-// placeOutcome is what came of one placement.
-type placeOutcome struct {
+// placementResult is the result of a trial under one placement.
+type placementResult struct {
 	summary load.Summary
 	moves   int
 	results []load.Result
 }
 
-// run runs the trial under one placement.
-func (p placeTrial) run(ctx context.Context, o Options, placement string) (*placeOutcome, error) {
+// run runs the trial under the given placement.
+func (p placementTrial) run(ctx context.Context, o Options, placement string) (*placementResult, error) {
 	settings, err := sample.Settings(p.deployment)
 	if err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 		Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
 		Adjust: func(c *entry.Config) { c.Placement, c.Callers = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
-			e.Slots, e.FirstToken, e.BetweenTokens = placeSlots, placeFirst, placeBetween
+			e.Slots, e.FirstToken, e.BetweenTokens = placementSlots, placementFirstToken, placementBetweenTokens
 		},
 	})
 	if err != nil {
@@ -117,18 +118,18 @@
 	if err := w.WaitReady(ready); err != nil {
 		return nil, err
 	}
-	pause.For(ctx, settleTime)
+	pause.For(ctx, placementSettleTime)
 	before := w.Moves()
-	watch := watchReach(w)
+	stopSampling := countUnreachableModels(w)
 	classes := p.classes(profiles)
-	results := w.Send(ctx, classes, p.length, o.Seed, nil)
-	out := &placeOutcome{results: results, moves: w.Moves() - before}
-	unreachable := watch()
-	out.summary = w.Sum(classes, results)
-	out.summary.Promises.UnreachableModels += unreachable
+	results := w.Send(ctx, classes, p.duration, o.Seed, nil)
+	result := &placementResult{results: results, moves: w.Moves() - before}
+	unreachable := stopSampling()
+	result.summary = w.Sum(classes, results)
+	result.summary.Promises.UnreachableModels += unreachable
 	if o.Out != nil {
-		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, out.summary.Total.Attained, out.moves)
-		if err := out.summary.WriteTable(o.Out); err != nil {
+		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, result.summary.Total.Attained, result.moves)
+		if err := result.summary.WriteTable(o.Out); err != nil {
 			return nil, err
 		}
 		for _, s := range w.Servers() {
@@ -137,12 +138,12 @@
 			}
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-// profiles returns the deployment's profiles of engines, with limits that let
-// the engines be filled.
-func (p placeTrial) profiles() ([]wire.Profile, error) {
+// profiles returns the engine profiles of the deployment, with limits high enough
+// to saturate the engines.
+func (p placementTrial) profiles() ([]wire.Profile, error) {
 	all, err := sample.Profiles(p.deployment)
 	if err != nil {
 		return nil, err
@@ -152,10 +153,10 @@
 		if doc.Backend != wire.ProfileBackendEngine {
 			continue
 		}
-		if p.weight != 0 {
-			doc.AttainmentWeight = p.weight
+		if p.attainmentWeight != 0 {
+			doc.AttainmentWeight = p.attainmentWeight
 		}
-		// Claims are not what is measured here.
+		// Allowing two runs avoids claims, which are not measured here.
 		doc.RunsAllowed = max(doc.RunsAllowed, 2)
 		doc.ConcurrencyLimit = 1000
 		engines = append(engines, doc)
@@ -163,68 +164,69 @@
 	return engines, nil
 }
 
-// watchReach samples whether every model has a copy. The returned function ends
-// it and tells how many samples found one without.
-func watchReach(w *demo.World) func() int {
-	return sum(50*time.Millisecond, func() int { return len(w.UnreachableModels()) })
+// countUnreachableModels samples the number of models without a copy. The returned
+// function stops sampling and returns the sum.
+func countUnreachableModels(w *demo.World) func() int {
+	return sampleSum(50*time.Millisecond, func() int { return len(w.UnreachableModels()) })
 }
 
-// figures runs the trial under the planner and a baseline.
-func (p placeTrial) figures(ctx context.Context, o Options, name, baseline string) (placeFigures, error) {
+// compare runs the trial under the planner and under a baseline placement.
+func (p placementTrial) compare(ctx context.Context, o Options, name, baseline string) (placementReport, error) {
 	naive, err := p.run(ctx, o, baseline)
 	if err != nil {
-		return placeFigures{}, fmt.Errorf("baseline: %w", err)
+		return placementReport{}, fmt.Errorf("baseline: %w", err)
 	}
-	ours, err := p.run(ctx, o, "")
+	planned, err := p.run(ctx, o, "")
 	if err != nil {
-		return placeFigures{}, fmt.Errorf("planner: %w", err)
+		return placementReport{}, fmt.Errorf("planner: %w", err)
 	}
 	settings, err := sample.Settings(p.deployment)
 	if err != nil {
-		return placeFigures{}, err
+		return placementReport{}, err
 	}
 	engines := len(settings.Pools()[0].Servers(settings.FailureDomains()))
 	profiles, err := p.profiles()
 	if err != nil {
-		return placeFigures{}, err
+		return placementReport{}, err
 	}
-	bound := pooledBound(load.Schedule(o.Seed, p.length, p.classes(profiles)), p.classes(profiles), engines*placeSlots)
-	f := placeFigures{
+	bound := pooledBound(load.Schedule(o.Seed, p.duration, p.classes(profiles)), p.classes(profiles), engines*placementSlots)
+	report := placementReport{
 		Common: Common{
-			Experiment: name, Seed: o.Seed, Promises: ours.summary.Promises,
-			FaultsInjected: len(p.hot), Requests: ours.summary.Total.Sent,
+			Experiment: name, Seed: o.Seed, Promises: planned.summary.Promises,
+			FaultsInjected: len(p.peaks), Requests: planned.summary.Total.Sent,
 		},
-		latencies: newLatencies(ours.summary.Total, engines),
-		Moves:     ours.moves, Bound: bound / float64(engines),
-		NaiveAttainment: naive.summary.Total.Attained, NaivePerAcc: naive.summary.Total.Attained / float64(engines),
+		latencyReport: newLatencyReport(planned.summary.Total, engines),
+		Moves:         planned.moves, BoundPerAccelerator: bound / float64(engines),
+		NaiveAttainment: naive.summary.Total.Attained, NaivePerAccelerator: naive.summary.Total.Attained / float64(engines),
 		NaiveMoves: naive.moves,
 	}
-	f.ShareOfBound = f.AttainmentPerAccelerator / f.Bound
-	return f, f.broken()
+	report.ShareOfBound = report.AttainmentPerAccelerator / report.BoundPerAccelerator
+	return report, report.violationError()
 }
 
-// pooledBound is the attainment with full knowledge: all slots of all servers
-// as one pool that holds every model, each request begun at the earliest free
-// slot when it still meets its target then, and not at all otherwise. No
+// pooledBound returns an upper bound of the attainment. It treats the slots of all
+// servers as one pool that holds every model. Each request starts in the slot that
+// is free first if it still meets its target, and is dropped otherwise. No
 // placement can have a slot free earlier.
 func pooledBound(arrivals []load.Arrival, classes []load.Class, slots int) float64 {
-	free := make(slotHeap, slots)
+	freeAt := make(slotHeap, slots)
 	attained := 0
 	for _, a := range arrivals {
 		target := time.Duration(classes[a.Class].Profile.FirstTokenMs) * time.Millisecond
-		begin := max(a.At, free[0])
-		if begin+placeFirst > a.At+target {
+		startAt := max(a.At, freeAt[0])
+		if startAt+placementFirstToken > a.At+target {
 			continue
 		}
 		attained++
 		tokens := len(load.Answer(classes[a.Class], a))
-		free[0] = begin + placeFirst + time.Duration(tokens-1)*placeBetween
-		heap.Fix(&free, 0)
+		freeAt[0] = startAt + placementFirstToken + time.Duration(tokens-1)*placementBetweenTokens
+		heap.Fix(&freeAt, 0)
 	}
 	return float64(attained) / float64(max(len(arrivals), 1))
 }
 
-// slotHeap orders slots by when they are free. It implements heap.Interface.
+// slotHeap orders slots by the time at which they become free. It implements
+// heap.Interface.
 type slotHeap []time.Duration
 
 func (h slotHeap) Len() int           { return len(h) }
@@ -242,43 +244,44 @@
 	return last
 }
 
-// vadodara: of the Utility's 13 models first one, then another, then a third is
-// flooded with about twice what two servers can answer.
+// vadodara floods three of the 13 models of the deployment in turn with about twice
+// what two servers can answer.
 func vadodara(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(30 * time.Second)
-	p := placeTrial{
-		deployment: "vadodara", length: length, base: 2,
-		hot: []hot{
-			{"bilingual-label", length * 1 / 10, length * 4 / 10, 110},
-			{"menu-reader", length * 4 / 10, length * 7 / 10, 110},
-			{"gu-label", length * 7 / 10, length, 110},
+	duration := o.duration(30 * time.Second)
+	p := placementTrial{
+		deployment: "vadodara", duration: duration, baseRate: 2,
+		peaks: []demandPeak{
+			{"bilingual-label", duration * 1 / 10, duration * 4 / 10, 110},
+			{"menu-reader", duration * 4 / 10, duration * 7 / 10, 110},
+			{"gu-label", duration * 7 / 10, duration, 110},
 		},
 	}
-	return p.figures(ctx, o, "vadodara", "static")
+	return p.compare(ctx, o, "vadodara", "static")
 }
 
-// shift: all demand moves from some models to others in a moment.
+// shift moves all demand from some models to others at once.
 func shift(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(24 * time.Second)
-	p := placeTrial{
-		deployment: "vadodara", length: length, base: 1,
-		hot: []hot{
-			{"gu-draft", 0, length / 2, 100},
-			{"en-gu-translator", length / 2, length, 100},
+	duration := o.duration(24 * time.Second)
+	p := placementTrial{
+		deployment: "vadodara", duration: duration, baseRate: 1,
+		peaks: []demandPeak{
+			{"gu-draft", 0, duration / 2, 100},
+			{"en-gu-translator", duration / 2, duration, 100},
 		},
 	}
-	return p.figures(ctx, o, "shift", "static")
+	return p.compare(ctx, o, "shift", "static")
 }
 
-// vidzeme: demand wanders over the Cooperative's 20 models, each asked for a
-// while by one domain's callers; the baseline swaps models as a cache does.
+// vidzeme shifts demand among the 20 models of the deployment; each is requested
+// for a while by the callers of one failure domain. The baseline swaps models like
+// a cache.
 func vidzeme(ctx context.Context, o Options) (Figures, error) {
-	length := o.length(30 * time.Second)
-	p := placeTrial{deployment: "vidzeme", length: length, base: 1.5}
+	duration := o.duration(30 * time.Second)
+	p := placementTrial{deployment: "vidzeme", duration: duration, baseRate: 1.5}
 	names := []string{"panel-condition", "textile-condition", "binding-treatment", "solvent-advice", "assessor-summary"}
 	for i, name := range names {
-		step := length / time.Duration(len(names))
-		p.hot = append(p.hot, hot{name, step * time.Duration(i), step * time.Duration(i+1), 60})
+		step := duration / time.Duration(len(names))
+		p.peaks = append(p.peaks, demandPeak{name, step * time.Duration(i), step * time.Duration(i+1), 60})
 	}
-	return p.figures(ctx, o, "vidzeme", "swap")
+	return p.compare(ctx, o, "vidzeme", "swap")
 }
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// sum adds up what look returns at each interval. The returned function ends it
-// and gives the sum.
-func sum(interval time.Duration, look func() int) func() int {
+// sampleSum calls sample at each interval and adds up the results. The returned
+// function stops sampling and returns the sum.
+func sampleSum(interval time.Duration, sample func() int) func() int {
 	done := make(chan struct{})
 	total := 0
 	var wg sync.WaitGroup
@@ -19,7 +19,7 @@
 			case <-done:
 				return
 			case <-tick.C:
-				total += look()
+				total += sample()
 			}
 		}
 	})
--- a/bench/sample_test.go
+++ b/bench/sample_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSum: what the samples find is counted, so that a promise that is broken
-// for a moment shows.
-func TestSum(t *testing.T) {
-	looked := make(chan struct{})
-	n := 0
-	stop := sum(time.Millisecond, func() int {
-		if n++; n == 3 {
-			close(looked)
+// A guarantee may be violated only for a moment between two checks. The sum must
+// include every sample, so that such a violation is counted.
+func TestSampleSumCountsEverySample(t *testing.T) {
+	sampled := make(chan struct{})
+	samples := 0
+	stop := sampleSum(time.Millisecond, func() int {
+		if samples++; samples == 3 {
+			close(sampled)
 		}
 		return 1
 	})
-	<-looked
+	<-sampled
 	require.GreaterOrEqual(t, stop(), 3)
 }
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -11,28 +11,28 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-type stormFigures struct {
+type stormReport struct {
 	Common
-	latencies
-	naiveLatencies
+	latencyReport
+	naiveLatencyReport
 	Amplification      float64 `json:"amplification"`
 	NaiveAmplification float64 `json:"naive_amplification"`
 }
 
 const stormEngines = 6
 
-// storm: a third of the servers die under load, and what is left is overloaded
-// and refuses.
+// storm kills a third of the servers under load. The remaining servers are
+// overloaded and refuse requests.
 func storm(ctx context.Context, o Options) (Figures, error) {
 	profile := engineProfile("label", 1, 3)
 	profile.FirstTokenMs, profile.WholeAnswerMs = 1000, 6000
 	profile.ConcurrencyLimit, profile.QueueLimit = stormEngines*16, 4096
-	length := o.length(12 * time.Second)
+	duration := o.duration(12 * time.Second)
 	t := trial{
-		shape:    shape{domains: 2, vmsPerDomain: 1, engines: stormEngines, slots: 16, first: 20 * time.Millisecond, between: 5 * time.Millisecond},
+		spec:     deploymentSpec{domains: 2, vmsPerDomain: 1, engines: stormEngines, slots: 16, firstToken: 20 * time.Millisecond, betweenTokens: 5 * time.Millisecond},
 		profiles: []wire.Profile{profile},
 		classes:  []load.Class{{Name: "label", Profile: profile, Rate: 420, MaxTokens: 40}},
-		length:   length,
+		duration: duration,
 		setUp: func(w *demo.World) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetResident("label-1", "", 1, 1<<30)
@@ -40,73 +40,73 @@
 			}
 			time.Sleep(time.Second)
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
-			pause.For(ctx, length/3)
+		injectFaults: func(ctx context.Context, w *demo.World) int {
+			pause.For(ctx, duration/3)
 			w.KillServer("llm-1")
 			w.KillServer("llm-2")
 			return 2
 		},
 	}
-	ours, baseline, err := t.pair(ctx, o)
+	system, baseline, err := t.runPair(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	f := stormFigures{Common: t.common("storm", o, ours)}
-	f.latencies = newLatencies(ours.summary.Total, stormEngines)
-	f.naiveLatencies = naiveLatencies(newLatencies(baseline.summary.Total, stormEngines))
-	f.Amplification = float64(ours.attempts) / float64(ours.summary.Total.Sent)
-	f.NaiveAmplification = float64(baseline.attempts) / float64(baseline.summary.Total.Sent)
-	return f, f.broken()
+	report := stormReport{Common: t.commonReport("storm", o, system)}
+	report.latencyReport = newLatencyReport(system.summary.Total, stormEngines)
+	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, stormEngines))
+	report.Amplification = float64(system.attempts) / float64(system.summary.Total.Sent)
+	report.NaiveAmplification = float64(baseline.attempts) / float64(baseline.summary.Total.Sent)
+	return report, report.violationError()
 }
 
-type streamsFigures struct {
+type streamsReport struct {
 	Common
-	latencies
-	naiveLatencies
-	Whole      float64 `json:"whole_share"`
-	NaiveWhole float64 `json:"naive_whole_share"`
-	Cut        int64   `json:"streams_cut"`
+	latencyReport
+	naiveLatencyReport
+	WholeShare      float64 `json:"whole_share"`
+	NaiveWholeShare float64 `json:"naive_whole_share"`
+	StreamsCut      int64   `json:"streams_cut"`
 }
 
-// streams: connections of streams break, frames come twice and with frames of
-// other attempts, and one server dies; the baseline does not resume.
+// streams breaks connections of streams, repeats frames, mixes in frames of other
+// attempts, and kills one server. The baseline does not resume streams.
 func streams(ctx context.Context, o Options) (Figures, error) {
 	draft, issue := engineProfile("draft", 1, 3), engineProfile("issue", 1, 1)
-	length := o.length(10 * time.Second)
+	duration := o.duration(10 * time.Second)
 	faults := stand.EngineFaults{CutShare: 0.01, CrossShare: 0.02, RepeatShare: 0.02}
 	t := trial{
-		shape:    shape{domains: 2, vmsPerDomain: 1, engines: 4, slots: 32, first: 20 * time.Millisecond, between: 5 * time.Millisecond},
+		spec:     deploymentSpec{domains: 2, vmsPerDomain: 1, engines: 4, slots: 32, firstToken: 20 * time.Millisecond, betweenTokens: 5 * time.Millisecond},
 		profiles: []wire.Profile{draft, issue},
 		classes: []load.Class{
 			{Name: "draft", Profile: draft, Rate: 100, MaxTokens: 60},
 			{Name: "issue", Profile: issue, Rate: 50, MaxTokens: 60},
 		},
-		length: length,
+		duration: duration,
 		setUp: func(w *demo.World) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetFaults(faults)
 			}
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
-			pause.For(ctx, length/2)
+		injectFaults: func(ctx context.Context, w *demo.World) int {
+			pause.For(ctx, duration/2)
 			w.KillServer("llm-3")
 			return 1
 		},
 	}
-	ours, baseline, err := t.pair(ctx, o)
+	system, baseline, err := t.runPair(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	f := streamsFigures{Common: t.common("streams", o, ours)}
-	f.latencies = newLatencies(ours.summary.Total, 4)
-	f.naiveLatencies = naiveLatencies(newLatencies(baseline.summary.Total, 4))
-	f.Whole = wholeShare(ours.summary.Total)
-	f.NaiveWhole = wholeShare(baseline.summary.Total)
-	for _, doc := range ours.world.Servers() {
-		f.Cut += ours.world.Engine(doc.Name).Counts().Cut
+	report := streamsReport{Common: t.commonReport("streams", o, system)}
+	report.latencyReport = newLatencyReport(system.summary.Total, 4)
+	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, 4))
+	report.WholeShare = wholeShare(system.summary.Total)
+	report.NaiveWholeShare = wholeShare(baseline.summary.Total)
+	for _, doc := range system.world.Servers() {
+		report.StreamsCut += system.world.Engine(doc.Name).Counts().Cut
 	}
-	f.FaultsInjected += int(f.Cut)
-	return f, f.broken()
+	report.FaultsInjected += int(report.StreamsCut)
+	return report, report.violationError()
 }
 
 func wholeShare(l load.Line) float64 { return float64(l.Whole) / float64(max(l.Sent, 1)) }
--- a/bench/trial.go
+++ b/bench/trial.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// latencies are the figures of a load, ours or the baseline's.
-type latencies struct {
+// latencyReport contains the attainment and latencies of a load.
+type latencyReport struct {
 	Attainment               float64 `json:"attainment"`
 	AttainmentPerAccelerator float64 `json:"attainment_per_accelerator"`
 	FirstP50                 float64 `json:"first_token_p50_ms"`
@@ -23,8 +23,8 @@
 	GapP99                   float64 `json:"between_tokens_p99_ms"`
 }
 
-// naiveLatencies are latencies under the baseline's keys.
-type naiveLatencies struct {
+// naiveLatencyReport is a latencyReport with the JSON keys of the baseline.
+type naiveLatencyReport struct {
 	Attainment               float64 `json:"naive_attainment"`
 	AttainmentPerAccelerator float64 `json:"naive_attainment_per_accelerator"`
 	FirstP50                 float64 `json:"naive_first_token_p50_ms"`
@@ -35,29 +35,31 @@
 	GapP99                   float64 `json:"naive_between_tokens_p99_ms"`
 }
 
-func newLatencies(l load.Line, accelerators int) latencies {
-	return latencies{
+func newLatencyReport(l load.Line, accelerators int) latencyReport {
+	return latencyReport{
 		Attainment: l.Attained, AttainmentPerAccelerator: l.Attained / float64(accelerators),
 		FirstP50: l.FirstP50, FirstP95: l.FirstP95, FirstP99: l.FirstP99,
 		GapP50: l.GapP50, GapP95: l.GapP95, GapP99: l.GapP99,
 	}
 }
 
-// trial is one deployment under one load.
+// trial is a deployment under a load.
 type trial struct {
-	shape    shape
+	spec     deploymentSpec
 	profiles []wire.Profile
 	classes  []load.Class
-	length   time.Duration
-	// adjust changes the VMs' configuration; setUp the running deployment.
-	adjust func(*entry.Config)
-	setUp  func(*demo.World)
-	// faults runs beside the load and returns how many faults it injected.
-	faults func(ctx context.Context, w *demo.World) int
+	duration time.Duration
+	// adjustConfig changes the configuration of the VMs before they start. setUp
+	// prepares the running deployment before the load.
+	adjustConfig func(*entry.Config)
+	setUp        func(*demo.World)
+	// injectFaults runs concurrently with the load and returns the number of
+	// injected faults.
+	injectFaults func(ctx context.Context, w *demo.World) int
 }
 
-// outcome is what came of a trial.
-type outcome struct {
+// trialResult is the result of a trial.
+type trialResult struct {
 	summary  load.Summary
 	results  []load.Result
 	faults   int
@@ -65,15 +67,15 @@
 	world    *demo.World
 }
 
-// run runs a trial; baseline turns the simple forms on.
-func (t trial) run(ctx context.Context, o Options, baseline bool) (*outcome, error) {
-	adjust := func(c *entry.Config) {
+// run runs the trial. If baseline is set, the VMs run in the baseline mode.
+func (t trial) run(ctx context.Context, o Options, baseline bool) (*trialResult, error) {
+	adjustConfig := func(c *entry.Config) {
 		c.Baseline = baseline
-		if t.adjust != nil {
-			t.adjust(c)
+		if t.adjustConfig != nil {
+			t.adjustConfig(c)
 		}
 	}
-	w, err := t.shape.start(ctx, o, t.profiles, adjust)
+	w, err := t.spec.start(ctx, o, t.profiles, adjustConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -84,18 +86,18 @@
 	daemons := w.VMs()
 	faults := make(chan int, 1)
 	go func() {
-		if t.faults == nil {
+		if t.injectFaults == nil {
 			faults <- 0
 			return
 		}
-		faults <- t.faults(ctx, w)
+		faults <- t.injectFaults(ctx, w)
 	}()
-	out := &outcome{world: w}
-	out.results = w.Send(ctx, t.classes, t.length, o.Seed, nil)
-	out.faults = <-faults
-	out.summary = w.Sum(t.classes, out.results)
+	result := &trialResult{world: w}
+	result.results = w.Send(ctx, t.classes, t.duration, o.Seed, nil)
+	result.faults = <-faults
+	result.summary = w.Sum(t.classes, result.results)
 	for _, d := range daemons {
-		out.attempts += d.Metrics().CounterValue("relay.attempts")
+		result.attempts += d.Metrics().CounterValue("relay.attempts")
 	}
 	if o.Out != nil {
 		name := "ours"
@@ -103,29 +105,29 @@
 			name = "baseline"
 		}
 		fmt.Fprintf(o.Out, "%s:\n", name)
-		if err := out.summary.WriteTable(o.Out); err != nil {
+		if err := result.summary.WriteTable(o.Out); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-// pair runs a trial with the system and with the baseline.
-func (t trial) pair(ctx context.Context, o Options) (ours, baseline *outcome, err error) {
+// runPair runs the trial with the baseline and with the system.
+func (t trial) runPair(ctx context.Context, o Options) (system, baseline *trialResult, err error) {
 	baseline, err = t.run(ctx, o, true)
 	if err != nil {
 		return nil, nil, fmt.Errorf("baseline: %w", err)
 	}
-	ours, err = t.run(ctx, o, false)
+	system, err = t.run(ctx, o, false)
 	if err != nil {
 		return nil, nil, fmt.Errorf("system: %w", err)
 	}
-	return ours, baseline, nil
+	return system, baseline, nil
 }
 
-func (t trial) common(name string, o Options, ours *outcome) Common {
+func (t trial) commonReport(name string, o Options, system *trialResult) Common {
 	return Common{
-		Experiment: name, Seed: o.Seed, Promises: ours.summary.Promises,
-		FaultsInjected: ours.faults, Requests: ours.summary.Total.Sent,
+		Experiment: name, Seed: o.Seed, Promises: system.summary.Promises,
+		FaultsInjected: system.faults, Requests: system.summary.Total.Sent,
 	}
 }
--- a/bench/worst.go
+++ b/bench/worst.go
@@ -14,61 +14,63 @@
 	"github.com/hibiscuscart/hibiscuscart/replay"
 )
 
-// worstFigures set the system at its worst load beside its simplest form, and beside what
-// it would do if it knew or could do more than it can.
-type worstFigures struct {
+// worstReport compares the system under its worst-case load with a naive variant and
+// with idealized variants that have more information or faster loads.
+type worstReport struct {
 	Common
-	// Worth is the part earned of what the requests are worth, WorstSpan the least of any
-	// two seconds.
-	Worth     float64 `json:"worth"`
-	WorstSpan float64 `json:"worst_span_worth"`
-	// Naive sends to any server with the model and moves none.
-	NaiveWorth float64 `json:"naive_worth"`
-	// With exact load each VM knows at once what all have sent; foreseen is the demand of
-	// four seconds later told to the controller; instant loads take 50 ms; the bound has
-	// all three.
-	ExactWorth    float64 `json:"exact_load_worth"`
-	ForeseenWorth float64 `json:"foreseen_worth"`
-	InstantWorth  float64 `json:"instant_loads_worth"`
-	BoundWorth    float64 `json:"bound_worth"`
-	Arrivals      int     `json:"arrivals"`
-	Refused       int     `json:"arrivals_refused"`
-	Loads         int     `json:"loads"`
-	StoreLoads    int     `json:"loads_from_the_weight_store"`
+	// EarnedShare is the earned share of the total value of the requests.
+	// WorstSpanShare is the lowest share in any two seconds.
+	EarnedShare    float64 `json:"worth"`
+	WorstSpanShare float64 `json:"worst_span_worth"`
+	// The naive variant sends to a random server that holds the model and moves no
+	// models.
+	NaiveShare float64 `json:"naive_worth"`
+	// With exact load, each VM immediately has the load sent by all VMs. With foreseen
+	// demand, the controller gets the demand of four seconds later. Instant loads take
+	// 50 ms. The bound combines all three.
+	ExactLoadShare      float64 `json:"exact_load_worth"`
+	ForeseenDemandShare float64 `json:"foreseen_worth"`
+	InstantLoadsShare   float64 `json:"instant_loads_worth"`
+	BoundShare          float64 `json:"bound_worth"`
+	Arrivals            int     `json:"arrivals"`
+	Refused             int     `json:"arrivals_refused"`
+	Loads               int     `json:"loads"`
+	StoreLoads          int     `json:"loads_from_the_weight_store"`
 }
 
-// foreseen is how far ahead the demand is told where it is: about as long as a load takes.
-const foreseen = 4 * time.Second
+// demandLookahead is how far ahead the controller gets the demand in the foreseen
+// variant. It is about the duration of a model load.
+const demandLookahead = 4 * time.Second
 
-// worstVariants are the forms that a load pattern is replayed with.
-var worstVariants = []struct {
+// replayVariants are the variants under which a load pattern is replayed.
+var replayVariants = []struct {
 	name    string
 	variant replay.Variant
 	color   color.Color
 }{
-	{"as it is", replay.Variant{}, color.RGBA{R: 200, G: 30, B: 30, A: 255}},
+	{"actual system", replay.Variant{}, color.RGBA{R: 200, G: 30, B: 30, A: 255}},
 	{"naive", replay.Variant{Random: true, Still: true}, color.Gray{Y: 140}},
 	{"exact load", replay.Variant{Exact: true}, color.RGBA{R: 30, G: 80, B: 190, A: 255}},
-	{"foreseen demand", replay.Variant{Foreseen: foreseen}, color.RGBA{R: 220, G: 150, A: 255}},
+	{"foreseen demand", replay.Variant{Foreseen: demandLookahead}, color.RGBA{R: 220, G: 150, A: 255}},
 	{"instant loads", replay.Variant{Instant: true}, color.RGBA{R: 120, B: 120, A: 255}},
-	{"all three", replay.Variant{Exact: true, Foreseen: foreseen, Instant: true}, color.RGBA{G: 140, B: 60, A: 255}},
+	{"all three", replay.Variant{Exact: true, Foreseen: demandLookahead, Instant: true}, color.RGBA{G: 140, B: 60, A: 255}},
 }
 
-// worst returns the experiment of a load pattern.
+// worst returns the experiment that replays a load pattern.
 func worst(pattern string) func(context.Context, Options) (Figures, error) {
 	return func(_ context.Context, o Options) (Figures, error) {
 		p, err := replay.Named(pattern)
 		if err != nil {
 			return nil, fmt.Errorf("find load pattern: %w", err)
 		}
-		p.Length = o.length(p.Length)
-		tallies := make([]*replay.Tally, len(worstVariants))
+		p.Length = o.duration(p.Length)
+		tallies := make([]*replay.Tally, len(replayVariants))
 		var group sync.WaitGroup
-		for i, v := range worstVariants {
+		for i, v := range replayVariants {
 			group.Go(func() { tallies[i] = replay.Play(p, v.variant, o.Seed) })
 		}
 		group.Wait()
-		for i, v := range worstVariants {
+		for i, v := range replayVariants {
 			fmt.Fprintf(o.Out, "%s:\n%s\n", v.name, tallies[i])
 		}
 		if o.Plot != "" {
@@ -76,50 +78,50 @@
 				return nil, err
 			}
 		}
-		return worstOf(pattern, o, p, tallies), nil
+		return newWorstReport(pattern, o, p, tallies), nil
 	}
 }
 
-func worstOf(pattern string, o Options, p replay.Pattern, tallies []*replay.Tally) worstFigures {
-	ours := tallies[0]
-	f := worstFigures{
-		Common: Common{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: ours.Total().Asked},
-		Worth:  ours.Worth(), WorstSpan: ours.WorstSpan(),
-		NaiveWorth: tallies[1].Worth(), ExactWorth: tallies[2].Worth(), ForeseenWorth: tallies[3].Worth(),
-		InstantWorth: tallies[4].Worth(), BoundWorth: tallies[5].Worth(),
+func newWorstReport(pattern string, o Options, p replay.Pattern, tallies []*replay.Tally) worstReport {
+	system := tallies[0]
+	report := worstReport{
+		Common:      Common{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: system.Total().Asked},
+		EarnedShare: system.Worth(), WorstSpanShare: system.WorstSpan(),
+		NaiveShare: tallies[1].Worth(), ExactLoadShare: tallies[2].Worth(), ForeseenDemandShare: tallies[3].Worth(),
+		InstantLoadsShare: tallies[4].Worth(), BoundShare: tallies[5].Worth(),
 	}
-	f.Refused, f.Arrivals = ours.Refusals()
-	f.Loads, f.StoreLoads = ours.Loads()
-	return f
+	report.Refused, report.Arrivals = system.Refusals()
+	report.Loads, report.StoreLoads = system.Loads()
+	return report
 }
 
-// plotWorst draws the part earned by time.
+// plotWorst plots the earned share over time.
 func plotWorst(path, pattern string, tallies []*replay.Tally) error {
 	p := plot.New()
-	p.Title.Text = "Part earned of what is asked, pattern " + pattern
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "part earned"
+	p.Title.Text = "Earned share of requested value, pattern " + pattern
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "earned share"
 	p.Y.Min, p.Y.Max = 0, 1
-	for i, v := range worstVariants {
+	for i, v := range replayVariants {
 		var points plotter.XYs
-		for at, worth := range tallies[i].ByTime() {
-			points = append(points, plotter.XY{X: at.Seconds(), Y: worth})
+		for at, share := range tallies[i].ByTime() {
+			points = append(points, plotter.XY{X: at.Seconds(), Y: share})
 		}
-		drawn, err := plotter.NewLine(points)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return fmt.Errorf("plot %s: %w", v.name, err)
 		}
-		drawn.Color, drawn.Width = v.color, vg.Points(1.5)
-		p.Add(drawn)
-		p.Legend.Add(v.name, drawn)
+		line.Color, line.Width = v.color, vg.Points(1.5)
+		p.Add(line)
+		p.Legend.Add(v.name, line)
 	}
-	if err := p.Save(pictureWidth, pictureHeight, path); err != nil {
-		return fmt.Errorf("write picture: %w", err)
+	if err := p.Save(plotWidth, plotHeight, path); err != nil {
+		return fmt.Errorf("write plot: %w", err)
 	}
 	return nil
 }
 
-// Size of a picture.
+// Size of a plot.
 const (
-	pictureWidth  = 24 * vg.Centimeter
-	pictureHeight = 12 * vg.Centimeter
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 12 * vg.Centimeter
 )
