--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -27,9 +27,9 @@
 	AddedP99Ms   float64 `json:"added_p99_ms"`
 	// The CPU times are those of the whole process: simulated engine, gateway and
 	// caller. The difference is the cost of the gateway and one more hop.
-	DirectCPUUsPerToken  float64 `json:"direct_cpu_us_per_token"`
-	GatewayCPUUsPerToken float64 `json:"gateway_cpu_us_per_token"`
-	AddedCPUUsPerToken   float64 `json:"added_cpu_us_per_token"`
+	DirectCPUMicrosPerToken  float64 `json:"direct_cpu_us_per_token"`
+	GatewayCPUMicrosPerToken float64 `json:"gateway_cpu_us_per_token"`
+	AddedCPUMicrosPerToken   float64 `json:"added_cpu_us_per_token"`
 }
 
 const (
@@ -92,15 +92,15 @@
 		}
 		tokens += count
 	}
-	report.DirectCPUUsPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
+	report.DirectCPUMicrosPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
 	start = cpuTime()
 	for n := range longAnswers {
 		if err := c.callGateway(ctx, fmt.Sprint("long ", n), longTokens); err != nil {
 			return err
 		}
 	}
-	report.GatewayCPUUsPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
-	report.AddedCPUUsPerToken = report.GatewayCPUUsPerToken - report.DirectCPUUsPerToken
+	report.GatewayCPUMicrosPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
+	report.AddedCPUMicrosPerToken = report.GatewayCPUMicrosPerToken - report.DirectCPUMicrosPerToken
 	return nil
 }
 
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -204,8 +204,8 @@
 	return report, report.violationError()
 }
 
-// pooledBound returns an upper bound of the attainment. It treats the slots of all
-// servers as one pool that holds every model. Each request starts in the slot that
+// pooledBound returns the attainment with full knowledge, as a bound for placements.
+// It treats the slots of all servers as one pool that holds every model. Each request starts in the slot that
 // is free first if it still meets its target, and is dropped otherwise. No
 // placement can have a slot free earlier.
 func pooledBound(arrivals []load.Arrival, classes []load.Class, slots int) float64 {
