--- a/bench/availability.go
+++ b/bench/availability.go
@@ -14,7 +14,7 @@
 )
 
 type availabilityReport struct {
-	Common
+	CommonReport
 	Attainment       float64 `json:"attainment"`
 	OnceAttainment   float64 `json:"once_attainment"`
 	NotRun           int     `json:"not_run"`
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	report.Common = t.commonReport(name, o, result)
+	report.CommonReport = t.commonReport(name, o, result)
 	report.Attainment, report.OnceAttainment = result.summary.Total.Attained, result.summary.Classes[1].Attained
 	report.NotRun, report.Unknown = result.summary.Total.NotRun, result.summary.Total.Unknown
 	return nil
@@ -80,7 +80,7 @@
 
 // outage makes the platform unavailable for most of the run. A VM is replaced in
 // the meantime by a fresh one, which can get its configuration only from its peers.
-func outage(ctx context.Context, o Options) (Figures, error) {
+func outage(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(16 * time.Second)
 	t := newAvailabilityTrial(duration)
 	var report availabilityReport
@@ -125,7 +125,7 @@
 }
 
 // rolling replaces all VMs one after the other under load.
-func rolling(ctx context.Context, o Options) (Figures, error) {
+func rolling(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(24 * time.Second)
 	t := newAvailabilityTrial(duration)
 	var report availabilityReport
@@ -157,7 +157,7 @@
 // partition disconnects a failure domain from the others and from the platform,
 // first one way and then both, while a profile changes. Then it reconnects the
 // links.
-func partition(ctx context.Context, o Options) (Figures, error) {
+func partition(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(24 * time.Second)
 	t := newAvailabilityTrial(duration)
 	var report availabilityReport
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -17,28 +17,28 @@
 // Options configure an experiment.
 type Options struct {
 	Seed uint64
-	// For is the duration of the load; 0 selects the experiment's default.
-	For time.Duration
+	// Duration is how long the load runs; 0 selects the experiment's default.
+	Duration time.Duration
 	// Out receives progress and tables.
 	Out io.Writer
-	// Plot is the path of the plot file, or "" for none. Only the replay experiments
+	// PlotPath is the path of the plot file, or "" for none. Only the replay experiments
 	// write one.
-	Plot string
+	PlotPath string
 }
 
-// duration returns the duration of the load.
+// duration returns Duration, or defaultDuration if Duration is 0.
 func (o Options) duration(defaultDuration time.Duration) time.Duration {
-	if o.For > 0 {
-		return o.For
+	if o.Duration > 0 {
+		return o.Duration
 	}
 	return defaultDuration
 }
 
-// Figures is the report of an experiment. It is encoded as one JSON object.
-type Figures any
+// Report contains the results of an experiment. It is encoded as one JSON object.
+type Report any
 
-// Common contains the fields that every report has.
-type Common struct {
+// CommonReport contains the fields that every report has.
+type CommonReport struct {
 	Experiment string `json:"experiment"`
 	Seed       uint64 `json:"seed"`
 	load.Promises
@@ -52,7 +52,7 @@
 type Experiment struct {
 	Name    string
 	Summary string
-	Run     func(ctx context.Context, o Options) (Figures, error)
+	Run     func(ctx context.Context, o Options) (Report, error)
 }
 
 // experiments lists all experiments.
@@ -92,7 +92,7 @@
 }
 
 // violationError returns an error if guarantees were violated.
-func (c Common) violationError() error {
+func (c CommonReport) violationError() error {
 	if n := c.Broken(); n > 0 {
 		return fmt.Errorf("%d guarantee violations: %+v", n, c.Promises)
 	}
--- a/bench/control.go
+++ b/bench/control.go
@@ -17,7 +17,7 @@
 
 // takeoverReport contains the recovery times of a controller and of models.
 type takeoverReport struct {
-	Common
+	CommonReport
 	TakeoverMeanMs   float64 `json:"takeover_ms"`
 	TakeoverWorstMs  float64 `json:"takeover_worst_ms"`
 	ReachableAgainMs float64 `json:"reachable_again_ms"`
@@ -34,7 +34,7 @@
 
 // takeover kills the controller of a failure domain repeatedly, then a server that
 // holds the only copies of models.
-func takeover(ctx context.Context, o Options) (Figures, error) {
+func takeover(ctx context.Context, o Options) (Report, error) {
 	spec := deploymentSpec{
 		domains: 1, vmsPerDomain: takeoverCount + 1, engines: 4, slots: 32, firstToken: 10 * time.Millisecond, betweenTokens: 2 * time.Millisecond,
 		orderLateness: 2 * time.Second,
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	defer w.Close()
-	report := takeoverReport{Common: Common{Experiment: "takeover", Seed: o.Seed}}
+	report := takeoverReport{CommonReport: CommonReport{Experiment: "takeover", Seed: o.Seed}}
 	totalMs := 0.0
 	for range takeoverCount {
 		tookMs, err := killController(ctx, w)
@@ -125,7 +125,7 @@
 }
 
 type lateOrdersReport struct {
-	Common
+	CommonReport
 	Moves      int     `json:"moves"`
 	LateOrders int64   `json:"late_orders"`
 	Attainment float64 `json:"attainment"`
@@ -134,7 +134,7 @@
 // lateOrders delivers orders late, twice or not at all to engines that ignore
 // fencing tokens, while demand shifts from model to model and a controller is
 // killed.
-func lateOrders(ctx context.Context, o Options) (Figures, error) {
+func lateOrders(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(20 * time.Second)
 	profile := engineProfile("label", 6, 3)
 	profile.AttainmentWeight, profile.ConcurrencyLimit = 0.95, 1000
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := lateOrdersReport{Common: t.commonReport("late_orders", o, result), Moves: result.world.Moves(), Attainment: result.summary.Total.Attained}
+	report := lateOrdersReport{CommonReport: t.commonReport("late_orders", o, result), Moves: result.world.Moves(), Attainment: result.summary.Total.Attained}
 	// The crash of the killed VM cuts off the answers in progress, which does not
 	// violate the guarantee for a shutdown.
 	report.LostAnswers = 0
--- a/bench/flood.go
+++ b/bench/flood.go
@@ -10,7 +10,7 @@
 )
 
 type floodReport struct {
-	Common
+	CommonReport
 	latencyReport
 	naiveLatencyReport
 	QuietAttainment      float64 `json:"quiet_attainment"`
@@ -32,7 +32,7 @@
 // flood makes one caller send as many requests in half a second as the servers can
 // answer in about twelve seconds. A second caller sends few requests and a third
 // half of what the servers can handle. All use one profile.
-func flood(ctx context.Context, o Options) (Figures, error) {
+func flood(ctx context.Context, o Options) (Report, error) {
 	profile := engineProfile("label", 2, 3)
 	profile.FirstTokenMs, profile.WholeAnswerMs = 1000, 8000
 	profile.ConcurrencyLimit, profile.QueueLimit = floodEngines*floodSlots, 8192
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := floodReport{Common: t.commonReport("flood", o, system)}
+	report := floodReport{CommonReport: t.commonReport("flood", o, system)}
 	report.FaultsInjected = 1 // the flood
 	report.latencyReport = newLatencyReport(system.summary.Total, floodEngines)
 	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, floodEngines))
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -11,7 +11,7 @@
 )
 
 type leaveReport struct {
-	Common
+	CommonReport
 	latencyReport
 	NewWorkAfterLeaveMs   float64 `json:"new_work_after_leave_ms"`
 	StoppedVMs            int     `json:"stopped_vms"`
@@ -23,7 +23,7 @@
 // leave marks a backend server as leaving and stops two VMs in turn under a full
 // load of streams. Only the server's document on the platform announces that it
 // leaves. The baseline stops its VMs without draining.
-func leave(ctx context.Context, o Options) (Figures, error) {
+func leave(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(10 * time.Second)
 	profile := engineProfile("label", 1, 3)
 	report := leaveReport{StoppedVMs: 2}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report.Common = t.commonReport("leave", o, system)
+	report.CommonReport = t.commonReport("leave", o, system)
 	report.latencyReport = newLatencyReport(system.summary.Total, 4)
 	report.CutOffInShutdown = countCutOff(system.results, stopped)
 	report.NewWorkAfterLeaveMs = float64(system.world.Engine("llm-1").LastStart().Sub(leftAt)) / float64(time.Millisecond)
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -30,7 +30,7 @@
 }
 
 type controlReport struct {
-	Common
+	CommonReport
 	fleetCost
 	Sizes []fleetCost `json:"sizes"`
 }
@@ -92,8 +92,8 @@
 
 // control runs the control plane of fleets of increasing size and measures its cost
 // per VM. Each VM is a daemon with its own links; all run in one process.
-func control(ctx context.Context, o Options) (Figures, error) {
-	report := controlReport{Common: Common{Experiment: "control", Seed: o.Seed}}
+func control(ctx context.Context, o Options) (Report, error) {
+	report := controlReport{CommonReport: CommonReport{Experiment: "control", Seed: o.Seed}}
 	for _, n := range fleetSizes {
 		cost, err := measureFleet(ctx, o, n)
 		if err != nil {
@@ -198,7 +198,7 @@
 }
 
 type spreadReport struct {
-	Common
+	CommonReport
 	Nodes       int     `json:"nodes"`
 	ActiveP50Ms float64 `json:"in_force_p50_ms"`
 	ActiveP99Ms float64 `json:"in_force_p99_ms"`
@@ -206,7 +206,7 @@
 
 // spread measures the time until a profile change is active on all VMs while a
 // failure domain cannot reach the platform.
-func spread(ctx context.Context, o Options) (Figures, error) {
+func spread(ctx context.Context, o Options) (Report, error) {
 	const n = 100
 	w, err := startFleet(ctx, o, n)
 	if err != nil {
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := spreadReport{Common: Common{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.CutNodes)}, Nodes: n}
+	report := spreadReport{CommonReport: CommonReport{Experiment: "spread", Seed: o.Seed, FaultsInjected: len(faults.CutNodes)}, Nodes: n}
 	report.ActiveP50Ms, report.ActiveP99Ms = quantileMs(latencies, 50), quantileMs(latencies, 99)
 	return report, nil
 }
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -18,7 +18,7 @@
 
 // overheadReport compares calls through the gateway with direct calls.
 type overheadReport struct {
-	Common
+	CommonReport
 	DirectP50Ms  float64 `json:"direct_p50_ms"`
 	DirectP99Ms  float64 `json:"direct_p99_ms"`
 	GatewayP50Ms float64 `json:"gateway_p50_ms"`
@@ -40,7 +40,7 @@
 
 // overhead calls one engine directly and through one VM in turn. It makes one call
 // at a time, so that no call queues behind another.
-func overhead(ctx context.Context, o Options) (Figures, error) {
+func overhead(ctx context.Context, o Options) (Report, error) {
 	spec := deploymentSpec{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, firstToken: time.Millisecond, betweenTokens: 100 * time.Microsecond}
 	w, err := spec.start(ctx, o, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	direct, gateway := newMicrosecondHistogram(), newMicrosecondHistogram()
 	client := &overheadClient{world: w, engines: engine.New()}
-	report := overheadReport{Common: Common{Experiment: "overhead", Seed: o.Seed}}
+	report := overheadReport{CommonReport: CommonReport{Experiment: "overhead", Seed: o.Seed}}
 	deadline := time.Now().Add(o.duration(5 * time.Second))
 	for n := 0; n < overheadMinPairs || time.Now().Before(deadline); n++ {
 		directTook, gatewayTook, err := client.measurePair(ctx, n)
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -67,7 +67,7 @@
 }
 
 func TestOverheadRuns(t *testing.T) {
-	figures, err := overhead(context.Background(), Options{Seed: 1, For: 300 * time.Millisecond})
+	figures, err := overhead(context.Background(), Options{Seed: 1, Duration: 300 * time.Millisecond})
 	require.NoError(t, err)
 	require.Zero(t, figures.(overheadReport).Broken())
 	require.Positive(t, figures.(overheadReport).GatewayP50Ms)
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -19,7 +19,7 @@
 
 // placementReport compares placements under one load.
 type placementReport struct {
-	Common
+	CommonReport
 	latencyReport
 	Moves               int     `json:"moves"`
 	BoundPerAccelerator float64 `json:"bound_attainment_per_accelerator"`
@@ -191,7 +191,7 @@
 	}
 	bound := pooledBound(load.Schedule(o.Seed, p.duration, p.classes(profiles)), p.classes(profiles), engines*placementSlots)
 	report := placementReport{
-		Common: Common{
+		CommonReport: CommonReport{
 			Experiment: name, Seed: o.Seed, Promises: planned.summary.Promises,
 			FaultsInjected: len(p.peaks), Requests: planned.summary.Total.Sent,
 		},
@@ -246,7 +246,7 @@
 
 // vadodara floods three of the 13 models of the deployment in turn with about twice
 // what two servers can answer.
-func vadodara(ctx context.Context, o Options) (Figures, error) {
+func vadodara(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(30 * time.Second)
 	p := placementTrial{
 		deployment: "vadodara", duration: duration, baseRate: 2,
@@ -260,7 +260,7 @@
 }
 
 // shift moves all demand from some models to others at once.
-func shift(ctx context.Context, o Options) (Figures, error) {
+func shift(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(24 * time.Second)
 	p := placementTrial{
 		deployment: "vadodara", duration: duration, baseRate: 1,
@@ -275,7 +275,7 @@
 // vidzeme shifts demand among the 20 models of the deployment; each is requested
 // for a while by the callers of one failure domain. The baseline swaps models like
 // a cache.
-func vidzeme(ctx context.Context, o Options) (Figures, error) {
+func vidzeme(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(30 * time.Second)
 	p := placementTrial{deployment: "vidzeme", duration: duration, baseRate: 1.5}
 	names := []string{"panel-condition", "textile-condition", "binding-treatment", "solvent-advice", "assessor-summary"}
--- a/bench/repeat.go
+++ b/bench/repeat.go
@@ -21,7 +21,7 @@
 
 // repeatReport compares batched claims with one store write per claim.
 type repeatReport struct {
-	Common
+	CommonReport
 	ClaimsPerSecond           float64 `json:"claims_per_second"`
 	StoreWritesPerSecond      float64 `json:"store_writes_per_second"`
 	ClaimP50Ms                float64 `json:"claim_p50_ms"`
@@ -105,9 +105,9 @@
 // repeat measures claims against a platform that answers in 5 ms and allows several
 // hundred writes per second, then claims under faults: lost answers, an outage, and
 // two VMs that both act as the owner of the shard.
-func repeat(ctx context.Context, o Options) (Figures, error) {
+func repeat(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(9*time.Second) / 3
-	report := repeatReport{Common: Common{Experiment: "repeat", Seed: o.Seed}}
+	report := repeatReport{CommonReport: CommonReport{Experiment: "repeat", Seed: o.Seed}}
 	runs := &stand.Runs{}
 
 	batched, elapsed, writes := runRepeatPhase(ctx, duration, nil, func(c *store.Client) *claimWorkers {
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -12,7 +12,7 @@
 )
 
 type stormReport struct {
-	Common
+	CommonReport
 	latencyReport
 	naiveLatencyReport
 	Amplification      float64 `json:"amplification"`
@@ -23,7 +23,7 @@
 
 // storm kills a third of the servers under load. The remaining servers are
 // overloaded and refuse requests.
-func storm(ctx context.Context, o Options) (Figures, error) {
+func storm(ctx context.Context, o Options) (Report, error) {
 	profile := engineProfile("label", 1, 3)
 	profile.FirstTokenMs, profile.WholeAnswerMs = 1000, 6000
 	profile.ConcurrencyLimit, profile.QueueLimit = stormEngines*16, 4096
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := stormReport{Common: t.commonReport("storm", o, system)}
+	report := stormReport{CommonReport: t.commonReport("storm", o, system)}
 	report.latencyReport = newLatencyReport(system.summary.Total, stormEngines)
 	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, stormEngines))
 	report.Amplification = float64(system.attempts) / float64(system.summary.Total.Sent)
@@ -60,7 +60,7 @@
 }
 
 type streamsReport struct {
-	Common
+	CommonReport
 	latencyReport
 	naiveLatencyReport
 	WholeShare      float64 `json:"whole_share"`
@@ -70,7 +70,7 @@
 
 // streams breaks connections of streams, repeats frames, mixes in frames of other
 // attempts, and kills one server. The baseline does not resume streams.
-func streams(ctx context.Context, o Options) (Figures, error) {
+func streams(ctx context.Context, o Options) (Report, error) {
 	draft, issue := engineProfile("draft", 1, 3), engineProfile("issue", 1, 1)
 	duration := o.duration(10 * time.Second)
 	faults := stand.EngineFaults{CutShare: 0.01, CrossShare: 0.02, RepeatShare: 0.02}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := streamsReport{Common: t.commonReport("streams", o, system)}
+	report := streamsReport{CommonReport: t.commonReport("streams", o, system)}
 	report.latencyReport = newLatencyReport(system.summary.Total, 4)
 	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, 4))
 	report.WholeShare = wholeShare(system.summary.Total)
--- a/bench/trial.go
+++ b/bench/trial.go
@@ -125,8 +125,8 @@
 	return system, baseline, nil
 }
 
-func (t trial) commonReport(name string, o Options, system *trialResult) Common {
-	return Common{
+func (t trial) commonReport(name string, o Options, system *trialResult) CommonReport {
+	return CommonReport{
 		Experiment: name, Seed: o.Seed, Promises: system.summary.Promises,
 		FaultsInjected: system.faults, Requests: system.summary.Total.Sent,
 	}
--- a/bench/worst.go
+++ b/bench/worst.go
@@ -17,7 +17,7 @@
 // worstReport compares the system under its worst-case load with a naive variant and
 // with idealized variants that have more information or faster loads.
 type worstReport struct {
-	Common
+	CommonReport
 	// EarnedShare is the earned share of the total value of the requests.
 	// WorstSpanShare is the lowest share in any two seconds.
 	EarnedShare    float64 `json:"worth"`
@@ -57,8 +57,8 @@
 }
 
 // worst returns the experiment that replays a load pattern.
-func worst(pattern string) func(context.Context, Options) (Figures, error) {
-	return func(_ context.Context, o Options) (Figures, error) {
+func worst(pattern string) func(context.Context, Options) (Report, error) {
+	return func(_ context.Context, o Options) (Report, error) {
 		p, err := replay.Named(pattern)
 		if err != nil {
 			return nil, fmt.Errorf("find load pattern: %w", err)
@@ -73,8 +73,8 @@
 		for i, v := range replayVariants {
 			fmt.Fprintf(o.Out, "%s:\n%s\n", v.name, tallies[i])
 		}
-		if o.Plot != "" {
-			if err := plotWorst(o.Plot, pattern, tallies); err != nil {
+		if o.PlotPath != "" {
+			if err := plotWorst(o.PlotPath, pattern, tallies); err != nil {
 				return nil, err
 			}
 		}
@@ -85,8 +85,8 @@
 func newWorstReport(pattern string, o Options, p replay.Pattern, tallies []*replay.Tally) worstReport {
 	system := tallies[0]
 	report := worstReport{
-		Common:      Common{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: system.Total().Asked},
-		EarnedShare: system.Worth(), WorstSpanShare: system.WorstSpan(),
+		CommonReport: CommonReport{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: system.Total().Asked},
+		EarnedShare:  system.Worth(), WorstSpanShare: system.WorstSpan(),
 		NaiveShare: tallies[1].Worth(), ExactLoadShare: tallies[2].Worth(), ForeseenDemandShare: tallies[3].Worth(),
 		InstantLoadsShare: tallies[4].Worth(), BoundShare: tallies[5].Worth(),
 	}
--- a/cmd/hibiscuscart/bench.go
+++ b/cmd/hibiscuscart/bench.go
@@ -27,8 +27,8 @@
 	opts := bench.Options{Out: os.Stdout}
 	list := fs.Bool("list", false, "print the names of the experiments")
 	fs.Uint64Var(&opts.Seed, "seed", 1, "`SEED` of the load and the faults")
-	fs.DurationVar(&opts.For, "for", 0, "`DURATION` of the load; each experiment has its own default")
-	fs.StringVar(&opts.Plot, "plot", "", "write a plot to this `FILE` (.png, .svg or .pdf); worst_ experiments only")
+	fs.DurationVar(&opts.Duration, "for", 0, "`DURATION` of the load; each experiment has its own default")
+	fs.StringVar(&opts.PlotPath, "plot", "", "write a plot to this `FILE` (.png, .svg or .pdf); worst_ experiments only")
 	// The name may precede or follow the flags.
 	name := ""
 	if len(args) > 0 && !strings.HasPrefix(args[0], "-") {
