--- /dev/null
+++ b/bench/availability.go
@@ -0,0 +1,205 @@
+package bench
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/hibiscuscart/hibiscuscart/demo"
+	"github.com/hibiscuscart/hibiscuscart/entry"
+	"github.com/hibiscuscart/hibiscuscart/load"
+	"github.com/hibiscuscart/hibiscuscart/pause"
+	"github.com/hibiscuscart/hibiscuscart/stand"
+	"github.com/hibiscuscart/hibiscuscart/wire"
+)
+
+type availabilityReport struct {
+	CommonReport
+	Attainment       float64 `json:"attainment"`
+	OnceAttainment   float64 `json:"once_attainment"`
+	NotRun           int     `json:"not_run"`
+	Unknown          int     `json:"unknown"`
+	ReplacedVMs      int     `json:"replaced_vms"`
+	FreshVMReadyMs   float64 `json:"fresh_vm_ready_ms"`
+	ConvergedAfterMs float64 `json:"converged_after_ms"`
+}
+
+// newAvailabilityTrial returns a trial with three failure domains and requests to
+// both engines and services.
+func newAvailabilityTrial(duration time.Duration) trial {
+	draft, desk := engineProfile("draft", 2, 3), serviceProfile("desk", 1)
+	return trial{
+		spec: deploymentSpec{
+			domains: 3, vmsPerDomain: 2, engines: 6, services: 3, slots: 32, firstToken: 10 * time.Millisecond, betweenTokens: 3 * time.Millisecond,
+		},
+		profiles: []wire.Profile{draft, desk},
+		classes: []load.Class{
+			{Name: "draft", Profile: draft, Rate: 80, MaxTokens: 30},
+			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, RepeatShare: 0.1},
+		},
+		duration: duration,
+		setUp: func(w *demo.World) {
+			for _, doc := range w.Servers() {
+				if e := w.Engine(doc.Name); e != nil {
+					e.SetResident("draft-1", "", 1, 1<<30)
+					e.SetResident("draft-2", "", 1, 1<<30)
+				}
+			}
+			time.Sleep(2 * time.Second)
+		},
+	}
+}
+
+func (t trial) runAvailability(ctx context.Context, o Options, name string, report *availabilityReport) error {
+	result, err := t.run(ctx, o, false)
+	if err != nil {
+		return err
+	}
+	report.CommonReport = t.commonReport(name, o, result)
+	report.Attainment, report.OnceAttainment = result.summary.Total.Attainment, result.summary.Classes[1].Attainment
+	report.NotRun, report.Unknown = result.summary.Total.NotRun, result.summary.Total.Unknown
+	return nil
+}
+
+// countVersionDecreases samples the version of a profile on every VM. The returned
+// function stops sampling and returns how often a version decreased.
+func countVersionDecreases(w *demo.World, profile string) func() int {
+	lastVersions := make(map[*entry.Daemon]int)
+	return sampleSum(10*time.Millisecond, func() int {
+		decreases := 0
+		for _, d := range w.VMs() {
+			v := d.ProfileVersion(profile)
+			if v < lastVersions[d] {
+				decreases++
+			}
+			lastVersions[d] = v
+		}
+		return decreases
+	})
+}
+
+// outage makes the platform unavailable for most of the run. A VM is replaced in
+// the meantime by a fresh one, which can get its configuration only from its peers.
+func outage(ctx context.Context, o Options) (Report, error) {
+	duration := o.duration(16 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var readyAfter time.Duration
+	var failure error
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+		pause.For(ctx, duration/8)
+		w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
+		pause.For(ctx, duration/4)
+		readyAfter, failure = replaceVM(ctx, w, "domain-1-1")
+		pause.For(ctx, duration/4)
+		w.Platform.SetFaults(stand.PlatformFaults{})
+		return 2
+	}
+	if err := t.runAvailability(ctx, o, "outage", &report); err != nil {
+		return nil, err
+	}
+	if failure != nil {
+		return nil, failure
+	}
+	report.ReplacedVMs, report.FreshVMReadyMs = 1, float64(readyAfter.Milliseconds())
+	return report, report.violationError()
+}
+
+// replaceVM stops a VM gracefully and starts a fresh one with the same name. It
+// returns the time until the new VM is ready.
+func replaceVM(ctx context.Context, w *demo.World, name string) (time.Duration, error) {
+	stop, cancel := context.WithTimeout(ctx, stopTimeout)
+	defer cancel()
+	if err := w.StopVM(stop, name); err != nil {
+		return 0, fmt.Errorf("stop %s: %w", name, err)
+	}
+	start := time.Now()
+	d, err := w.RestartVM(ctx, name)
+	if err != nil {
+		return 0, err
+	}
+	if !waitUntil(ctx, d.Ready) {
+		return 0, fmt.Errorf("%s did not become ready", name)
+	}
+	return time.Since(start), nil
+}
+
+// rolling replaces all VMs one after the other under load.
+func rolling(ctx context.Context, o Options) (Report, error) {
+	duration := o.duration(24 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var worstReady time.Duration
+	var failure error
+	names := []string{"domain-1-1", "domain-2-1", "domain-3-1", "domain-1-2", "domain-2-2", "domain-3-2"}
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+		for _, name := range names {
+			pause.For(ctx, duration/16)
+			ready, err := replaceVM(ctx, w, name)
+			if err != nil {
+				failure = err
+				return 0
+			}
+			worstReady = max(worstReady, ready)
+		}
+		return len(names)
+	}
+	if err := t.runAvailability(ctx, o, "rolling", &report); err != nil {
+		return nil, err
+	}
+	if failure != nil {
+		return nil, failure
+	}
+	report.ReplacedVMs, report.FreshVMReadyMs = len(names), float64(worstReady.Milliseconds())
+	return report, report.violationError()
+}
+
+// partition disconnects a failure domain from the others and from the platform,
+// first one way and then both, while a profile changes. Then it reconnects the
+// links.
+func partition(ctx context.Context, o Options) (Report, error) {
+	duration := o.duration(24 * time.Second)
+	t := newAvailabilityTrial(duration)
+	var report availabilityReport
+	var convergedAfter time.Duration
+	var failure error
+	reverts := 0
+	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+		stop := countVersionDecreases(w, "draft")
+		defer func() { reverts = stop() }()
+		inside, outside := w.Split("domain-3")
+		cut := func(on, both bool) {
+			for _, a := range inside {
+				for _, b := range outside {
+					w.SetCut(a, b, on)
+					w.SetCut(b, a, on && both)
+				}
+			}
+		}
+		pause.For(ctx, duration/8)
+		cut(true, false)
+		pause.For(ctx, duration/8)
+		cut(true, true)
+		doc := t.profiles[0]
+		doc.Priority = 7
+		failure = w.ApplyProfile(doc)
+		pause.For(ctx, duration/4)
+		cut(false, false)
+		obj, _ := w.Platform.Get("profiles", "draft")
+		start := time.Now()
+		if !waitUntil(ctx, func() bool { return countActive(w, "draft", obj.Version) == len(w.VMs()) }) {
+			failure = fmt.Errorf("the profile change is not active on all VMs after the partition")
+		}
+		convergedAfter = time.Since(start)
+		return 2 * len(inside) * len(outside)
+	}
+	if err := t.runAvailability(ctx, o, "partition", &report); err != nil {
+		return nil, err
+	}
+	if failure != nil {
+		return nil, failure
+	}
+	report.ConfigReverts = reverts
+	report.ConvergedAfterMs = float64(convergedAfter.Milliseconds())
+	return report, report.violationError()
+}
