--- a/trail/line.go
+++ b/trail/line.go
@@ -1,7 +1,6 @@
-// Package trail reads the log lines that the processes of a deployment write and tells
-// from them which requests were lost or late and why. It takes lines, in any order and
-// from any number of VMs together, and gives tables, the way of one request and plots.
-// It decides nothing in the system itself.
+// Package trail analyzes the log lines of a deployment's processes and reports which requests
+// were lost or late, and why. It reads lines of any number of VMs, in any order, and writes
+// tables, the timeline of a single request, and plots. The running system does not use it.
 package trail
 
 import (
@@ -13,19 +12,18 @@
 	"time"
 )
 
-// Messages of the lines that are looked at.
+// Messages of the log lines that are evaluated.
 const (
-	messageRequest = "request"
-	messageTry     = "try failed"
-	messageOrder   = "order"
-	messageServer  = "server changed"
-	messageRemoved = "server removed"
-	messageSilent  = "server silent"
+	messageRequest       = "request"
+	messageAttemptFailed = "try failed"
+	messageOrder         = "order"
+	messageServerChanged = "server changed"
+	messageServerRemoved = "server removed"
+	messageServerSilent  = "server silent"
 )
 
-// line is one log line. Times without a unit in their name are milliseconds, as zerolog
-// writes durations.
-type line struct {
+// logLine is a parsed log line. Durations are in milliseconds, as zerolog writes them.
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"message"`
 	VM      string    `json:"vm"`
@@ -55,31 +53,30 @@
 	Verdict int    `json:"verdict"`
 }
 
-// Errors of lines that are passed over.
+// Errors of lines that are skipped.
 var (
-	errNoObject = errors.New("no JSON object")
-	errCut      = errors.New("cut off")
-	errTooLong  = errors.New("longer than a line may be")
-	errNoTime   = errors.New("no time or message")
+	errNoJSONObject    = errors.New("no JSON object")
+	errTruncated       = errors.New("cut off")
+	errTooLong         = errors.New("longer than the maximum line length")
+	errNoTimeOrMessage = errors.New("no time or message")
 )
 
-// parse reads a line. What stands before its object, as log collectors add it, is passed
-// over.
-func parse(text []byte) (line, error) {
+// parse parses a line. It ignores text before the JSON object, which log collectors add.
+func parse(text []byte) (logLine, error) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return line{}, errNoObject
+		return logLine{}, errNoJSONObject
 	}
-	var l line
+	var l logLine
 	err := json.Unmarshal(text[start:], &l)
 	var syntax *json.SyntaxError
 	switch {
 	case errors.As(err, &syntax) && errors.Is(err, io.ErrUnexpectedEOF), err != nil && !json.Valid(text[start:]):
-		return line{}, errCut
+		return logLine{}, errTruncated
 	case err != nil:
-		return line{}, fmt.Errorf("field of another type: %w", err)
+		return logLine{}, fmt.Errorf("field of wrong type: %w", err)
 	case l.Time.IsZero() || l.Message == "":
-		return line{}, errNoTime
+		return logLine{}, errNoTimeOrMessage
 	}
 	return l, nil
 }
--- a/trail/log.go
+++ b/trail/log.go
@@ -9,129 +9,130 @@
 )
 
 const (
-	// lineLimit bounds a line. The longest are reports of servers with all their
-	// adapters, some kilobytes.
-	lineLimit = 1 << 20
-	// badKept is how many lines that can not be read are named.
-	badKept = 5
+	// maxLineBytes is the maximum length of a line. The longest lines are server reports with all
+	// adapters, which have a few kilobytes.
+	maxLineBytes = 1 << 20
+	// maxBadLines is the maximum number of unreadable lines that are listed.
+	maxBadLines = 5
 )
 
-// name stands for a text that many lines share.
-type name uint32
+// textID identifies an interned text.
+type textID uint32
 
-// names gives each text its name. The zero value works; 0 is the empty text.
-type names struct {
-	known map[string]name
+// textTable interns texts that occur in many lines. ID 0 is the empty text. The zero value is ready
+// to use.
+type textTable struct {
+	ids   map[string]textID
 	texts []string
 }
 
-func (n *names) of(text string) name {
+func (t *textTable) id(text string) textID {
 	if text == "" {
 		return 0
 	}
-	if id, ok := n.known[text]; ok {
+	if id, ok := t.ids[text]; ok {
 		return id
 	}
-	if n.known == nil {
-		n.known, n.texts = make(map[string]name), []string{""}
+	if t.ids == nil {
+		t.ids, t.texts = make(map[string]textID), []string{""}
 	}
-	id := name(len(n.texts))
-	n.known[text] = id
-	n.texts = append(n.texts, text)
+	id := textID(len(t.texts))
+	t.ids[text] = id
+	t.texts = append(t.texts, text)
 	return id
 }
 
-func (n *names) text(id name) string {
+func (t *textTable) text(id textID) string {
 	if id == 0 {
 		return ""
 	}
-	return n.texts[id]
+	return t.texts[id]
 }
 
-// order is an order to a server for a whole model.
+// order is an order to a server to load or unload a model.
 type order struct {
 	at            int64
-	model, server name
+	model, server textID
 	unload        bool
-	verdict       int8
+	result        int8
 }
 
-// Bad is a line that could not be read.
+// Bad describes a line that could not be read.
 type Bad struct {
 	source string
-	number int
+	line   int
 	err    error
 }
 
-// String names the line.
-func (b Bad) String() string { return fmt.Sprintf("%s line %d: %v", b.source, b.number, b.err) }
+// String returns the source and number of the line and the error.
+func (b Bad) String() string { return fmt.Sprintf("%s line %d: %v", b.source, b.line, b.err) }
 
-// Log is what has been read. Follow may be set before the first line, the rest of the
-// zero value works.
+// Log holds the data of the lines read. The zero value is ready to use.
 type Log struct {
-	// Follow is the ID of a request whose lines are kept whole.
+	// Follow is the ID of the request whose lines are retained for its timeline, "" for none. It must
+	// be set before the first Read.
 	Follow string
 
-	names    names
+	texts    textTable
 	lines    int
 	bad      int
 	badLines []Bad
-	first    int64
-	last     int64
-	vms      map[name]bool
+	firstAt  int64
+	lastAt   int64
+	vms      map[textID]bool
 	requests []Request
 	orders   []order
-	// tries counts the sends that a server did not answer, by server and reason.
-	tries map[tryKey]int
-	// way has the lines of the request that is followed.
-	way []step
+	// failedAttempts counts the attempts that a server did not answer, by server and reason.
+	failedAttempts map[failedAttempt]int
+	// timeline holds the lines of the request with the ID Follow.
+	timeline []timelineLine
 }
 
-type tryKey struct{ server, reason name }
+type failedAttempt struct{ server, reason textID }
 
-// step is a line on the way of a request.
-type step struct {
+// timelineLine is a line about the request of the timeline.
+type timelineLine struct {
 	at   time.Time
 	vm   string
 	text string
-	line line
+	line logLine
 }
 
-// Lines returns how many lines were read, and how many of them could not be.
+// Lines returns the number of lines, and how many of them could not be read.
 func (l *Log) Lines() (all, bad int) { return l.lines, l.bad }
 
-// BadLines returns the first lines that could not be read.
+// BadLines returns the first lines that could not be read, at most maxBadLines.
 func (l *Log) BadLines() []Bad { return l.badLines }
 
 // Requests returns the requests in the order of their lines.
 func (l *Log) Requests() []Request { return l.requests }
 
-// Read takes in the lines of a source, whose name is for messages. Lines that can not be
-// read are counted; an error is one of the source.
+// Read adds the lines of a source, whose name is used in messages. Lines that cannot be read are
+// counted. Read returns an error only if reading from the source fails.
 func (l *Log) Read(source string, r io.Reader) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	var long []byte
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		text, tooLong, err := readLine(in, &long)
 		if len(text) > 0 || tooLong {
 			l.lines++
 			if tooLong {
-				l.note(source, number, errTooLong)
+				l.addBadLine(source, lineNumber, errTooLong)
 			} else {
-				l.take(source, number, text)
+				l.addLine(source, lineNumber, text)
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("read %s, line %d: %w", source, number, err)
+			return fmt.Errorf("read %s, line %d: %w", source, lineNumber, err)
 		}
 	}
 }
 
-// readLine returns the next line without its end. One beyond lineLimit is passed over.
-// What is returned is valid until the next call.
+// readLine returns the next line without its line ending. Lines longer than maxLineBytes are
+// skipped. The text is valid until the next call.
 func readLine(in *bufio.Reader, long *[]byte) (text []byte, tooLong bool, err error) {
 	*long = (*long)[:0]
 	for {
@@ -139,7 +140,7 @@
 		if err == nil && len(*long) == 0 && !tooLong {
 			return trim(part), false, nil
 		}
-		if tooLong = tooLong || len(*long)+len(part) > lineLimit; !tooLong {
+		if tooLong = tooLong || len(*long)+len(part) > maxLineBytes; !tooLong {
 			*long = append(*long, part...)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -155,58 +156,58 @@
 	return text
 }
 
-func (l *Log) note(source string, number int, err error) {
+func (l *Log) addBadLine(source string, lineNumber int, err error) {
 	l.bad++
-	if len(l.badLines) < badKept {
-		l.badLines = append(l.badLines, Bad{source, number, err})
+	if len(l.badLines) < maxBadLines {
+		l.badLines = append(l.badLines, Bad{source, lineNumber, err})
 	}
 }
 
-func (l *Log) take(source string, number int, text []byte) {
-	n, err := parse(text)
+func (l *Log) addLine(source string, lineNumber int, text []byte) {
+	parsed, err := parse(text)
 	if err != nil {
-		l.note(source, number, err)
+		l.addBadLine(source, lineNumber, err)
 		return
 	}
-	l.span(n.Time.UnixNano())
-	vm := l.names.of(n.VM)
+	l.extendSpan(parsed.Time.UnixNano())
+	vm := l.texts.id(parsed.VM)
 	if l.vms == nil {
-		l.vms, l.tries = make(map[name]bool), make(map[tryKey]int)
+		l.vms, l.failedAttempts = make(map[textID]bool), make(map[failedAttempt]int)
 	}
 	l.vms[vm] = true
-	if l.Follow != "" && n.Request == l.Follow {
-		l.way = append(l.way, step{at: n.Time, vm: n.VM, text: string(text), line: n})
+	if l.Follow != "" && parsed.Request == l.Follow {
+		l.timeline = append(l.timeline, timelineLine{at: parsed.Time, vm: parsed.VM, text: string(text), line: parsed})
 	}
-	switch n.Message {
+	switch parsed.Message {
 	case messageRequest:
-		l.requests = append(l.requests, l.request(vm, &n))
-	case messageTry:
-		l.tries[tryKey{l.names.of(n.Server), l.names.of(plainReason(n.Reason))}]++
+		l.requests = append(l.requests, l.newRequest(vm, &parsed))
+	case messageAttemptFailed:
+		l.failedAttempts[failedAttempt{l.texts.id(parsed.Server), l.texts.id(normalizeReason(parsed.Reason))}]++
 	case messageOrder:
-		if n.Adapter == "" {
-			l.orders = append(l.orders, order{n.Time.UnixNano(), l.names.of(n.Model), l.names.of(n.Server), n.Unload, int8(n.Verdict)})
+		if parsed.Adapter == "" {
+			l.orders = append(l.orders, order{parsed.Time.UnixNano(), l.texts.id(parsed.Model), l.texts.id(parsed.Server), parsed.Unload, int8(parsed.Verdict)})
 		}
 	}
 }
 
-func (l *Log) span(at int64) {
-	if l.first == 0 || at < l.first {
-		l.first = at
+func (l *Log) extendSpan(at int64) {
+	if l.firstAt == 0 || at < l.firstAt {
+		l.firstAt = at
 	}
-	l.last = max(l.last, at)
+	l.lastAt = max(l.lastAt, at)
 }
 
-func (l *Log) request(vm name, n *line) Request {
-	outcome, cause := judge(n)
+func (l *Log) newRequest(vm textID, parsed *logLine) Request {
+	outcome, cause := classify(parsed)
 	r := Request{
-		at: n.Time.UnixNano(), vm: vm, route: l.names.of(n.Route), model: l.names.of(n.Model),
-		outcome: outcome, cause: l.names.of(cause), sends: uint8(min(n.Sends, 255)),
-		streamed: n.PauseLimit > 0, single: n.Sends == 1 && n.Held == 0 && n.Sought == 0,
-		objective: float32(n.Objective), predicted: float32(n.Predicted), firstEvent: float32(n.FirstEvent),
-		pauseLimit: float32(n.PauseLimit), pause: float32(n.Pause), held: float32(n.Held), took: float32(n.Took),
+		at: parsed.Time.UnixNano(), vm: vm, route: l.texts.id(parsed.Route), model: l.texts.id(parsed.Model),
+		outcome: outcome, cause: l.texts.id(cause), attempts: uint8(min(parsed.Sends, 255)),
+		streamed: parsed.PauseLimit > 0, sentDirectly: parsed.Sends == 1 && parsed.Held == 0 && parsed.Sought == 0,
+		objective: float32(parsed.Objective), predicted: float32(parsed.Predicted), firstEvent: float32(parsed.FirstEvent),
+		pauseLimit: float32(parsed.PauseLimit), longestPause: float32(parsed.Pause), admissionWait: float32(parsed.Held), duration: float32(parsed.Took),
 	}
-	if len(n.Servers) > 0 {
-		r.server = l.names.of(n.Servers[len(n.Servers)-1])
+	if len(parsed.Servers) > 0 {
+		r.server = l.texts.id(parsed.Servers[len(parsed.Servers)-1])
 	}
 	return r
 }
--- a/trail/plot.go
+++ b/trail/plot.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a picture: two plots, one above the other.
+// Size of an image, which consists of two plots, one above the other.
 const (
 	pictureWidth  = 24 * vg.Centimeter
 	pictureHeight = 20 * vg.Centimeter
 )
 
-// Format is a kind of picture.
+// Format is an image format.
 type Format int
 
 // The formats.
@@ -36,15 +36,15 @@
 	blue  = color.RGBA{R: 30, G: 80, B: 190, A: 255}
 )
 
-// Plot writes a picture: how requests ended by time, and first events as seen against
-// those predicted.
+// Plot writes an image with two plots: request outcomes over time, and observed over predicted
+// times to the first event.
 func (l *Log) Plot(w io.Writer, f Format, o Options) error {
-	chosen := l.chosen(o.Model)
-	byTime, err := l.plotTime(chosen, o)
+	requests := l.selectRequests(o.Model)
+	byTime, err := l.plotOutcomes(requests, o)
 	if err != nil {
 		return fmt.Errorf("plot by time: %w", err)
 	}
-	predicted, err := l.plotPredictions(chosen)
+	predicted, err := l.plotPredictions(requests)
 	if err != nil {
 		return fmt.Errorf("plot predictions: %w", err)
 	}
@@ -61,18 +61,18 @@
 	byTime.Draw(draw.Crop(area, 0, 0, pictureHeight/2, 0))
 	predicted.Draw(draw.Crop(area, 0, 0, 0, -pictureHeight/2))
 	if _, err := canvas.WriteTo(w); err != nil {
-		return fmt.Errorf("write picture: %w", err)
+		return fmt.Errorf("write image: %w", err)
 	}
 	return nil
 }
 
-func (l *Log) plotTime(chosen []*Request, o Options) (*plot.Plot, error) {
+func (l *Log) plotOutcomes(requests []*Request, o Options) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "How requests ended"
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests a second"
-	list := l.windows(chosen, o)
+	p.Title.Text = "Request outcomes"
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests per second"
+	list := l.windows(requests, o)
 	seconds := o.window().Seconds()
-	rows := []struct {
+	curves := []struct {
 		title string
 		color color.Color
 		value func(window) int
@@ -82,61 +82,61 @@
 		{"lost", red, func(w window) int { return w.count.lost }},
 		{"loads", blue, func(w window) int { return w.loads }},
 	}
-	for _, row := range rows {
+	for _, curve := range curves {
 		points := make(plotter.XYs, len(list))
 		for i, w := range list {
-			points[i] = plotter.XY{X: time.Duration(w.start - l.first).Seconds(), Y: float64(row.value(w)) / seconds}
+			points[i] = plotter.XY{X: time.Duration(w.start - l.firstAt).Seconds(), Y: float64(curve.value(w)) / seconds}
 		}
 		if len(points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(points)
+		line, err := plotter.NewLine(points)
 		if err != nil {
-			return nil, fmt.Errorf("line of %s: %w", row.title, err)
+			return nil, fmt.Errorf("draw line for %s: %w", curve.title, err)
 		}
-		drawn.Color, drawn.Width = row.color, vg.Points(1.5)
-		p.Add(drawn)
-		p.Legend.Add(row.title, drawn)
+		line.Color, line.Width = curve.color, vg.Points(1.5)
+		p.Add(line)
+		p.Legend.Add(curve.title, line)
 	}
 	p.Legend.Top = true
 	return p, nil
 }
 
-// pointsMost bounds the points of a plot: more hide each other, and make a vector picture
-// large.
-const pointsMost = 4000
+// maxPoints is the maximum number of points in a plot. More points would hide each other, and make
+// a vector image large.
+const maxPoints = 4000
 
-func (l *Log) plotPredictions(chosen []*Request) (*plot.Plot, error) {
+func (l *Log) plotPredictions(requests []*Request) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "First events of streams that were sent at once"
-	p.X.Label.Text, p.Y.Label.Text = "predicted, ms", "seen, ms"
+	p.Title.Text = "Times to first event of streams sent without waiting or retry"
+	p.X.Label.Text, p.Y.Label.Text = "predicted, ms", "observed, ms"
 	var points plotter.XYs
-	for _, r := range chosen {
-		if r.single && r.streamed && r.outcome != Lost {
+	for _, r := range requests {
+		if r.sentDirectly && r.streamed && r.outcome != Lost {
 			points = append(points, plotter.XY{X: float64(r.predicted), Y: float64(r.firstEvent)})
 		}
 	}
 	if len(points) == 0 {
 		return p, nil
 	}
-	step := len(points)/pointsMost + 1
+	step := len(points)/maxPoints + 1
 	var shown plotter.XYs
-	most := 0.0
+	maxPredicted := 0.0
 	for i := 0; i < len(points); i += step {
 		shown = append(shown, points[i])
-		most = max(most, points[i].X)
+		maxPredicted = max(maxPredicted, points[i].X)
 	}
 	scatter, err := plotter.NewScatter(shown)
 	if err != nil {
-		return nil, fmt.Errorf("points: %w", err)
+		return nil, fmt.Errorf("draw points: %w", err)
 	}
 	scatter.GlyphStyle = draw.GlyphStyle{Color: blue, Radius: vg.Points(1), Shape: draw.CircleGlyph{}}
-	even, err := plotter.NewLine(plotter.XYs{{}, {X: most, Y: most}})
+	diagonal, err := plotter.NewLine(plotter.XYs{{}, {X: maxPredicted, Y: maxPredicted}})
 	if err != nil {
-		return nil, fmt.Errorf("diagonal: %w", err)
+		return nil, fmt.Errorf("draw diagonal: %w", err)
 	}
-	even.Color = green
-	p.Add(scatter, even)
-	p.Legend.Add("as predicted", even)
+	diagonal.Color = green
+	p.Add(scatter, diagonal)
+	p.Legend.Add("as predicted", diagonal)
 	return p, nil
 }
--- a/trail/request.go
+++ b/trail/request.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request for its caller.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// InTime is a whole answer within the objective, without a pause beyond the limit.
+	// InTime is a complete answer within the objective and without a pause beyond the limit.
 	InTime Outcome = iota
-	// Late is a whole answer that missed one of them.
+	// Late is a complete answer that missed the objective or exceeded the pause limit.
 	Late
-	// Lost is no whole answer.
+	// Lost means that there was no complete answer.
 	Lost
 )
 
-// Request is what is kept of a request's line.
+// Request holds the data of a request's log line.
 type Request struct {
-	at                     int64
-	vm, route, model       name
-	server, cause          name
-	outcome                Outcome
-	sends                  uint8
-	streamed, single       bool
-	objective, predicted   float32
-	firstEvent, pauseLimit float32
-	pause, held, took      float32
+	at                                    int64
+	vm, route, model                      textID
+	server, cause                         textID
+	outcome                               Outcome
+	attempts                              uint8
+	streamed, sentDirectly                bool
+	objective, predicted                  float32
+	firstEvent, pauseLimit                float32
+	longestPause, admissionWait, duration float32
 }
 
-// Causes of late answers. Those of lost ones are the reasons that the lines give.
+// Causes of late answers. The causes of lost answers are the reasons in the log lines.
 const (
-	causeAgain  = "sent more than once"
-	causeHeld   = "waited at its VM for room"
-	causeSought = "waited for a server with its model or adapter"
-	causeKnown  = "sent though predicted late"
-	causeMissed = "first event later than predicted"
-	causePause  = "paused too long"
+	causeRetried       = "sent more than once"
+	causeAdmission     = "waited at the VM for server capacity"
+	causeNoServer      = "waited for a server with its model or adapter"
+	causePredictedLate = "sent although predicted to be late"
+	causeMispredicted  = "first event later than predicted"
+	causePause         = "pause longer than the limit"
 )
 
-// statusLeft is what the lines say of a caller that left.
-const statusLeft = 499
+// statusCallerDisconnected is the logged status of a request whose caller disconnected.
+const statusCallerDisconnected = 499
 
-// judge returns how a request ended and why.
-func judge(l *line) (Outcome, string) {
-	if l.Status == statusLeft {
-		return Lost, "caller left"
+// classify returns the outcome of a request and, unless it was in time, the cause.
+func classify(l *logLine) (Outcome, string) {
+	if l.Status == statusCallerDisconnected {
+		return Lost, "caller disconnected"
 	}
 	if l.Status >= http.StatusInternalServerError {
-		return Lost, plainReason(l.Reason)
+		return Lost, normalizeReason(l.Reason)
 	}
 	stream := l.PauseLimit > 0
 	first := l.Took
@@ -63,41 +63,41 @@
 	case l.Objective <= 0 || l.Status >= http.StatusBadRequest:
 		return InTime, ""
 	case excess > 0 && l.Held >= excess:
-		return Late, causeHeld
+		return Late, causeAdmission
 	case excess > 0 && l.Sought >= excess:
-		return Late, causeSought
+		return Late, causeNoServer
 	case excess > 0 && l.Sends > 1:
-		return Late, causeAgain
+		return Late, causeRetried
 	case excess > 0 && l.Predicted > l.Objective:
-		return Late, causeKnown
+		return Late, causePredictedLate
 	case excess > 0:
-		return Late, causeMissed
+		return Late, causeMispredicted
 	case stream && l.Pause > l.PauseLimit:
 		return Late, causePause
 	}
 	return InTime, ""
 }
 
-// What makes each reason its own: addresses, and the names of servers and models.
+// Parts of reasons that differ between requests: addresses, names, and status codes.
 var (
-	addresses = regexp.MustCompile(`(\d{1,3}\.){3}\d{1,3}:\d+(->(\d{1,3}\.){3}\d{1,3}:\d+)?`)
-	sought    = regexp.MustCompile(`find a server for [^:]+:`)
-	answered  = regexp.MustCompile(`status \d+: `)
+	addressPattern = regexp.MustCompile(`(\d{1,3}\.){3}\d{1,3}:\d+(->(\d{1,3}\.){3}\d{1,3}:\d+)?`)
+	findPattern    = regexp.MustCompile(`find a server for [^:]+:`)
+	statusPattern  = regexp.MustCompile(`status \d+: `)
 )
 
-// plainReason strips a reason of what differs from request to request.
-func plainReason(reason string) string {
-	reason = addresses.ReplaceAllString(reason, "ADDRESS")
-	reason = sought.ReplaceAllString(reason, "find a server:")
-	reason = answered.ReplaceAllString(reason, "")
+// normalizeReason removes the parts of a reason that differ between requests.
+func normalizeReason(reason string) string {
+	reason = addressPattern.ReplaceAllString(reason, "ADDRESS")
+	reason = findPattern.ReplaceAllString(reason, "find a server:")
+	reason = statusPattern.ReplaceAllString(reason, "")
 	if reason == "" {
 		return "no reason given"
 	}
 	return reason
 }
 
-// At returns when the request ended, by the clock of its VM.
+// At returns when the request ended, according to the clock of its VM.
 func (r *Request) At() time.Time { return time.Unix(0, r.at) }
 
-// Outcome returns how it ended.
+// Outcome returns the outcome of the request.
 func (r *Request) Outcome() Outcome { return r.outcome }
--- a/trail/tables.go
+++ b/trail/tables.go
@@ -12,13 +12,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Options say what a report holds. The zero value works.
+// Options select the content of a report. The zero value is ready to use.
 type Options struct {
-	// Top is how many rows the tables of models, servers and causes have; 0 for ten.
+	// Top is the maximum number of rows in the tables of models, servers and causes; 0 selects ten.
 	Top int
-	// Window is the length of a row of the table by time; 0 for two seconds.
+	// Window is the time span per row of the table by time; 0 selects two seconds.
 	Window time.Duration
-	// Model leaves out the requests for other models, "" for none.
+	// Model restricts the report to the requests for a model, unless it is "".
 	Model string
 }
 
@@ -30,11 +30,11 @@
 func (o Options) top() int              { return cmp.Or(o.Top, defaultTop) }
 func (o Options) window() time.Duration { return cmp.Or(o.Window, defaultWindow) }
 
-// count is how requests of some kind ended.
-type count struct{ asked, inTime, late, lost int }
+// outcomeCounts counts requests by outcome.
+type outcomeCounts struct{ total, inTime, late, lost int }
 
-func (c *count) add(r *Request) {
-	c.asked++
+func (c *outcomeCounts) add(r *Request) {
+	c.total++
 	switch r.outcome {
 	case InTime:
 		c.inTime++
@@ -45,16 +45,16 @@
 	}
 }
 
-func (c *count) bad() int { return c.late + c.lost }
+func (c *outcomeCounts) lateOrLost() int { return c.late + c.lost }
 
-func part(n, of int) string {
-	if of == 0 {
+func formatShare(n, total int) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
+	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(total))
 }
 
-// table writes aligned columns and keeps the first error of its writer.
+// table writes aligned columns and retains the first write error.
 type table struct {
 	out *tabwriter.Writer
 	err error
@@ -62,17 +62,17 @@
 
 func newTable(w io.Writer) *table { return &table{out: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)} }
 
-func (t *table) row(cells ...any) {
+func (t *table) writeRow(cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
-			t.print("\t")
+			t.writeText("\t")
 		}
-		t.print(fmt.Sprint(c))
+		t.writeText(fmt.Sprint(c))
 	}
-	t.print("\n")
+	t.writeText("\n")
 }
 
-func (t *table) print(text string) {
+func (t *table) writeText(text string) {
 	if t.err == nil {
 		_, t.err = io.WriteString(t.out, text)
 	}
@@ -88,137 +88,137 @@
 	return nil
 }
 
-// Report writes the tables.
+// Report writes the tables selected by o.
 func (l *Log) Report(w io.Writer, o Options) error {
-	chosen := l.chosen(o.Model)
+	requests := l.selectRequests(o.Model)
 	t := newTable(w)
-	l.head(t, chosen)
-	l.byRoute(t, chosen)
-	l.byCause(t, chosen, o, Late, "late by cause")
-	l.byCause(t, chosen, o, Lost, "lost by reason")
+	l.writeSummary(t, requests)
+	l.writeRoutes(t, requests)
+	l.writeCauses(t, requests, o, Late, "late by cause")
+	l.writeCauses(t, requests, o, Lost, "lost by reason")
 	if o.Model == "" {
-		l.byModel(t, chosen, o)
+		l.writeModels(t, requests, o)
 	} else {
-		l.ordersFor(t, o)
+		l.writeOrders(t, o)
 	}
-	l.byServer(t, chosen, o)
-	l.predictions(t, chosen)
-	l.byTime(t, chosen, o)
+	l.writeServers(t, requests, o)
+	l.writePredictions(t, requests)
+	l.writeWindows(t, requests, o)
 	return t.close()
 }
 
-// chosen returns the requests for a model, all for "".
-func (l *Log) chosen(model string) []*Request {
+// selectRequests returns the requests for a model, or all requests if model is "".
+func (l *Log) selectRequests(model string) []*Request {
 	list := make([]*Request, 0, len(l.requests))
 	for i := range l.requests {
-		if model == "" || l.names.text(l.requests[i].model) == model {
+		if model == "" || l.texts.text(l.requests[i].model) == model {
 			list = append(list, &l.requests[i])
 		}
 	}
 	return list
 }
 
-func (l *Log) head(t *table, chosen []*Request) {
-	t.row(fmt.Sprintf("%d lines of %d VMs, %s to %s", l.lines, len(l.vms), clock(l.first), clock(l.last)))
+func (l *Log) writeSummary(t *table, requests []*Request) {
+	t.writeRow(fmt.Sprintf("%d lines of %d VMs, %s to %s", l.lines, len(l.vms), formatTime(l.firstAt), formatTime(l.lastAt)))
 	if l.bad > 0 {
-		t.row(fmt.Sprintf("%d lines were not read, the first:", l.bad))
+		t.writeRow(fmt.Sprintf("%d lines were not read, the first:", l.bad))
 		for _, b := range l.badLines {
-			t.row("  " + b.String())
+			t.writeRow("  " + b.String())
 		}
 	}
-	var all count
-	for _, r := range chosen {
+	var all outcomeCounts
+	for _, r := range requests {
 		all.add(r)
 	}
-	t.row(fmt.Sprintf("%d requests: %s in time, %s late, %s lost", all.asked, part(all.inTime, all.asked), part(all.late, all.asked), part(all.lost, all.asked)))
+	t.writeRow(fmt.Sprintf("%d requests: %s in time, %s late, %s lost", all.total, formatShare(all.inTime, all.total), formatShare(all.late, all.total), formatShare(all.lost, all.total)))
 }
 
-func clock(at int64) string {
+func formatTime(at int64) string {
 	if at == 0 {
 		return "-"
 	}
 	return time.Unix(0, at).UTC().Format("15:04:05.000")
 }
 
-// grouped counts requests by a key, and returns the keys from the one with most late or
-// lost.
-func grouped(list []*Request, key func(*Request) name) (map[name]*count, []name) {
-	groups := make(map[name]*count)
+// groupRequests counts requests by a key, and returns the keys in descending order of late and lost
+// requests.
+func groupRequests(list []*Request, key func(*Request) textID) (map[textID]*outcomeCounts, []textID) {
+	groups := make(map[textID]*outcomeCounts)
 	for _, r := range list {
 		k := key(r)
 		if groups[k] == nil {
-			groups[k] = &count{}
+			groups[k] = &outcomeCounts{}
 		}
 		groups[k].add(r)
 	}
-	order := slices.SortedFunc(maps.Keys(groups), func(a, b name) int {
-		return cmp.Or(cmp.Compare(groups[b].bad(), groups[a].bad()), cmp.Compare(groups[b].asked, groups[a].asked), cmp.Compare(a, b))
+	keys := slices.SortedFunc(maps.Keys(groups), func(a, b textID) int {
+		return cmp.Or(cmp.Compare(groups[b].lateOrLost(), groups[a].lateOrLost()), cmp.Compare(groups[b].total, groups[a].total), cmp.Compare(a, b))
 	})
-	return groups, order
+	return groups, keys
 }
 
-func (l *Log) byRoute(t *table, chosen []*Request) {
-	groups, order := grouped(chosen, func(r *Request) name { return r.route })
-	t.row()
-	t.row("route", "asked", "in time", "late", "lost", "first event p50", "p95", "longest pause p95")
-	for _, route := range order {
-		first, pause := newTimes(), newTimes()
-		for _, r := range chosen {
+func (l *Log) writeRoutes(t *table, requests []*Request) {
+	groups, routes := groupRequests(requests, func(r *Request) textID { return r.route })
+	t.writeRow()
+	t.writeRow("route", "asked", "in time", "late", "lost", "first event p50", "p95", "longest pause p95")
+	for _, route := range routes {
+		first, pause := newDurations(), newDurations()
+		for _, r := range requests {
 			if r.route != route || r.outcome == Lost {
 				continue
 			}
-			first.note(r.first())
+			first.record(r.firstEventTime())
 			if r.streamed {
-				pause.note(r.pause)
+				pause.record(r.longestPause)
 			}
 		}
 		c := groups[route]
-		t.row(l.names.text(route), c.asked, part(c.inTime, c.asked), part(c.late, c.asked), part(c.lost, c.asked), first.at(50), first.at(95), pause.at(95))
+		t.writeRow(l.texts.text(route), c.total, formatShare(c.inTime, c.total), formatShare(c.late, c.total), formatShare(c.lost, c.total), first.atPercentile(50), first.atPercentile(95), pause.atPercentile(95))
 	}
 }
 
-// first returns the time to the first event, or to the answer where it is no stream.
-func (r *Request) first() float32 {
+// firstEventTime returns the time to the first event, or the duration if the answer is no stream.
+func (r *Request) firstEventTime() float32 {
 	if r.streamed {
 		return r.firstEvent
 	}
-	return r.took
+	return r.duration
 }
 
-func (l *Log) byCause(t *table, chosen []*Request, o Options, of Outcome, title string) {
-	counts := make(map[name]int)
-	for _, r := range chosen {
-		if r.outcome == of {
+func (l *Log) writeCauses(t *table, requests []*Request, o Options, outcome Outcome, title string) {
+	counts := make(map[textID]int)
+	for _, r := range requests {
+		if r.outcome == outcome {
 			counts[r.cause]++
 		}
 	}
 	if len(counts) == 0 {
 		return
 	}
-	t.row()
-	t.row("requests", title)
-	order := slices.SortedFunc(maps.Keys(counts), func(a, b name) int {
-		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(l.names.text(a), l.names.text(b)))
+	t.writeRow()
+	t.writeRow("requests", title)
+	causes := slices.SortedFunc(maps.Keys(counts), func(a, b textID) int {
+		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(l.texts.text(a), l.texts.text(b)))
 	})
-	for i, cause := range order {
+	for i, cause := range causes {
 		if i == o.top() {
-			t.row("", fmt.Sprintf("and %d more", len(order)-i))
+			t.writeRow("", fmt.Sprintf("and %d more", len(causes)-i))
 			break
 		}
-		t.row(counts[cause], l.names.text(cause))
+		t.writeRow(counts[cause], l.texts.text(cause))
 	}
 }
 
-func (l *Log) byModel(t *table, chosen []*Request, o Options) {
-	groups, order := grouped(chosen, func(r *Request) name { return r.model })
+func (l *Log) writeModels(t *table, requests []*Request, o Options) {
+	groups, models := groupRequests(requests, func(r *Request) textID { return r.model })
 	delete(groups, 0)
-	order = slices.DeleteFunc(order, func(n name) bool { return n == 0 })
-	if len(order) == 0 {
+	models = slices.DeleteFunc(models, func(n textID) bool { return n == 0 })
+	if len(models) == 0 {
 		return
 	}
-	loads, unloads := make(map[name]int), make(map[name]int)
+	loads, unloads := make(map[textID]int), make(map[textID]int)
 	for _, d := range l.orders {
-		if d.verdict != taken {
+		if d.result != orderAccepted {
 			continue
 		}
 		if d.unload {
@@ -227,131 +227,131 @@
 			loads[d.model]++
 		}
 	}
-	all, half, sum := 0, 0, 0
-	for _, m := range order {
-		all += groups[m].bad()
+	total, halfModels, sum := 0, 0, 0
+	for _, m := range models {
+		total += groups[m].lateOrLost()
 	}
-	for half < len(order) && 2*sum < all {
-		sum += groups[order[half]].bad()
-		half++
+	for halfModels < len(models) && 2*sum < total {
+		sum += groups[models[halfModels]].lateOrLost()
+		halfModels++
 	}
-	t.row()
-	t.row(fmt.Sprintf("half of what is late or lost is of %d of %d models", half, len(order)))
-	t.row("model", "asked", "in time", "late", "lost", "loads", "unloads")
-	for _, m := range order[:min(len(order), o.top())] {
+	t.writeRow()
+	t.writeRow(fmt.Sprintf("half of the late and lost requests are for %d of %d models", halfModels, len(models)))
+	t.writeRow("model", "asked", "in time", "late", "lost", "loads", "unloads")
+	for _, m := range models[:min(len(models), o.top())] {
 		c := groups[m]
-		t.row(l.names.text(m), c.asked, part(c.inTime, c.asked), part(c.late, c.asked), part(c.lost, c.asked), loads[m], unloads[m])
+		t.writeRow(l.texts.text(m), c.total, formatShare(c.inTime, c.total), formatShare(c.late, c.total), formatShare(c.lost, c.total), loads[m], unloads[m])
 	}
 }
 
-// taken is the verdict of an order that the server took.
-const taken = 1
+// orderAccepted is the logged result of an order that the server accepted.
+const orderAccepted = 1
 
-// ordersFor lists the orders for a model.
-func (l *Log) ordersFor(t *table, o Options) {
-	t.row()
-	t.row("order", "server", "what", "verdict")
+// writeOrders writes the orders for the selected model.
+func (l *Log) writeOrders(t *table, o Options) {
+	t.writeRow()
+	t.writeRow("order", "server", "what", "verdict")
 	for _, d := range l.orders {
-		if l.names.text(d.model) != o.Model {
+		if l.texts.text(d.model) != o.Model {
 			continue
 		}
-		what := "load"
+		operation := "load"
 		if d.unload {
-			what = "unload"
+			operation = "unload"
 		}
-		t.row(clock(d.at), l.names.text(d.server), what, d.verdict)
+		t.writeRow(formatTime(d.at), l.texts.text(d.server), operation, d.result)
 	}
 }
 
-func (l *Log) byServer(t *table, chosen []*Request, o Options) {
-	groups, order := grouped(chosen, func(r *Request) name { return r.server })
-	failed := make(map[name]int)
-	for k, n := range l.tries {
+func (l *Log) writeServers(t *table, requests []*Request, o Options) {
+	groups, servers := groupRequests(requests, func(r *Request) textID { return r.server })
+	failed := make(map[textID]int)
+	for k, n := range l.failedAttempts {
 		failed[k.server] += n
 	}
-	order = slices.DeleteFunc(order, func(n name) bool { return n == 0 })
-	slices.SortStableFunc(order, func(a, b name) int {
-		return cmp.Compare(groups[b].bad()+failed[b], groups[a].bad()+failed[a])
+	servers = slices.DeleteFunc(servers, func(n textID) bool { return n == 0 })
+	slices.SortStableFunc(servers, func(a, b textID) int {
+		return cmp.Compare(groups[b].lateOrLost()+failed[b], groups[a].lateOrLost()+failed[a])
 	})
-	if len(order) == 0 {
+	if len(servers) == 0 {
 		return
 	}
-	t.row()
-	t.row("server", "asked last", "in time", "late", "lost", "tries without an answer", "most for")
-	for _, s := range order[:min(len(order), o.top())] {
+	t.writeRow()
+	t.writeRow("server", "last attempts", "in time", "late", "lost", "attempts without an answer", "most common reason")
+	for _, s := range servers[:min(len(servers), o.top())] {
 		c := groups[s]
-		t.row(l.names.text(s), c.asked, part(c.inTime, c.asked), part(c.late, c.asked), part(c.lost, c.asked), failed[s], l.commonTry(s))
+		t.writeRow(l.texts.text(s), c.total, formatShare(c.inTime, c.total), formatShare(c.late, c.total), formatShare(c.lost, c.total), failed[s], l.commonFailure(s))
 	}
 }
 
-// commonTry returns the most common reason for a try at a server to fail.
-func (l *Log) commonTry(server name) string {
+// commonFailure returns the most common reason of failed attempts at a server.
+func (l *Log) commonFailure(server textID) string {
 	best, most := "", 0
-	for k, n := range l.tries {
-		if reason := l.names.text(k.reason); k.server == server && (n > most || n == most && reason < best) {
+	for k, n := range l.failedAttempts {
+		if reason := l.texts.text(k.reason); k.server == server && (n > most || n == most && reason < best) {
 			best, most = reason, n
 		}
 	}
 	return best
 }
 
-// predictions sets what was predicted against what was seen, over the requests that went
-// straight to one server.
-func (l *Log) predictions(t *table, chosen []*Request) {
-	predicted, seen, excess, pause := newTimes(), newTimes(), newTimes(), newTimes()
-	promised, missed := 0, 0
-	for _, r := range chosen {
-		if !r.single || r.outcome == Lost || !r.streamed {
+// writePredictions compares predicted and observed times of streams that were sent without waiting
+// or retry.
+func (l *Log) writePredictions(t *table, requests []*Request) {
+	predicted, observed, excess, pause := newDurations(), newDurations(), newDurations(), newDurations()
+	predictedInTime, late := 0, 0
+	for _, r := range requests {
+		if !r.sentDirectly || r.outcome == Lost || !r.streamed {
 			continue
 		}
-		predicted.note(r.predicted)
-		seen.note(r.firstEvent)
-		excess.note(max(r.firstEvent-r.predicted, 0))
-		pause.note(r.pause)
+		predicted.record(r.predicted)
+		observed.record(r.firstEvent)
+		excess.record(max(r.firstEvent-r.predicted, 0))
+		pause.record(r.longestPause)
 		if r.predicted <= r.objective {
-			promised++
+			predictedInTime++
 			if r.firstEvent > r.objective {
-				missed++
+				late++
 			}
 		}
 	}
-	if seen.n == 0 {
+	if observed.n == 0 {
 		return
 	}
-	t.row()
-	t.row("streams sent at once, ms", "p50", "p95")
-	t.row("first event predicted", predicted.at(50), predicted.at(95))
-	t.row("first event seen", seen.at(50), seen.at(95))
-	t.row("beyond the prediction", excess.at(50), excess.at(95))
-	t.row("longest pause", pause.at(50), pause.at(95))
-	t.row(fmt.Sprintf("%d of %d that were predicted in time began late", missed, promised))
+	t.writeRow()
+	t.writeRow("streams sent without waiting or retry, ms", "p50", "p95")
+	t.writeRow("first event predicted", predicted.atPercentile(50), predicted.atPercentile(95))
+	t.writeRow("first event observed", observed.atPercentile(50), observed.atPercentile(95))
+	t.writeRow("excess over the prediction", excess.atPercentile(50), excess.atPercentile(95))
+	t.writeRow("longest pause", pause.atPercentile(50), pause.atPercentile(95))
+	t.writeRow(fmt.Sprintf("%d of %d streams that were predicted to be in time started late", late, predictedInTime))
 }
 
-// window is a part of the time that the log covers.
+// window is a span of the time that the log covers.
 type window struct {
 	start          int64
-	count          count
+	count          outcomeCounts
 	loads, unloads int
 }
 
-// windows divides requests and orders by time.
-func (l *Log) windows(chosen []*Request, o Options) []window {
-	if l.first == 0 {
+// windows groups requests and orders by time.
+func (l *Log) windows(requests []*Request, o Options) []window {
+	if l.firstAt == 0 {
 		return nil
 	}
 	size := int64(o.window())
-	list := make([]window, (l.last-l.first)/size+1)
+	list := make([]window, (l.lastAt-l.firstAt)/size+1)
 	for i := range list {
-		list[i].start = l.first + int64(i)*size
+		list[i].start = l.firstAt + int64(i)*size
 	}
-	for _, r := range chosen {
-		list[(r.at-l.first)/size].count.add(r)
+	for _, r := range requests {
+		list[(r.at-l.firstAt)/size].count.add(r)
 	}
 	for _, d := range l.orders {
-		if d.verdict != taken || o.Model != "" && l.names.text(d.model) != o.Model {
+		if d.result != orderAccepted || o.Model != "" && l.texts.text(d.model) != o.Model {
 			continue
 		}
-		if w := &list[(d.at-l.first)/size]; d.unload {
+		if w := &list[(d.at-l.firstAt)/size]; d.unload {
 			w.unloads++
 		} else {
 			w.loads++
@@ -360,48 +360,50 @@
 	return list
 }
 
-func (l *Log) byTime(t *table, chosen []*Request, o Options) {
-	list := l.windows(chosen, o)
+func (l *Log) writeWindows(t *table, requests []*Request, o Options) {
+	list := l.windows(requests, o)
 	if len(list) == 0 {
 		return
 	}
-	t.row()
-	t.row("ended from", "asked", "in time", "late", "lost", "loads", "unloads")
+	t.writeRow()
+	t.writeRow("window start", "asked", "in time", "late", "lost", "loads", "unloads")
 	for _, w := range list {
-		if w.count.asked+w.loads+w.unloads == 0 {
+		if w.count.total+w.loads+w.unloads == 0 {
 			continue
 		}
-		t.row(clock(w.start), w.count.asked, part(w.count.inTime, w.count.asked), part(w.count.late, w.count.asked), part(w.count.lost, w.count.asked), w.loads, w.unloads)
+		t.writeRow(formatTime(w.start), w.count.total, formatShare(w.count.inTime, w.count.total), formatShare(w.count.late, w.count.total), formatShare(w.count.lost, w.count.total), w.loads, w.unloads)
 	}
 }
 
-// times are durations in milliseconds of which percentiles are wanted.
-type times struct {
+// durations records durations in milliseconds for percentiles.
+type durations struct {
 	hist *hdrhistogram.Histogram
 	n    int
 }
 
 const (
-	// timesMost is an hour in microseconds, far beyond any request, and timesDigits
-	// the significant digits that are kept.
-	timesMost   = int64(time.Hour / time.Microsecond)
-	timesDigits = 3
+	// maxDurationMicros is an hour, which exceeds the duration of any request by far.
+	// significantDigits is the precision of the percentiles.
+	maxDurationMicros = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-func newTimes() *times { return &times{hist: hdrhistogram.New(1, timesMost, timesDigits)} }
+func newDurations() *durations {
+	return &durations{hist: hdrhistogram.New(1, maxDurationMicros, significantDigits)}
+}
 
-func (t *times) note(ms float32) {
-	t.n++
-	// What lies beyond the bounds counts as at them.
-	us := min(max(int64(ms*1000), 1), timesMost)
-	if err := t.hist.RecordValue(us); err != nil {
-		t.n--
+func (d *durations) record(ms float32) {
+	d.n++
+	// Values outside the histogram's range count as its bounds.
+	us := min(max(int64(ms*1000), 1), maxDurationMicros)
+	if err := d.hist.RecordValue(us); err != nil {
+		d.n--
 	}
 }
 
-func (t *times) at(percentile float64) string {
-	if t.n == 0 {
+func (d *durations) atPercentile(percentile float64) string {
+	if d.n == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.0f", float64(t.hist.ValueAtPercentile(percentile))/1000)
+	return fmt.Sprintf("%.0f", float64(d.hist.ValueAtPercentile(percentile))/1000)
 }
--- /dev/null
+++ b/trail/timeline.go
@@ -0,0 +1,86 @@
+package trail
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"time"
+)
+
+// orderMargin is the time before and after a request's lines for which a timeline includes the
+// orders for its model. A load takes a few seconds.
+const orderMargin = 5 * time.Second
+
+// Way writes the lines of the request with the ID Follow, sorted by time, and the orders for its
+// model within orderMargin of them.
+func (l *Log) Way(w io.Writer) error {
+	if len(l.timeline) == 0 {
+		return fmt.Errorf("request %q is in none of the %d lines", l.Follow, l.lines)
+	}
+	lines := slices.Clone(l.timeline)
+	slices.SortStableFunc(lines, func(a, b timelineLine) int { return a.at.Compare(b.at) })
+	t := newTable(w)
+	model := ""
+	for _, entry := range lines {
+		if entry.line.Message == messageRequest {
+			model = entry.line.Model
+		}
+		t.writeRow(entry.at.UTC().Format("15:04:05.000"), entry.vm, describe(&entry.line))
+	}
+	l.writeOrdersAround(t, model, lines[0].at, lines[len(lines)-1].at)
+	return t.close()
+}
+
+func (l *Log) writeOrdersAround(t *table, model string, from, to time.Time) {
+	if model == "" {
+		return
+	}
+	from, to = from.Add(-orderMargin), to.Add(orderMargin)
+	hasTitle := false
+	for _, d := range l.orders {
+		at := time.Unix(0, d.at)
+		if l.texts.text(d.model) != model || at.Before(from) || at.After(to) {
+			continue
+		}
+		if !hasTitle {
+			t.writeRow()
+			t.writeRow("orders for " + model)
+			hasTitle = true
+		}
+		operation := "load"
+		if d.unload {
+			operation = "unload"
+		}
+		t.writeRow(formatTime(d.at), l.texts.text(d.server), fmt.Sprintf("%s, verdict %d", operation, d.result))
+	}
+}
+
+// describe returns a line about a request as readable text.
+func describe(l *logLine) string {
+	switch l.Message {
+	case messageAttemptFailed:
+		return fmt.Sprintf("%s did not answer: %s (predicted %.0f ms, %d running)", l.Server, normalizeReason(l.Reason), l.Predicted, l.Running)
+	case messageServerSilent:
+		return fmt.Sprintf("%s was silent", l.Server)
+	case messageRequest:
+		outcome, cause := classify(l)
+		text := fmt.Sprintf("%s: status %d after %.0f ms, %d attempts on %v", outcomeTexts[outcome], l.Status, l.Took, l.Sends, l.Servers)
+		if cause != "" {
+			text += ", " + cause
+		}
+		text += fmt.Sprintf("; first event %.0f ms, predicted %.0f, objective %.0f", l.FirstEvent, l.Predicted, l.Objective)
+		if l.PauseLimit > 0 {
+			text += fmt.Sprintf("; longest pause %.0f ms of %.0f", l.Pause, l.PauseLimit)
+		}
+		if l.Held > 0 {
+			text += fmt.Sprintf("; waited %.0f ms for server capacity", l.Held)
+		}
+		if l.Sought > 0 {
+			text += fmt.Sprintf("; waited %.0f ms for a server", l.Sought)
+		}
+		return text
+	}
+	return l.Message
+}
+
+var outcomeTexts = map[Outcome]string{InTime: "in time", Late: "late", Lost: "lost"}
--- a/trail/trail_test.go
+++ b/trail/trail_test.go
@@ -15,25 +15,25 @@
 	"github.com/hibiscuscart/hibiscuscart/trail"
 )
 
-const recorded = "testdata/site.log"
+const recordedLog = "testdata/site.log"
 
-// read takes in the log of a deployment of stand-ins: three VMs, 180 requests, a model
-// server that starts again, streams that break off, and answers that are lost.
-func read(t *testing.T, follow string) *trail.Log {
+// readRecordedLog reads the log of a deployment with simulated backend servers: three VMs, 180
+// requests, a model server that restarts, interrupted streams, and lost answers.
+func readRecordedLog(t *testing.T, follow string) *trail.Log {
 	t.Helper()
-	f, err := os.Open(recorded)
+	f, err := os.Open(recordedLog)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, f.Close()) }()
 	l := &trail.Log{Follow: follow}
-	require.NoError(t, l.Read(recorded, f))
+	require.NoError(t, l.Read(recordedLog, f))
 	return l
 }
 
-// counted goes through the recorded log with nothing but a decoder, and counts what the
-// report is to say of it.
-func counted(t *testing.T) (lines, bad int, outcomes map[trail.Outcome]int, lost map[string]int) {
+// countRecordedLog counts lines and outcomes in the recorded log independently of the package, with
+// only a JSON decoder.
+func countRecordedLog(t *testing.T) (lines, bad int, outcomes map[trail.Outcome]int, lost map[string]int) {
 	t.Helper()
-	data, err := os.ReadFile(recorded)
+	data, err := os.ReadFile(recordedLog)
 	require.NoError(t, err)
 	outcomes, lost = make(map[trail.Outcome]int), make(map[string]int)
 	for _, text := range strings.Split(strings.TrimSuffix(string(data), "\n"), "\n") {
@@ -62,11 +62,11 @@
 	return lines, bad, outcomes, lost
 }
 
-func TestReportSaysWhatTheLogHolds(t *testing.T) {
-	lines, bad, outcomes, lost := counted(t)
+func TestReportMatchesLog(t *testing.T) {
+	lines, bad, outcomes, lost := countRecordedLog(t)
 	require.NotZero(t, outcomes[trail.Late])
 	require.NotZero(t, outcomes[trail.Lost])
-	l := read(t, "")
+	l := readRecordedLog(t, "")
 	gotLines, gotBad := l.Lines()
 	require.Equal(t, lines, gotLines)
 	require.Equal(t, bad, gotBad)
@@ -80,7 +80,7 @@
 	text := out.String()
 	require.Contains(t, text, fmt.Sprintf("%d requests: ", len(l.Requests())))
 	require.Contains(t, text, "2 lines were not read")
-	require.Contains(t, text, recorded+" line 286: cut off")
+	require.Contains(t, text, recordedLog+" line 286: cut off")
 	for route, n := range lost {
 		require.Regexp(t, fmt.Sprintf(`%s +60 .* %.1f%%`, route, 100*float64(n)/60), text)
 	}
@@ -89,17 +89,17 @@
 	}
 }
 
-func TestReportOfOneModelListsItsOrders(t *testing.T) {
+func TestReportOfOneModel(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, read(t, "").Report(&out, trail.Options{Model: "m4"}))
+	require.NoError(t, readRecordedLog(t, "").Report(&out, trail.Options{Model: "m4"}))
 	require.Contains(t, out.String(), "30 requests: ")
 	require.Regexp(t, `model-servers-\d +load +1`, out.String())
 	require.NotContains(t, out.String(), "look")
 }
 
-func TestWayOfARequest(t *testing.T) {
+func TestRequestTimeline(t *testing.T) {
 	var id string
-	for _, text := range readLines(t) {
+	for _, text := range recordedLines(t) {
 		if strings.Contains(text, `"message":"try failed"`) && strings.Contains(text, "refused with 503") {
 			var l struct{ Request string }
 			require.NoError(t, json.Unmarshal([]byte(text), &l))
@@ -108,38 +108,38 @@
 	}
 	require.NotEmpty(t, id)
 	var out bytes.Buffer
-	require.NoError(t, read(t, id).Way(&out))
+	require.NoError(t, readRecordedLog(t, id).Way(&out))
 	require.Contains(t, out.String(), "did not answer: refused with 503")
 	require.Regexp(t, "(in time|late|lost): status", out.String())
-	require.ErrorContains(t, read(t, "nobody").Way(&out), `request "nobody" is in none of the 286 lines`)
+	require.ErrorContains(t, readRecordedLog(t, "nobody").Way(&out), `request "nobody" is in none of the 286 lines`)
 }
 
-func readLines(t *testing.T) []string {
+func recordedLines(t *testing.T) []string {
 	t.Helper()
-	data, err := os.ReadFile(recorded)
+	data, err := os.ReadFile(recordedLog)
 	require.NoError(t, err)
 	return strings.Split(string(data), "\n")
 }
 
-func TestLinesThatCanNotBeRead(t *testing.T) {
-	whole := `{"time":"2026-01-02T03:04:05Z","message":"request","vm":"v","route":"r","status":200}`
+func TestUnreadableLines(t *testing.T) {
+	validLine := `{"time":"2026-01-02T03:04:05Z","message":"request","vm":"v","route":"r","status":200}`
 	tests := map[string]struct {
 		text   string
 		reason string
 	}{
-		"no object":         {"panic: something", "no JSON object"},
-		"cut off":           {whole[:40], "cut off"},
-		"another type":      {strings.Replace(whole, "200", `"ok"`, 1), "field of another type"},
-		"no time":           {`{"message":"request"}`, "no time or message"},
-		"no message":        {`{"time":"2026-01-02T03:04:05Z"}`, "no time or message"},
-		"too long":          {"{" + strings.Repeat("x", 1<<20) + "}", "longer than a line may be"},
-		"two lines as one":  {whole + whole, "cut off"},
-		"bytes, not a text": {"{\xff\x00", "cut off"},
+		"no object":        {"panic: something", "no JSON object"},
+		"cut off":          {validLine[:40], "cut off"},
+		"wrong type":       {strings.Replace(validLine, "200", `"ok"`, 1), "field of wrong type"},
+		"no time":          {`{"message":"request"}`, "no time or message"},
+		"no message":       {`{"time":"2026-01-02T03:04:05Z"}`, "no time or message"},
+		"too long":         {"{" + strings.Repeat("x", 1<<20) + "}", "longer than the maximum line length"},
+		"two lines joined": {validLine + validLine, "cut off"},
+		"invalid UTF-8":    {"{\xff\x00", "cut off"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &trail.Log{}
-			require.NoError(t, l.Read("log", strings.NewReader(whole+"\n"+tc.text+"\n\n  -1.5 vm-1 "+whole+"\r\n"+whole)))
+			require.NoError(t, l.Read("log", strings.NewReader(validLine+"\n"+tc.text+"\n\n  -1.5 vm-1 "+validLine+"\r\n"+validLine)))
 			lines, bad := l.Lines()
 			require.Equal(t, 4, lines)
 			require.Equal(t, 1, bad)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestAnEmptyLog(t *testing.T) {
+func TestEmptyLog(t *testing.T) {
 	l := &trail.Log{}
 	require.NoError(t, l.Read("log", strings.NewReader("")))
 	var out bytes.Buffer
@@ -158,7 +158,7 @@
 	require.NoError(t, l.Plot(&out, trail.SVG, trail.Options{}))
 }
 
-func TestASourceThatFails(t *testing.T) {
+func TestReadError(t *testing.T) {
 	err := (&trail.Log{}).Read("log", iotest.ErrReader(errors.New("disk gone")))
 	require.ErrorContains(t, err, "read log, line 1: disk gone")
 }
@@ -174,15 +174,15 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			require.NoError(t, read(t, "").Plot(&out, tc.format, trail.Options{}))
+			require.NoError(t, readRecordedLog(t, "").Plot(&out, tc.format, trail.Options{}))
 			require.True(t, strings.HasPrefix(out.String(), tc.begins))
 		})
 	}
 }
 
-// A log line is some 600 bytes; on call a million of them are looked at together.
+// A log line has about 600 bytes, and operators analyze a million lines at once.
 func BenchmarkRead(b *testing.B) {
-	data, err := os.ReadFile(recorded)
+	data, err := os.ReadFile(recordedLog)
 	require.NoError(b, err)
 	b.SetBytes(int64(len(data)))
 	for b.Loop() {
