--- a/limit/limits.go
+++ b/limit/limits.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// localPrecedence is how long a limit learned from an answer takes precedence over the controller's
+// localPrecedence is how long a limit announced in an answer takes precedence over the controller's
 // list, which may be older.
 const localPrecedence = 1500 * time.Millisecond
 
 // Rate is the rate limit of a server.
 type Rate struct {
-	// Server is the ID of the server's start.
+	// Server is the ID of the server instance, which is new at each start.
 	Server string
 	// PerSecond is the maximum number of requests per second from all VMs together.
 	PerSecond float64
@@ -24,7 +24,7 @@
 	Ended bool
 }
 
-// Limits holds the rate limits that a VM knows and the permits for requests to the limited servers.
+// Limits holds the rate limits known to a VM and the permits for requests to the limited servers.
 // The zero value is ready to use. It is safe for concurrent use.
 type Limits struct {
 	mu      sync.Mutex
@@ -36,7 +36,7 @@
 // serverLimit is the rate limit of one server.
 type serverLimit struct {
 	rate float64
-	// announcedAt is when the limit was learned or last announced in an answer to this VM.
+	// announcedAt is when the limit was added or last announced in an answer to this VM.
 	announcedAt time.Time
 	reported    bool
 	// backoffUntil is when this VM may request a permit again.
--- a/limit/limits_test.go
+++ b/limit/limits_test.go
@@ -23,7 +23,7 @@
 	require.True(t, l.Update(start.Add(4*time.Second), start.Add(3*time.Second), "a", 0, false))
 }
 
-// Guards against telling refused callers to retry at the same time, and against accumulating permits
+// Guards against returning the same wait to all refused callers, and against accumulating permits
 // while there are no requests.
 func TestGrantEnforcesRate(t *testing.T) {
 	for name, rate := range map[string]float64{"one and a half": 1.5, "a hundred": 100, "none": 0} {
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -29,11 +29,11 @@
 // Crash is the end of a server process while a request was in progress on it.
 type Crash struct {
 	Request Fingerprint
-	// Server is the ID of the server's start.
+	// Server is the ID of the server instance, which is new at each start.
 	Server string
 }
 
-// Report holds what a VM has learned since its previous report.
+// Report holds the changes at a VM since its previous report.
 type Report struct {
 	Crashes []Crash
 	// Answered are requests with recorded crashes that a server has since answered completely.
@@ -71,7 +71,7 @@
 	mu      sync.Mutex
 	records map[Fingerprint]*record
 	// lostConnections holds the requests whose connection to a server was lost, and endedAt when
-	// a server process was found to have ended, both by the ID of the server's start.
+	// a server process was found to have ended, both by the ID of the server instance.
 	lostConnections map[string][]lostConnection
 	endedAt         map[string]time.Time
 	// answered are the answered requests for the next report.
@@ -81,13 +81,13 @@
 
 // record holds the crashes of a request.
 type record struct {
-	// servers are the server starts that ended, with true for those already reported.
+	// servers are the IDs of the server instances that ended, with true for those already reported.
 	servers map[string]bool
 	// carriedOver is the crash count retained from an expired block.
 	carriedOver int
 	// controllerCrashes is the highest crash count received from the controller.
 	controllerCrashes int
-	// updated is when this VM last learned of a crash or received the controller's count, or when
+	// updated is when a crash was last recorded or the controller's count received, or when
 	// the last block expired.
 	updated time.Time
 	// blockedUntil is when the block expires, zero if there is none.
@@ -121,7 +121,7 @@
 	t.lostConnections[server] = append(t.lostConnections[server], lostConnection{request: request, at: now})
 }
 
-// ProcessEnded records that the process of a server's start has ended.
+// ProcessEnded records that the process of the server instance with the given ID has ended.
 func (t *Tracker) ProcessEnded(now time.Time, server string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +146,7 @@
 }
 
 // clear removes the record of an answered request. Blocked requests keep theirs, because the
-// answer belongs to a run that began before the block. t.mu is held.
+// answer is that of an attempt sent before the block. t.mu is held.
 func (t *Tracker) clear(now time.Time, request Fingerprint) {
 	r := t.records[request]
 	if r == nil || r.blocked(now) {
@@ -231,7 +231,7 @@
 }
 
 // MergeSuspects merges the controller's suspects. It never shortens or ends a block, because this
-// VM may know of crashes that have not reached the controller yet.
+// VM may have recorded crashes that have not reached the controller yet.
 func (t *Tracker) MergeSuspects(now time.Time, suspects []Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,7 +257,7 @@
 	}
 }
 
-// addCrash records a crash, at most one per request and server start, and blocks the request at
+// addCrash records a crash, at most one per request and instance, and blocks the request at
 // the crash limit. It reports whether the crash was new. t.mu is held.
 func (t *Tracker) addCrash(now time.Time, c Crash) bool {
 	r := t.record(now, c.Request)
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -166,7 +166,7 @@
 	require.LessOrEqual(t, crashes, 4096+3)
 }
 
-// A limit of one crash blocks a request on the VM that saw the crash only.
+// Guards against a crash limit of one that blocks a request only on the VM that detected the crash.
 func TestSuspectsWithLimitOfOne(t *testing.T) {
 	vm, other := poison.Tracker{CrashLimit: 1}, poison.Tracker{CrashLimit: 1}
 	crash(&vm, start, "a")
@@ -174,7 +174,7 @@
 	require.Equal(t, time.Hour, other.BlockedFor(start, request))
 }
 
-// Several connections of one request that are lost in one crash are logged as several crashes.
+// Guards against logging several crashes if one crash interrupts several connections of a request.
 func TestOnCrashIsCalledOncePerServer(t *testing.T) {
 	calls := 0
 	tr := poison.Tracker{OnCrash: func(poison.Crash, int) { calls++ }}
