--- a/bench/worst.go
+++ b/bench/worst.go
@@ -47,17 +47,17 @@
 	color   color.Color
 }{
 	{"as it is", replay.Variant{}, color.RGBA{R: 200, G: 30, B: 30, A: 255}},
-	{"naive", replay.Variant{Random: true, Still: true}, color.Gray{Y: 140}},
-	{"exact load", replay.Variant{Exact: true}, color.RGBA{R: 30, G: 80, B: 190, A: 255}},
-	{"foreseen demand", replay.Variant{Foreseen: foreseen}, color.RGBA{R: 220, G: 150, A: 255}},
-	{"instant loads", replay.Variant{Instant: true}, color.RGBA{R: 120, B: 120, A: 255}},
-	{"all three", replay.Variant{Exact: true, Foreseen: foreseen, Instant: true}, color.RGBA{G: 140, B: 60, A: 255}},
+	{"naive", replay.Variant{RandomServer: true, FixedPlacement: true}, color.Gray{Y: 140}},
+	{"exact load", replay.Variant{ExactLoad: true}, color.RGBA{R: 30, G: 80, B: 190, A: 255}},
+	{"foreseen demand", replay.Variant{ForecastHorizon: foreseen}, color.RGBA{R: 220, G: 150, A: 255}},
+	{"instant loads", replay.Variant{InstantLoads: true}, color.RGBA{R: 120, B: 120, A: 255}},
+	{"all three", replay.Variant{ExactLoad: true, ForecastHorizon: foreseen, InstantLoads: true}, color.RGBA{G: 140, B: 60, A: 255}},
 }
 
 // worst returns the experiment of a load pattern.
 func worst(pattern string) func(context.Context, Options) (Figures, error) {
 	return func(_ context.Context, o Options) (Figures, error) {
-		p, err := replay.Named(pattern)
+		p, err := replay.PatternByName(pattern)
 		if err != nil {
 			return nil, fmt.Errorf("find load pattern: %w", err)
 		}
@@ -65,7 +65,7 @@
 		tallies := make([]*replay.Tally, len(worstVariants))
 		var group sync.WaitGroup
 		for i, v := range worstVariants {
-			group.Go(func() { tallies[i] = replay.Play(p, v.variant, o.Seed) })
+			group.Go(func() { tallies[i] = replay.Run(p, v.variant, o.Seed) })
 		}
 		group.Wait()
 		for i, v := range worstVariants {
@@ -83,8 +83,8 @@
 func worstOf(pattern string, o Options, p replay.Pattern, tallies []*replay.Tally) worstFigures {
 	ours := tallies[0]
 	f := worstFigures{
-		Common: Common{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: ours.Total().Asked},
-		Worth:  ours.Worth(), WorstSpan: ours.WorstSpan(),
+		Common: Common{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Faults), Requests: ours.Total().Requests},
+		Worth:  ours.Worth(), WorstSpan: ours.WorstSpanWorth(),
 		NaiveWorth: tallies[1].Worth(), ExactWorth: tallies[2].Worth(), ForeseenWorth: tallies[3].Worth(),
 		InstantWorth: tallies[4].Worth(), BoundWorth: tallies[5].Worth(),
 	}
@@ -101,7 +101,7 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	for i, v := range worstVariants {
 		var points plotter.XYs
-		for at, worth := range tallies[i].ByTime() {
+		for at, worth := range tallies[i].WorthOverTime() {
 			points = append(points, plotter.XY{X: at.Seconds(), Y: worth})
 		}
 		drawn, err := plotter.NewLine(points)
--- a/cmd/hibiscuscart/explain.go
+++ b/cmd/hibiscuscart/explain.go
@@ -45,12 +45,12 @@
 	case *request != "" && (o.Model != "" || *picture != ""):
 		return misuse("-request goes with neither -model nor -plot")
 	}
-	log := &trail.Log{Follow: *request}
+	log := &trail.Log{RequestID: *request}
 	if err := readLogs(log, fs.Args()); err != nil {
 		return err
 	}
 	if *request != "" {
-		return log.Way(os.Stdout)
+		return log.WriteTimeline(os.Stdout)
 	}
 	if err := log.Report(os.Stdout, o); err != nil {
 		return err
--- a/replay/load_reports.go
+++ b/replay/load_reports.go
@@ -38,7 +38,7 @@
 	sim.hubLoads.domainLoads = make([]map[string]pick.Load, f.Domains)
 	interval, relayInterval := frameInterval(sim.hubLinks()), frameInterval(f.Domains)
 	until := sim.pattern.Length
-	start := -sim.pattern.Lead
+	start := -sim.pattern.Warmup
 	for _, v := range sim.vms {
 		phase := time.Duration(sim.rng.Int64N(int64(interval)))
 		sim.schedulePeriodic(start+phase, interval, until, func() {
@@ -73,14 +73,14 @@
 func (sim *simulation) reportDemand(v *vm) {
 	demand := v.takeDemand()
 	switch {
-	case sim.variant.Still:
+	case sim.variant.FixedPlacement:
 		for i := range demand {
 			demand[i].ServerTime = 0
 		}
-	case sim.variant.Foreseen > 0 && v.index == 0:
+	case sim.variant.ForecastHorizon > 0 && v.index == 0:
 		sim.reportForecast(v)
 		fallthrough
-	case sim.variant.Foreseen > 0:
+	case sim.variant.ForecastHorizon > 0:
 		return
 	}
 	if len(demand) == 0 {
@@ -108,7 +108,7 @@
 			Running: max(l.Running-own.Running, 0), PrefillTime: max(l.PrefillTime-own.PrefillTime, 0), KVTokens: max(l.KVTokens-own.KVTokens, 0),
 		})
 	}
-	if sim.variant.Exact {
+	if sim.variant.ExactLoad {
 		return
 	}
 	for _, v := range sim.vmsByDomain[domain] {
--- a/replay/patterns.go
+++ b/replay/patterns.go
@@ -34,7 +34,7 @@
 		credits[best]--
 		m := shares[best].model
 		if i := len(list); i%2 == 0 {
-			m.Adapters = max(8, 28*4/(4+i))
+			m.AdapterCount = max(8, 28*4/(4+i))
 		}
 		list = append(list, m)
 	}
@@ -48,32 +48,32 @@
 
 // withFaults sets the length of a pattern and adds demand shifts, bursts and server faults.
 func withFaults(p Pattern, modelOffset int, classes ...string) Pattern {
-	p.Lead, p.Length = 12*time.Second, 40*time.Second
+	p.Warmup, p.Length = 12*time.Second, 40*time.Second
 	for _, at := range []time.Duration{time.Second, 14 * time.Second, 24 * time.Second} {
-		p.Shifts = append(p.Shifts, Shift{At: at, For: 8 * time.Second, Places: modelOffset})
+		p.Shifts = append(p.Shifts, DemandShift{At: at, Duration: 8 * time.Second, ModelOffset: modelOffset})
 	}
 	for i, class := range classes {
-		p.Bursts = append(p.Bursts, Burst{At: time.Duration(3+2*i) * time.Second, For: 4 * time.Second, Kind: class, Times: 2.2})
+		p.Bursts = append(p.Bursts, Burst{At: time.Duration(3+2*i) * time.Second, Duration: 4 * time.Second, Class: class, RateFactor: 2.2})
 	}
-	p.Bursts = append(p.Bursts, Burst{At: 25 * time.Second, For: 4 * time.Second, Times: 1.4})
-	p.Troubles = []Trouble{
-		{At: 6 * time.Second, For: 2 * time.Second, Share: 0.25},
-		{At: 10 * time.Second, For: 6 * time.Second, Share: 0.14, Times: 2.7},
-		{At: 17 * time.Second, For: 4 * time.Second, Share: 0.15},
+	p.Bursts = append(p.Bursts, Burst{At: 25 * time.Second, Duration: 4 * time.Second, RateFactor: 1.4})
+	p.Faults = []Fault{
+		{At: 6 * time.Second, Duration: 2 * time.Second, ServerShare: 0.25},
+		{At: 10 * time.Second, Duration: 6 * time.Second, ServerShare: 0.14, Slowdown: 2.7},
+		{At: 17 * time.Second, Duration: 4 * time.Second, ServerShare: 0.15},
 	}
 	return p
 }
 
 var shortPromptModels = []modelShare{
-	{0.41, Model{MB: 72_700, Load: 5800 * time.Millisecond, Disk: 840 * time.Millisecond, Warm: 630 * time.Millisecond, Pace: 1}},
-	{0.38, Model{MB: 65_100, Load: 5000 * time.Millisecond, Disk: 780 * time.Millisecond, Warm: 600 * time.Millisecond, Pace: 0.35}},
-	{0.21, Model{MB: 65_100, Load: 5000 * time.Millisecond, Disk: 780 * time.Millisecond, Warm: 600 * time.Millisecond, Pace: 0.23}},
+	{0.41, Model{SizeMB: 72_700, LoadTime: 5800 * time.Millisecond, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 630 * time.Millisecond, TokenTimeFactor: 1}},
+	{0.38, Model{SizeMB: 65_100, LoadTime: 5000 * time.Millisecond, DiskLoadTime: 780 * time.Millisecond, MemoryLoadTime: 600 * time.Millisecond, TokenTimeFactor: 0.35}},
+	{0.21, Model{SizeMB: 65_100, LoadTime: 5000 * time.Millisecond, DiskLoadTime: 780 * time.Millisecond, MemoryLoadTime: 600 * time.Millisecond, TokenTimeFactor: 0.23}},
 }
 
 var longPromptModels = []modelShare{
-	{0.54, Model{MB: 72_700, Load: 4200 * time.Millisecond, Disk: 840 * time.Millisecond, Warm: 630 * time.Millisecond, Pace: 1}},
-	{0.23, Model{MB: 42_700, Load: 2600 * time.Millisecond, Disk: 570 * time.Millisecond, Warm: 440 * time.Millisecond, Pace: 0.6}},
-	{0.23, Model{MB: 65_100, Load: 3800 * time.Millisecond, Disk: 780 * time.Millisecond, Warm: 600 * time.Millisecond, Pace: 0.11}},
+	{0.54, Model{SizeMB: 72_700, LoadTime: 4200 * time.Millisecond, DiskLoadTime: 840 * time.Millisecond, MemoryLoadTime: 630 * time.Millisecond, TokenTimeFactor: 1}},
+	{0.23, Model{SizeMB: 42_700, LoadTime: 2600 * time.Millisecond, DiskLoadTime: 570 * time.Millisecond, MemoryLoadTime: 440 * time.Millisecond, TokenTimeFactor: 0.6}},
+	{0.23, Model{SizeMB: 65_100, LoadTime: 3800 * time.Millisecond, DiskLoadTime: 780 * time.Millisecond, MemoryLoadTime: 600 * time.Millisecond, TokenTimeFactor: 0.11}},
 }
 
 // Small returns the pattern of a dozen servers with 48 slots each.
@@ -81,22 +81,22 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 9, Domains: 3, Servers: 12,
-			Server:   batch.Spec{Slots: 48, MaxWaiting: 100, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 6, KVCacheTokens: 129_000},
-			Models:   mixModels(21, shortPromptModels...),
-			MemoryMB: 220_000, HostMB: 150_000, DiskMB: 440_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 1.8, AtOnce: 9,
-			Way: 900 * time.Microsecond, Near: intraDomainLatency, RetryShare: 0.2, RetryExtra: 58,
+			ServerSpec:     batch.Spec{Slots: 48, MaxWaiting: 100, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 6, KVCacheTokens: 129_000},
+			Models:         mixModels(21, shortPromptModels...),
+			WeightMemoryMB: 220_000, HostCacheMB: 150_000, DiskCacheMB: 440_000, AdapterSlots: 8, AdapterSizeMB: 60, AdapterLoadTime: 9 * time.Millisecond, StoreLoadsPerSecond: 1.8, FullSpeedLoads: 9,
+			CrossDomainLatency: 900 * time.Microsecond, IntraDomainLatency: intraDomainLatency, RetriesPerRequest: 0.2, ExtraRetries: 58,
 		},
-		Kinds: []Kind{
+		Classes: []RequestClass{
 			{
-				Name: "letter", PerSecond: 130, Shared: []Shared{{Size{100, 0.4, 250}, 3}, {Size{72, 0.6, 250}, 18}}, Own: Size{543, 1, 3000}, Output: Size{280, 0.7, 954},
-				Rank: 3, Objective: 300 * time.Millisecond, Gap: 150 * time.Millisecond, Worth: 2.2, Late: 0.65, Leaves: 2 * time.Second, Last: 5, Active: 2, Adapted: 0.1,
+				Name: "letter", RequestsPerSecond: 130, SharedPrompts: []SharedPrompt{{TokenDistribution{100, 0.4, 250}, 3}, {TokenDistribution{72, 0.6, 250}, 18}}, UniqueTokens: TokenDistribution{543, 1, 3000}, OutputTokens: TokenDistribution{280, 0.7, 954},
+				Priority: 3, Objective: 300 * time.Millisecond, MaxEventGap: 150 * time.Millisecond, Worth: 2.2, LateWorth: 0.65, CallerTimeout: 2 * time.Second, EndModel: 5, ActiveModels: 2, AdapterShare: 0.1,
 			},
 			{
-				Name: "query", PerSecond: 115, Shared: []Shared{{Size{60, 0.4, 150}, 3}, {Size{32, 0.6, 100}, 18}}, Own: Size{291, 1, 1500}, Output: Size{48, 1, 180},
-				Rank: 1, Objective: 300 * time.Millisecond, Gap: 150 * time.Millisecond, Worth: 1.1, Late: 0.33, Leaves: 2 * time.Second, Last: 5, Active: 2, Adapted: 0.5,
+				Name: "query", RequestsPerSecond: 115, SharedPrompts: []SharedPrompt{{TokenDistribution{60, 0.4, 150}, 3}, {TokenDistribution{32, 0.6, 100}, 18}}, UniqueTokens: TokenDistribution{291, 1, 1500}, OutputTokens: TokenDistribution{48, 1, 180},
+				Priority: 1, Objective: 300 * time.Millisecond, MaxEventGap: 150 * time.Millisecond, Worth: 1.1, LateWorth: 0.33, CallerTimeout: 2 * time.Second, EndModel: 5, ActiveModels: 2, AdapterShare: 0.5,
 			},
 		},
-		Skew: 0.43, Head: 1.37,
+		ZipfExponent: 0.43, TopModelFactor: 1.37,
 	}
 	return withFaults(p, 1, "letter", "query")
 }
@@ -106,26 +106,26 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 71, Domains: 3, Servers: 112,
-			Server:   batch.Spec{Slots: 12, MaxWaiting: 25, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 10, KVCacheTokens: 38_000},
-			Models:   mixModels(186, shortPromptModels...),
-			MemoryMB: 220_000, HostMB: 150_000, DiskMB: 440_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 18, AtOnce: 92,
-			Way: crossDomainLatency, Near: intraDomainLatency, RetryShare: 0.2, RetryExtra: 182,
+			ServerSpec:     batch.Spec{Slots: 12, MaxWaiting: 25, StepTime: 4430 * time.Microsecond, StepTimePerRequest: 19 * time.Microsecond, PrefillTokensPerMs: 38, PrefillChunkTokens: 2048, TokensPerEvent: 10, KVCacheTokens: 38_000},
+			Models:         mixModels(186, shortPromptModels...),
+			WeightMemoryMB: 220_000, HostCacheMB: 150_000, DiskCacheMB: 440_000, AdapterSlots: 8, AdapterSizeMB: 60, AdapterLoadTime: 9 * time.Millisecond, StoreLoadsPerSecond: 18, FullSpeedLoads: 92,
+			CrossDomainLatency: crossDomainLatency, IntraDomainLatency: intraDomainLatency, RetriesPerRequest: 0.2, ExtraRetries: 182,
 		},
-		Kinds: []Kind{
+		Classes: []RequestClass{
 			{
-				Name: "letter", PerSecond: 480, Shared: []Shared{{Size{100, 0.4, 250}, 3}, {Size{72, 0.6, 250}, 18}}, Own: Size{543, 1, 3000}, Output: Size{280, 0.7, 1000},
-				Rank: 3, Objective: 400 * time.Millisecond, Gap: 200 * time.Millisecond, Worth: 2.3, Late: 0.7, Leaves: 2 * time.Second, Last: 35, Active: 14, Adapted: 0.1,
+				Name: "letter", RequestsPerSecond: 480, SharedPrompts: []SharedPrompt{{TokenDistribution{100, 0.4, 250}, 3}, {TokenDistribution{72, 0.6, 250}, 18}}, UniqueTokens: TokenDistribution{543, 1, 3000}, OutputTokens: TokenDistribution{280, 0.7, 1000},
+				Priority: 3, Objective: 400 * time.Millisecond, MaxEventGap: 200 * time.Millisecond, Worth: 2.3, LateWorth: 0.7, CallerTimeout: 2 * time.Second, EndModel: 35, ActiveModels: 14, AdapterShare: 0.1,
 			},
 			{
-				Name: "query", PerSecond: 560, Shared: []Shared{{Size{60, 0.4, 150}, 3}, {Size{32, 0.6, 100}, 18}}, Own: Size{291, 1, 1500}, Output: Size{50, 1, 200},
-				Rank: 1, Objective: 300 * time.Millisecond, Gap: 200 * time.Millisecond, Worth: 0.93, Late: 0.28, Leaves: 2 * time.Second, Last: 35, Active: 14, Adapted: 0.5,
+				Name: "query", RequestsPerSecond: 560, SharedPrompts: []SharedPrompt{{TokenDistribution{60, 0.4, 150}, 3}, {TokenDistribution{32, 0.6, 100}, 18}}, UniqueTokens: TokenDistribution{291, 1, 1500}, OutputTokens: TokenDistribution{50, 1, 200},
+				Priority: 1, Objective: 300 * time.Millisecond, MaxEventGap: 200 * time.Millisecond, Worth: 0.93, LateWorth: 0.28, CallerTimeout: 2 * time.Second, EndModel: 35, ActiveModels: 14, AdapterShare: 0.5,
 			},
 			{
-				Name: "batch", PerSecond: 60, Shared: []Shared{{Size{172, 0.4, 400}, 2}}, Own: Size{543, 1, 3000}, Output: Size{280, 0.7, 1000},
-				Rank: 5, Objective: 4 * time.Second, Gap: 200 * time.Millisecond, Worth: 1.2, Late: 0.35, Leaves: 16 * time.Second, First: 35, Last: 186,
+				Name: "batch", RequestsPerSecond: 60, SharedPrompts: []SharedPrompt{{TokenDistribution{172, 0.4, 400}, 2}}, UniqueTokens: TokenDistribution{543, 1, 3000}, OutputTokens: TokenDistribution{280, 0.7, 1000},
+				Priority: 5, Objective: 4 * time.Second, MaxEventGap: 200 * time.Millisecond, Worth: 1.2, LateWorth: 0.35, CallerTimeout: 16 * time.Second, FirstModel: 35, EndModel: 186,
 			},
 		},
-		Skew: 0.43, Head: 1.37,
+		ZipfExponent: 0.43, TopModelFactor: 1.37,
 	}
 	return withFaults(p, 2, "letter", "query", "batch")
 }
@@ -135,39 +135,39 @@
 	p := Pattern{
 		Fleet: Fleet{
 			VMs: 195, Domains: 6, Servers: 156,
-			Server:   batch.Spec{Slots: 24, MaxWaiting: 50, StepTime: 5230 * time.Microsecond, StepTimePerRequest: 4 * time.Microsecond, PrefillTokensPerMs: 38.4, PrefillChunkTokens: 1024, TokensPerEvent: 4, KVCacheTokens: 180_000},
-			Models:   mixModels(270, longPromptModels...),
-			MemoryMB: 200_000, HostMB: 140_000, DiskMB: 410_000, AdapterSlots: 8, AdapterMB: 60, AdapterLoad: 9 * time.Millisecond, LoadsPerSecond: 22, AtOnce: 82,
-			Way: crossDomainLatency, Near: intraDomainLatency, RetryShare: 0.2, RetryExtra: 430,
+			ServerSpec:     batch.Spec{Slots: 24, MaxWaiting: 50, StepTime: 5230 * time.Microsecond, StepTimePerRequest: 4 * time.Microsecond, PrefillTokensPerMs: 38.4, PrefillChunkTokens: 1024, TokensPerEvent: 4, KVCacheTokens: 180_000},
+			Models:         mixModels(270, longPromptModels...),
+			WeightMemoryMB: 200_000, HostCacheMB: 140_000, DiskCacheMB: 410_000, AdapterSlots: 8, AdapterSizeMB: 60, AdapterLoadTime: 9 * time.Millisecond, StoreLoadsPerSecond: 22, FullSpeedLoads: 82,
+			CrossDomainLatency: crossDomainLatency, IntraDomainLatency: intraDomainLatency, RetriesPerRequest: 0.2, ExtraRetries: 430,
 		},
-		Kinds: []Kind{
+		Classes: []RequestClass{
 			{
-				Name: "draft", PerSecond: 450, Shared: []Shared{{Size{2520, 0.4, 6290}, 3}, {Size{3780, 0.7, 11300}, 26}}, Own: Size{2890, 1, 39600}, Output: Size{52, 1.4, 208},
-				Rank: 5, Objective: 600 * time.Millisecond, Gap: 250 * time.Millisecond, Worth: 1.9, Late: 0.56, Leaves: 2400 * time.Millisecond, Last: 130, Active: 52, Adapted: 0.1,
+				Name: "draft", RequestsPerSecond: 450, SharedPrompts: []SharedPrompt{{TokenDistribution{2520, 0.4, 6290}, 3}, {TokenDistribution{3780, 0.7, 11300}, 26}}, UniqueTokens: TokenDistribution{2890, 1, 39600}, OutputTokens: TokenDistribution{52, 1.4, 208},
+				Priority: 5, Objective: 600 * time.Millisecond, MaxEventGap: 250 * time.Millisecond, Worth: 1.9, LateWorth: 0.56, CallerTimeout: 2400 * time.Millisecond, EndModel: 130, ActiveModels: 52, AdapterShare: 0.1,
 			},
 			{
-				Name: "batch", PerSecond: 60, Shared: []Shared{{Size{2520, 0.4, 6290}, 1}, {Size{3780, 0.7, 11300}, 2}}, Own: Size{2890, 1, 39600}, Output: Size{52, 1.4, 208},
-				Rank: 3, Objective: 4 * time.Second, Gap: 250 * time.Millisecond, Worth: 3.7, Late: 1.1, Leaves: 10 * time.Second, First: 130, Last: 270,
+				Name: "batch", RequestsPerSecond: 60, SharedPrompts: []SharedPrompt{{TokenDistribution{2520, 0.4, 6290}, 1}, {TokenDistribution{3780, 0.7, 11300}, 2}}, UniqueTokens: TokenDistribution{2890, 1, 39600}, OutputTokens: TokenDistribution{52, 1.4, 208},
+				Priority: 3, Objective: 4 * time.Second, MaxEventGap: 250 * time.Millisecond, Worth: 3.7, LateWorth: 1.1, CallerTimeout: 10 * time.Second, FirstModel: 130, EndModel: 270,
 			},
 			{
-				Name: "check", PerSecond: 320, Shared: []Shared{{Size{119, 0.4, 298}, 3}, {Size{79, 0.7, 238}, 18}}, Own: Size{628, 1, 3310}, Output: Size{290, 0.7, 904},
-				Rank: 1, Objective: 1200 * time.Millisecond, Gap: 250 * time.Millisecond, Worth: 2.3, Late: 0.68, Leaves: 4800 * time.Millisecond, Last: 130, Active: 52, Adapted: 0.5,
+				Name: "check", RequestsPerSecond: 320, SharedPrompts: []SharedPrompt{{TokenDistribution{119, 0.4, 298}, 3}, {TokenDistribution{79, 0.7, 238}, 18}}, UniqueTokens: TokenDistribution{628, 1, 3310}, OutputTokens: TokenDistribution{290, 0.7, 904},
+				Priority: 1, Objective: 1200 * time.Millisecond, MaxEventGap: 250 * time.Millisecond, Worth: 2.3, LateWorth: 0.68, CallerTimeout: 4800 * time.Millisecond, EndModel: 130, ActiveModels: 52, AdapterShare: 0.5,
 			},
 		},
-		Skew: 0.43, Head: 1.37,
+		ZipfExponent: 0.43, TopModelFactor: 1.37,
 	}
 	return withFaults(p, 9, "batch", "check")
 }
 
 var patterns = map[string]func() Pattern{"small": Small, "medium": Medium, "large": Large}
 
-// Names returns the names of the patterns.
-func Names() []string { return slices.Sorted(maps.Keys(patterns)) }
+// PatternNames returns the names of the patterns.
+func PatternNames() []string { return slices.Sorted(maps.Keys(patterns)) }
 
-// Named returns the pattern with the given name.
-func Named(name string) (Pattern, error) {
+// PatternByName returns the pattern with the given name.
+func PatternByName(name string) (Pattern, error) {
 	if p, ok := patterns[name]; ok {
 		return p(), nil
 	}
-	return Pattern{}, fmt.Errorf("unknown load pattern %q; the patterns are %v", name, Names())
+	return Pattern{}, fmt.Errorf("unknown load pattern %q; the patterns are %v", name, PatternNames())
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -16,12 +16,12 @@
 func TestReplayDeterministic(t *testing.T) {
 	p := Small()
 	p.Length = 12 * time.Second
-	require.Equal(t, Play(p, Variant{}, 3).String(), Play(p, Variant{}, 3).String())
+	require.Equal(t, Run(p, Variant{}, 3).String(), Run(p, Variant{}, 3).String())
 }
 
 func TestDemandShift(t *testing.T) {
-	p := Pattern{Fleet: Fleet{Models: make([]Model, 4)}, Skew: 1, Shifts: []Shift{{At: time.Second, For: 2 * time.Second, Places: 1}}}
-	class := &Kind{Last: 3, Active: 2}
+	p := Pattern{Fleet: Fleet{Models: make([]Model, 4)}, ZipfExponent: 1, Shifts: []DemandShift{{At: time.Second, Duration: 2 * time.Second, ModelOffset: 1}}}
+	class := &RequestClass{EndModel: 3, ActiveModels: 2}
 	third := 1.0 / 3
 	tests := map[string]struct {
 		at   time.Duration
@@ -39,18 +39,18 @@
 }
 
 func TestBurstAppliesToItsClass(t *testing.T) {
-	p := Pattern{Bursts: []Burst{{At: time.Second, For: time.Second, Kind: "a", Times: 3}, {At: time.Second, For: time.Second, Times: 2}}}
-	require.InDelta(t, 60.0, p.requestRate(&Kind{Name: "a", PerSecond: 10}, time.Second), 1e-9)
-	require.InDelta(t, 20.0, p.requestRate(&Kind{Name: "b", PerSecond: 10}, time.Second), 1e-9)
-	require.InDelta(t, 10.0, p.requestRate(&Kind{Name: "a", PerSecond: 10}, 2*time.Second), 1e-9)
+	p := Pattern{Bursts: []Burst{{At: time.Second, Duration: time.Second, Class: "a", RateFactor: 3}, {At: time.Second, Duration: time.Second, RateFactor: 2}}}
+	require.InDelta(t, 60.0, p.requestRate(&RequestClass{Name: "a", RequestsPerSecond: 10}, time.Second), 1e-9)
+	require.InDelta(t, 20.0, p.requestRate(&RequestClass{Name: "b", RequestsPerSecond: 10}, time.Second), 1e-9)
+	require.InDelta(t, 10.0, p.requestRate(&RequestClass{Name: "a", RequestsPerSecond: 10}, 2*time.Second), 1e-9)
 }
 
 // testServer returns the server of a simulation without traffic, which has loaded both models.
 func testServer() *server {
 	p := &Pattern{Fleet: Fleet{
-		Servers: 1, Domains: 1, VMs: 1, Server: batch.Spec{Slots: 2, StepTime: time.Millisecond, PrefillTokensPerMs: 10, TokensPerEvent: 1, KVCacheTokens: 1000},
-		Models:   []Model{{MB: 4, Load: time.Second, Disk: 100 * time.Millisecond, Adapters: 2}, {MB: 4, Load: time.Second, Disk: 100 * time.Millisecond}},
-		MemoryMB: 8, DiskMB: 8, AdapterSlots: 1, AtOnce: 1,
+		Servers: 1, Domains: 1, VMs: 1, ServerSpec: batch.Spec{Slots: 2, StepTime: time.Millisecond, PrefillTokensPerMs: 10, TokensPerEvent: 1, KVCacheTokens: 1000},
+		Models:         []Model{{SizeMB: 4, LoadTime: time.Second, DiskLoadTime: 100 * time.Millisecond, AdapterCount: 2}, {SizeMB: 4, LoadTime: time.Second, DiskLoadTime: 100 * time.Millisecond}},
+		WeightMemoryMB: 8, DiskCacheMB: 8, AdapterSlots: 1, FullSpeedLoads: 1,
 	}}
 	sim := &simulation{pattern: p, rng: rand.New(rand.NewPCG(1, 1)), serversByID: make(map[string]*server), tally: newTally(p)}
 	sim.build(1)
@@ -139,7 +139,7 @@
 			tc.pattern.Length = tc.length
 			worth, refused := 0.0, 0.0
 			for seed := range tc.seeds {
-				got := Play(tc.pattern, Variant{}, uint64(seed+1))
+				got := Run(tc.pattern, Variant{}, uint64(seed+1))
 				t.Log("\n" + got.String())
 				worth += got.Worth() / float64(tc.seeds)
 				refusals, arrivals := got.Refusals()
--- a/replay/request.go
+++ b/replay/request.go
@@ -9,7 +9,7 @@
 
 // request is a request of a caller. A retry by the caller is another request.
 type request struct {
-	class *Kind
+	class *RequestClass
 	model int
 	// adapter is the number of the adapter, counted from 1, or 0 for none.
 	adapter      int
--- a/replay/server.go
+++ b/replay/server.go
@@ -53,7 +53,7 @@
 func (s *server) start() {
 	s.startCount++
 	s.id = fmt.Sprintf("s%04d-%d", s.index, s.startCount)
-	spec := s.sim.pattern.Fleet.Server
+	spec := s.sim.pattern.Fleet.ServerSpec
 	s.batch = &batch.Server{Spec: spec}
 	s.loaded, s.order, s.sequence, s.hostCache = make(map[int]bool), nil, 0, nil
 	s.adapters = make(map[adapterKey]*adapterState)
@@ -63,7 +63,7 @@
 }
 
 func (s *server) entry() backs.Entry {
-	e := backs.Entry{ID: s.id, Service: serviceName, Address: s.id, Domain: s.domain, Slots: s.sim.pattern.Fleet.Server.Slots}
+	e := backs.Entry{ID: s.id, Service: serviceName, Address: s.id, Domain: s.domain, Slots: s.sim.pattern.Fleet.ServerSpec.Slots}
 	e.Models = s.loadedModels()
 	return e
 }
@@ -80,7 +80,7 @@
 
 func (s *server) loadedAdapters(m int) []string {
 	var list []string
-	for a := range s.sim.pattern.Fleet.Models[m].Adapters {
+	for a := range s.sim.pattern.Fleet.Models[m].AdapterCount {
 		if adapter := s.adapters[adapterKey{m, a + 1}]; adapter != nil {
 			list = append(list, adapterName(a+1))
 		}
@@ -259,26 +259,26 @@
 	if len(s.adapters) >= s.sim.pattern.Fleet.AdapterSlots {
 		panic(fmt.Sprintf("server %s: the order exceeds its adapter slots", s.id))
 	}
-	s.adapters[key] = &adapterState{readyAt: s.sim.now + s.sim.pattern.Fleet.AdapterLoad}
+	s.adapters[key] = &adapterState{readyAt: s.sim.now + s.sim.pattern.Fleet.AdapterLoadTime}
 	s.sim.publishEntry(s)
 	return steer.Accepted
 }
 
 func (s *server) loadModel(m int) {
 	sim, f := s.sim, &s.sim.pattern.Fleet
-	if s.usedMB() > f.MemoryMB {
+	if s.usedMB() > f.WeightMemoryMB {
 		panic(fmt.Sprintf("server %s: the order exceeds its memory", s.id))
 	}
-	loadTime := f.Models[m].Load
+	loadTime := f.Models[m].LoadTime
 	switch {
 	case slices.Contains(s.hostCache, m):
-		loadTime = f.Models[m].Warm
+		loadTime = f.Models[m].MemoryLoadTime
 	case slices.Contains(s.diskCache, m):
-		loadTime = f.Models[m].Disk
+		loadTime = f.Models[m].DiskLoadTime
 	default:
 		sim.tally.storeLoads++
 		sim.storeLoads++
-		loadTime = time.Duration(float64(loadTime) * max(1, float64(sim.storeLoads)/float64(max(f.AtOnce, 1))))
+		loadTime = time.Duration(float64(loadTime) * max(1, float64(sim.storeLoads)/float64(max(f.FullSpeedLoads, 1))))
 		sim.scheduleAfter(loadTime, func() { sim.storeLoads-- })
 	}
 	id := s.id
@@ -296,8 +296,8 @@
 func (s *server) addModel(m int) {
 	f := &s.sim.pattern.Fleet
 	s.loaded[m] = true
-	s.hostCache = addToCache(f, s.hostCache, f.HostMB, m)
-	s.diskCache = addToCache(f, s.diskCache, f.DiskMB, m)
+	s.hostCache = addToCache(f, s.hostCache, f.HostCacheMB, m)
+	s.diskCache = addToCache(f, s.diskCache, f.DiskCacheMB, m)
 }
 
 // addToCache appends a model to a cache and evicts models from the front beyond the capacity.
@@ -306,10 +306,10 @@
 	list = append(list, m)
 	usedMB := 0.0
 	for _, x := range list {
-		usedMB += f.Models[x].MB
+		usedMB += f.Models[x].SizeMB
 	}
 	for usedMB > capacityMB && len(list) > 0 {
-		usedMB -= f.Models[list[0]].MB
+		usedMB -= f.Models[list[0]].SizeMB
 		list = list[1:]
 	}
 	return list
@@ -318,11 +318,11 @@
 func (s *server) usedMB() float64 {
 	mb := 0.0
 	for m := range s.loaded {
-		mb += s.sim.pattern.Fleet.Models[m].MB
+		mb += s.sim.pattern.Fleet.Models[m].SizeMB
 	}
-	mb += float64(len(s.adapters)) * s.sim.pattern.Fleet.AdapterMB
+	mb += float64(len(s.adapters)) * s.sim.pattern.Fleet.AdapterSizeMB
 	if s.order != nil && !s.order.unload {
-		mb += s.sim.pattern.Fleet.Models[s.order.model].MB
+		mb += s.sim.pattern.Fleet.Models[s.order.model].SizeMB
 	}
 	return mb
 }
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -75,11 +75,11 @@
 	hubLoads     hubLoads
 }
 
-// Play runs a pattern with a seed and returns the results.
-func Play(p Pattern, v Variant, seed uint64) *Tally {
+// Run runs a pattern with a seed and returns the results.
+func Run(p Pattern, v Variant, seed uint64) *Tally {
 	v.apply(&p.Fleet)
 	sim := &simulation{pattern: &p, variant: v, rng: rand.New(rand.NewPCG(seed, 1)), serversByID: make(map[string]*server), tally: newTally(&p)}
-	sim.now = -p.Lead
+	sim.now = -p.Warmup
 	sim.build(seed)
 	sim.scheduleController()
 	sim.scheduleLoadReports()
@@ -94,12 +94,12 @@
 func (sim *simulation) build(seed uint64) {
 	f := &sim.pattern.Fleet
 	sim.engine = &routes.Engine{
-		Slots: f.Server.Slots, KVCacheTokens: f.Server.KVCacheTokens, TokensPerEvent: f.Server.TokensPerEvent, WeightMemoryMB: f.MemoryMB,
-		HostCacheMB: f.HostMB, DiskCacheMB: f.DiskMB, AdapterSlots: f.AdapterSlots, StoreLoadsPerSecond: f.LoadsPerSecond, Models: make(map[string]routes.Model),
+		Slots: f.ServerSpec.Slots, KVCacheTokens: f.ServerSpec.KVCacheTokens, TokensPerEvent: f.ServerSpec.TokensPerEvent, WeightMemoryMB: f.WeightMemoryMB,
+		HostCacheMB: f.HostCacheMB, DiskCacheMB: f.DiskCacheMB, AdapterSlots: f.AdapterSlots, StoreLoadsPerSecond: f.StoreLoadsPerSecond, Models: make(map[string]routes.Model),
 	}
 	for i, m := range f.Models {
-		sim.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), SizeMB: m.MB, LoadTime: m.Load, DiskLoadTime: m.Disk, MemoryLoadTime: m.Warm, AdapterCount: m.Adapters, AdapterSizeMB: f.AdapterMB}
-		sim.engine.LargestModelMB = max(sim.engine.LargestModelMB, m.MB)
+		sim.engine.Models[modelName(i)] = routes.Model{Name: modelName(i), SizeMB: m.SizeMB, LoadTime: m.LoadTime, DiskLoadTime: m.DiskLoadTime, MemoryLoadTime: m.MemoryLoadTime, AdapterCount: m.AdapterCount, AdapterSizeMB: f.AdapterSizeMB}
+		sim.engine.LargestModelMB = max(sim.engine.LargestModelMB, m.SizeMB)
 	}
 	sim.vmsByDomain = make([][]*vm, f.Domains)
 	for i := range f.VMs {
@@ -110,10 +110,10 @@
 			pending: make(map[*request]*attempt),
 		}
 		v.balancer = &pick.Balancer{Domain: domainName(d), Seed: seed*1e6 + uint64(i), HasIdleConn: func(id string) bool { return v.openConnections[id] }}
-		if sim.variant.Exact && i > 0 {
+		if sim.variant.ExactLoad && i > 0 {
 			v.balancer = sim.vms[0].balancer
 		}
-		v.retryBudget.SetLimit(f.RetryShare, f.RetryExtra/float64(f.VMs), 10*time.Second)
+		v.retryBudget.SetLimit(f.RetriesPerRequest, f.ExtraRetries/float64(f.VMs), 10*time.Second)
 		sim.vms = append(sim.vms, v)
 		sim.vmsByDomain[d] = append(sim.vmsByDomain[d], v)
 	}
@@ -139,14 +139,14 @@
 	f := &sim.pattern.Fleet
 	total := make([]float64, len(f.Models))
 	sum := 0.0
-	for i := range sim.pattern.Kinds {
-		class := &sim.pattern.Kinds[i]
-		if class.Active == 0 {
+	for i := range sim.pattern.Classes {
+		class := &sim.pattern.Classes[i]
+		if class.ActiveModels == 0 {
 			continue
 		}
 		for m, share := range sim.pattern.demandShares(class, 0) {
-			total[m] += share * class.PerSecond
-			sum += share * class.PerSecond
+			total[m] += share * class.RequestsPerSecond
+			sum += share * class.RequestsPerSecond
 		}
 	}
 	placed := 0
@@ -169,7 +169,7 @@
 func (sim *simulation) placeModel(m int) {
 	var best *server
 	for _, s := range sim.servers {
-		if s.loaded[m] || s.usedMB()+sim.pattern.Fleet.Models[m].MB > sim.pattern.Fleet.MemoryMB {
+		if s.loaded[m] || s.usedMB()+sim.pattern.Fleet.Models[m].SizeMB > sim.pattern.Fleet.WeightMemoryMB {
 			continue
 		}
 		if best == nil || s.usedMB() < best.usedMB() {
@@ -193,9 +193,9 @@
 
 func (sim *simulation) latencyTo(v *vm, domain string) time.Duration {
 	if domainName(v.domain) == domain {
-		return sim.pattern.Fleet.Near
+		return sim.pattern.Fleet.IntraDomainLatency
 	}
-	return sim.pattern.Fleet.Way
+	return sim.pattern.Fleet.CrossDomainLatency
 }
 
 func (sim *simulation) randomVM(domain int) *vm {
@@ -275,7 +275,7 @@
 		},
 	}
 	until := sim.pattern.Length
-	sim.schedulePeriodic(-sim.pattern.Lead, controllerInterval, until, func() {
+	sim.schedulePeriodic(-sim.pattern.Warmup, controllerInterval, until, func() {
 		sim.controller.Step(context.Background(), sim.currentTime())
 		sim.runPendingCalls()
 	})
@@ -321,9 +321,9 @@
 
 // scheduleFaults schedules the faults of the pattern.
 func (sim *simulation) scheduleFaults() {
-	for _, fault := range sim.pattern.Troubles {
+	for _, fault := range sim.pattern.Faults {
 		sim.scheduleAt(fault.At, func() {
-			indexes := sim.rng.Perm(len(sim.servers))[:int(fault.Share*float64(len(sim.servers)))]
+			indexes := sim.rng.Perm(len(sim.servers))[:int(fault.ServerShare*float64(len(sim.servers)))]
 			slices.Sort(indexes)
 			for _, i := range indexes {
 				sim.applyFault(sim.servers[i], fault)
@@ -332,16 +332,16 @@
 	}
 }
 
-func (sim *simulation) applyFault(s *server, fault Trouble) {
-	if fault.Times > 0 {
-		s.batch.Spec.StepTime = time.Duration(float64(sim.pattern.Fleet.Server.StepTime) * fault.Times)
-		s.batch.Spec.PrefillTokensPerMs = sim.pattern.Fleet.Server.PrefillTokensPerMs / fault.Times
+func (sim *simulation) applyFault(s *server, fault Fault) {
+	if fault.Slowdown > 0 {
+		s.batch.Spec.StepTime = time.Duration(float64(sim.pattern.Fleet.ServerSpec.StepTime) * fault.Slowdown)
+		s.batch.Spec.PrefillTokensPerMs = sim.pattern.Fleet.ServerSpec.PrefillTokensPerMs / fault.Slowdown
 		b := s.batch
-		sim.scheduleAfter(fault.For, func() { b.Spec = sim.pattern.Fleet.Server })
+		sim.scheduleAfter(fault.Duration, func() { b.Spec = sim.pattern.Fleet.ServerSpec })
 		return
 	}
 	id := s.id
-	s.crash(fault.For)
+	s.crash(fault.Duration)
 	sim.scheduleAfter(missedHeartbeats*heartbeatInterval, func() {
 		sim.view.Remove(sim.currentTime(), id)
 		sim.entriesStale = true
--- a/replay/tally.go
+++ b/replay/tally.go
@@ -13,46 +13,46 @@
 // Tally holds the results of a replay.
 type Tally struct {
 	pattern *Pattern
-	classes map[string]*Count
-	spans   []Count
+	classes map[string]*OutcomeCounts
+	spans   []OutcomeCounts
 	// reasons counts the requests by why they were refused, lost or late.
 	reasons map[string]int
 
 	loads, storeLoads, unloads, orders int
 	adapterOrders                      int
 	// adapterRequests are the outcomes of the requests with an adapter.
-	adapterRequests                                  Count
+	adapterRequests                                  OutcomeCounts
 	arrivals, refusals, refusedRequests, failedDials int
 	newConnections, waitingRequests                  int
 	predictedInTime, predictedInTimeButLate          int
 	predictionErrors                                 []time.Duration
 }
 
-// Count holds the outcomes of requests and their worth.
-type Count struct {
-	Asked, InTime, Late, Lost int
-	Owed, Earned              float64
+// OutcomeCounts holds the outcomes of requests and their worth.
+type OutcomeCounts struct {
+	Requests, InTime, Late, Lost int
+	MaxWorth, EarnedWorth        float64
 }
 
 // Worth returns the earned share of the worth.
-func (c Count) Worth() float64 {
-	if c.Owed == 0 {
+func (c OutcomeCounts) Worth() float64 {
+	if c.MaxWorth == 0 {
 		return 0
 	}
-	return c.Earned / c.Owed
+	return c.EarnedWorth / c.MaxWorth
 }
 
 // spanLength is the length of the spans of time for which outcomes are counted separately.
 const spanLength = 2 * time.Second
 
 func newTally(p *Pattern) *Tally {
-	return &Tally{pattern: p, classes: make(map[string]*Count), reasons: make(map[string]int), spans: make([]Count, int(p.Length/spanLength)+1)}
+	return &Tally{pattern: p, classes: make(map[string]*OutcomeCounts), reasons: make(map[string]int), spans: make([]OutcomeCounts, int(p.Length/spanLength)+1)}
 }
 
-func (t *Tally) updateCounts(r *request, update func(*Count)) {
+func (t *Tally) updateCounts(r *request, update func(*OutcomeCounts)) {
 	c := t.classes[r.class.Name]
 	if c == nil {
-		c = &Count{}
+		c = &OutcomeCounts{}
 		t.classes[r.class.Name] = c
 	}
 	update(c)
@@ -63,9 +63,9 @@
 }
 
 func (t *Tally) recordRequest(r *request) {
-	t.updateCounts(r, func(c *Count) {
-		c.Asked++
-		c.Owed += r.class.Worth
+	t.updateCounts(r, func(c *OutcomeCounts) {
+		c.Requests++
+		c.MaxWorth += r.class.Worth
 	})
 }
 
@@ -91,38 +91,38 @@
 		late = "late: retried by the caller"
 	case r.firstEventAt-r.firstArrivedAt > r.class.Objective:
 		late = "late: first event"
-	case r.longestPause > r.class.Gap:
+	case r.longestPause > r.class.MaxEventGap:
 		late = "late: pause"
 	}
 	if late != "" {
 		t.reasons[late]++
 	}
-	t.updateCounts(r, func(c *Count) {
+	t.updateCounts(r, func(c *OutcomeCounts) {
 		if late == "" {
 			c.InTime++
-			c.Earned += r.class.Worth
+			c.EarnedWorth += r.class.Worth
 			return
 		}
 		c.Late++
-		c.Earned += r.class.Late
+		c.EarnedWorth += r.class.LateWorth
 	})
 }
 
 func (t *Tally) recordLoss(_ time.Duration, r *request, reason string) {
 	t.reasons["lost: "+reason]++
-	t.updateCounts(r, func(c *Count) { c.Lost++ })
+	t.updateCounts(r, func(c *OutcomeCounts) { c.Lost++ })
 }
 
 // Total returns the sum over all classes.
-func (t *Tally) Total() Count {
-	var sum Count
+func (t *Tally) Total() OutcomeCounts {
+	var sum OutcomeCounts
 	for _, c := range t.classes {
-		sum.Asked += c.Asked
+		sum.Requests += c.Requests
 		sum.InTime += c.InTime
 		sum.Late += c.Late
 		sum.Lost += c.Lost
-		sum.Owed += c.Owed
-		sum.Earned += c.Earned
+		sum.MaxWorth += c.MaxWorth
+		sum.EarnedWorth += c.EarnedWorth
 	}
 	return sum
 }
@@ -130,22 +130,22 @@
 // Worth returns the earned share of the worth over all classes.
 func (t *Tally) Worth() float64 { return t.Total().Worth() }
 
-// WorstSpan returns the lowest earned share of the worth in any span.
-func (t *Tally) WorstSpan() float64 {
+// WorstSpanWorth returns the lowest earned share of the worth in any span.
+func (t *Tally) WorstSpanWorth() float64 {
 	worst := 1.0
 	for _, c := range t.spans {
-		if c.Asked > 0 {
+		if c.Requests > 0 {
 			worst = min(worst, c.Worth())
 		}
 	}
 	return worst
 }
 
-// ByTime yields the start of each span and its earned share of the worth.
-func (t *Tally) ByTime() iter.Seq2[time.Duration, float64] {
+// WorthOverTime yields the start of each span and its earned share of the worth.
+func (t *Tally) WorthOverTime() iter.Seq2[time.Duration, float64] {
 	return func(yield func(time.Duration, float64) bool) {
 		for i, c := range t.spans {
-			if c.Asked > 0 && !yield(time.Duration(i)*spanLength, c.Worth()) {
+			if c.Requests > 0 && !yield(time.Duration(i)*spanLength, c.Worth()) {
 				return
 			}
 		}
@@ -162,18 +162,18 @@
 func (t *Tally) String() string {
 	var b strings.Builder
 	total := t.Total()
-	share := func(n int) float64 { return 100 * float64(n) / float64(max(total.Asked, 1)) }
+	share := func(n int) float64 { return 100 * float64(n) / float64(max(total.Requests, 1)) }
 	fmt.Fprintf(&b, "worth %.3f, worst two seconds %.2f; %d requests: %.1f%% in time, %.1f%% late, %.1f%% lost\n",
-		t.Worth(), t.WorstSpan(), total.Asked, share(total.InTime), share(total.Late), share(total.Lost))
+		t.Worth(), t.WorstSpanWorth(), total.Requests, share(total.InTime), share(total.Late), share(total.Lost))
 	fmt.Fprintf(&b, "%d of %d arrivals refused, %d requests refused, %d waited for capacity, %d failed dials, %d connections; %d loads (%d from the store), %d unloads\n",
 		t.refusals, t.arrivals, t.refusedRequests, t.waitingRequests, t.failedDials, t.newConnections, t.loads, t.storeLoads, t.unloads)
 	fmt.Fprintf(&b, "predicted in time %d, of them late %d; observed minus predicted p50 %v, p95 %v\n",
 		t.predictedInTime, t.predictedInTimeButLate, t.predictionErrorAt(0.5).Round(time.Millisecond), t.predictionErrorAt(0.95).Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(t.classes)) {
 		c := t.classes[name]
-		fmt.Fprintf(&b, "  %-14s worth %.3f of %d\n", name, c.Worth(), c.Asked)
+		fmt.Fprintf(&b, "  %-14s worth %.3f of %d\n", name, c.Worth(), c.Requests)
 	}
-	fmt.Fprintf(&b, "  with an adapter worth %.3f of %d; %d adapter orders\n", t.adapterRequests.Worth(), t.adapterRequests.Asked, t.adapterOrders)
+	fmt.Fprintf(&b, "  with an adapter worth %.3f of %d; %d adapter orders\n", t.adapterRequests.Worth(), t.adapterRequests.Requests, t.adapterOrders)
 	order := slices.SortedFunc(maps.Keys(t.reasons), func(a, b string) int {
 		return cmp.Or(cmp.Compare(t.reasons[b], t.reasons[a]), cmp.Compare(a, b))
 	})
--- a/replay/traffic.go
+++ b/replay/traffic.go
@@ -15,8 +15,8 @@
 func (sim *simulation) scheduleTraffic() {
 	sim.schedulePeriodic(0, trafficTick, sim.pattern.Length-trafficTick, func() {
 		at := sim.now
-		for i := range sim.pattern.Kinds {
-			class := &sim.pattern.Kinds[i]
+		for i := range sim.pattern.Classes {
+			class := &sim.pattern.Classes[i]
 			shares := sim.pattern.demandShares(class, at)
 			for range poisson(sim.rng, sim.pattern.requestRate(class, at)*trafficTick.Seconds()) {
 				r := sim.newRequest(class, drawIndex(sim.rng, shares))
@@ -30,14 +30,14 @@
 	})
 }
 
-func (sim *simulation) newRequest(class *Kind, model int) *request {
-	r := &request{class: class, model: model, promptTokens: class.Own.draw(sim.rng), outputTokens: class.Output.draw(sim.rng)}
-	if n := sim.pattern.Fleet.Models[model].Adapters; n > 0 && sim.rng.Float64() < class.Adapted {
+func (sim *simulation) newRequest(class *RequestClass, model int) *request {
+	r := &request{class: class, model: model, promptTokens: class.UniqueTokens.draw(sim.rng), outputTokens: class.OutputTokens.draw(sim.rng)}
+	if n := sim.pattern.Fleet.Models[model].AdapterCount; n > 0 && sim.rng.Float64() < class.AdapterShare {
 		r.adapter = 1 + sim.rng.IntN(n)
 	}
 	key := uint64(0)
-	for i, prompt := range class.Shared {
-		variant := sim.rng.IntN(prompt.Things)
+	for i, prompt := range class.SharedPrompts {
+		variant := sim.rng.IntN(prompt.Variants)
 		key = key*1009 + uint64(variant) + 1
 		// The length is that of the shared part, so it must be the same for all requests.
 		tokens := prompt.Tokens.draw(rand.New(rand.NewPCG(key, uint64(i))))
@@ -58,11 +58,11 @@
 }
 
 // newWork returns the description of a request that server selection uses, without the prompt.
-func (sim *simulation) newWork(class *Kind, model int) pick.Work {
-	spec := sim.pattern.Fleet.Server
+func (sim *simulation) newWork(class *RequestClass, model int) pick.Work {
+	spec := sim.pattern.Fleet.ServerSpec
 	return pick.Work{
 		Route: class.Name, Model: modelName(model), Slots: spec.Slots, TokensPerEvent: spec.TokensPerEvent,
-		RelativeModelSize: sim.engine.RelativeSize(modelName(model)), MaxOutputTokens: int(class.Output.Most), Objective: class.Objective,
+		RelativeModelSize: sim.engine.RelativeSize(modelName(model)), MaxOutputTokens: int(class.OutputTokens.Max), Objective: class.Objective,
 	}
 }
 
@@ -74,7 +74,7 @@
 	return n
 }
 
-func partID(class *Kind, key uint64) string {
+func partID(class *RequestClass, key uint64) string {
 	const digits = "0123456789abcdef"
 	b := make([]byte, 0, len(class.Name)+17)
 	b = append(append(b, class.Name...), '-')
--- a/replay/variant.go
+++ b/replay/variant.go
@@ -10,16 +10,16 @@
 // Variant selects how a replay differs from the real system: which policies are off, or which
 // information is available that the real system cannot have. The zero value is the real system.
 type Variant struct {
-	// Random sends each request to a random server that has loaded its model. Still keeps the
+	// RandomServer sends each request to a random server that has loaded its model. Still keeps the
 	// initial placement of models. Both together are the simplest form of the system.
-	Random, Still bool
-	// Exact gives each VM the exact load of all VMs without delay.
-	Exact bool
-	// Foreseen reports to the controller the demand at that time in the future instead of the
+	RandomServer, FixedPlacement bool
+	// ExactLoad gives each VM the exact load of all VMs without delay.
+	ExactLoad bool
+	// ForecastHorizon reports to the controller the demand at that time in the future instead of the
 	// observed demand, unless it is 0.
-	Foreseen time.Duration
-	// Instant makes loads take instantLoadTime each, without a rate limit.
-	Instant bool
+	ForecastHorizon time.Duration
+	// InstantLoads makes loads take instantLoadTime each, without a rate limit.
+	InstantLoads bool
 }
 
 const (
@@ -33,26 +33,26 @@
 )
 
 func (v Variant) apply(f *Fleet) {
-	if !v.Instant {
+	if !v.InstantLoads {
 		return
 	}
-	f.LoadsPerSecond, f.AtOnce = unlimited, unlimited
+	f.StoreLoadsPerSecond, f.FullSpeedLoads = unlimited, unlimited
 	f.Models = append([]Model(nil), f.Models...)
 	for i := range f.Models {
-		f.Models[i].Load, f.Models[i].Disk, f.Models[i].Warm = instantLoadTime, instantLoadTime, instantLoadTime
+		f.Models[i].LoadTime, f.Models[i].DiskLoadTime, f.Models[i].MemoryLoadTime = instantLoadTime, instantLoadTime, instantLoadTime
 	}
 }
 
 // reportForecast reports the future demand to the controller in the form of a VM's report.
 func (sim *simulation) reportForecast(v *vm) {
-	at := sim.now + sim.variant.Foreseen
+	at := sim.now + sim.variant.ForecastHorizon
 	if at < 0 {
 		return
 	}
 	interval := frameInterval(sim.hubLinks()).Seconds()
 	work := make([]float64, len(sim.pattern.Fleet.Models))
-	for i := range sim.pattern.Kinds {
-		class := &sim.pattern.Kinds[i]
+	for i := range sim.pattern.Classes {
+		class := &sim.pattern.Classes[i]
 		rate := sim.pattern.requestRate(class, at)
 		for m, share := range sim.pattern.demandShares(class, at) {
 			if share > 0 {
@@ -72,13 +72,13 @@
 }
 
 // meanWork returns the description of a request with the mean sizes of its class.
-func (sim *simulation) meanWork(class *Kind, model int) pick.Work {
+func (sim *simulation) meanWork(class *RequestClass, model int) pick.Work {
 	work := sim.newWork(class, model)
-	work.PromptTokens = int(class.Own.Mean)
-	for _, prompt := range class.Shared {
+	work.PromptTokens = int(class.UniqueTokens.Mean)
+	for _, prompt := range class.SharedPrompts {
 		work.PromptTokens += int(prompt.Tokens.Mean)
 		work.PromptParts = append(work.PromptParts, pick.PromptPart{Tokens: int(prompt.Tokens.Mean)})
 	}
-	work.PromptParts = append(work.PromptParts, pick.PromptPart{Tokens: int(class.Own.Mean)})
+	work.PromptParts = append(work.PromptParts, pick.PromptPart{Tokens: int(class.UniqueTokens.Mean)})
 	return work
 }
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -57,7 +57,7 @@
 	}
 	demand.Requests++
 	demand.ServerTime += cost
-	v.sim.scheduleAt(r.arrivedAt+r.class.Leaves, func() { v.abandon(r) })
+	v.sim.scheduleAt(r.arrivedAt+r.class.CallerTimeout, func() { v.abandon(r) })
 	v.try(r)
 }
 
@@ -93,8 +93,8 @@
 
 // choose returns a server for a request among the candidates, without the excluded servers.
 func (v *vm) choose(now time.Time, candidates []backs.Entry, r *request) (pick.Choice, bool) {
-	if !v.sim.variant.Random {
-		return v.balancer.Choose(now, candidates, r.work, v.sim.pattern.Fleet.Server.KVCacheTokens, r.excludedServers)
+	if !v.sim.variant.RandomServer {
+		return v.balancer.Choose(now, candidates, r.work, v.sim.pattern.Fleet.ServerSpec.KVCacheTokens, r.excludedServers)
 	}
 	available := slices.DeleteFunc(slices.Clone(candidates), func(e backs.Entry) bool { return slices.Contains(r.excludedServers, e.ID) })
 	if len(available) == 0 {
@@ -128,7 +128,7 @@
 		v.sim.scheduleAfter(roundDelay, func() { v.try(r) })
 		return
 	}
-	if waited >= time.Duration(maxModelWaitShare*float64(r.class.Leaves)) {
+	if waited >= time.Duration(maxModelWaitShare*float64(r.class.CallerTimeout)) {
 		v.refuse(r, "no server has loaded the model")
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 func (v *vm) admit(r *request, choice pick.Choice) bool {
-	admission := pick.Admission{VMs: len(v.sim.vms), Objective: r.work.Objective, Urgent: r.class.Rank == v.sim.pattern.topPriority()}
+	admission := pick.Admission{VMs: len(v.sim.vms), Objective: r.work.Objective, Urgent: r.class.Priority == v.sim.pattern.topPriority()}
 	if !r.waiting {
 		return admission.Admit(choice, 0)
 	}
@@ -199,8 +199,8 @@
 		latency += dialTime
 	}
 	r.attempts++
-	a := &attempt{request: r, server: s, choice: choice, batchRequest: &batch.Request{OutputTokens: r.outputTokens, Priority: r.class.Rank, TimeFactor: v.sim.pattern.Fleet.Models[r.model].Pace}}
-	a.tracker = v.balancer.Begin(now, choice, r.work, v.sim.pattern.Fleet.Server.KVCacheTokens)
+	a := &attempt{request: r, server: s, choice: choice, batchRequest: &batch.Request{OutputTokens: r.outputTokens, Priority: r.class.Priority, TimeFactor: v.sim.pattern.Fleet.Models[r.model].TokenTimeFactor}}
+	a.tracker = v.balancer.Begin(now, choice, r.work, v.sim.pattern.Fleet.ServerSpec.KVCacheTokens)
 	v.pending[r] = a
 	v.sim.scheduleAfter(latency, func() { v.arriveAtServer(a) })
 }
@@ -257,7 +257,7 @@
 	delay := max(minRetryDelay, r.retryAfter) + time.Duration(v.rng.Int64N(int64(max(retryJitter, r.retryAfter))))
 	next := *r
 	next.isRetry, next.ended, next.attempts, next.excludedServers, next.rounds, next.retryAfter = true, false, 0, nil, 0, 0
-	v.sim.scheduleAfter(min(delay, time.Duration(maxRetryDelayShare*float64(r.class.Leaves))), func() {
+	v.sim.scheduleAfter(min(delay, time.Duration(maxRetryDelayShare*float64(r.class.CallerTimeout))), func() {
 		next.arrivedAt = v.sim.now
 		next.vm = v.sim.randomVM(v.domain)
 		next.vm.receive(&next)
--- a/trail/line.go
+++ b/trail/line.go
@@ -29,28 +29,28 @@
 	VM      string    `json:"vm"`
 	Request string    `json:"request"`
 
-	Route      string   `json:"route"`
-	Service    string   `json:"service"`
-	Model      string   `json:"model"`
-	Adapter    string   `json:"adapter"`
-	Servers    []string `json:"servers"`
-	Sends      int      `json:"sends"`
-	Status     int      `json:"status"`
-	Reason     string   `json:"reason"`
-	Objective  float64  `json:"objective"`
-	PauseLimit float64  `json:"pause_limit"`
-	Predicted  float64  `json:"predicted"`
-	Running    int      `json:"running"`
-	FirstEvent float64  `json:"first_event"`
-	Pause      float64  `json:"longest_pause"`
-	Events     int      `json:"events"`
-	Held       float64  `json:"held"`
-	Sought     float64  `json:"sought"`
-	Took       float64  `json:"took"`
+	Route         string   `json:"route"`
+	Service       string   `json:"service"`
+	Model         string   `json:"model"`
+	Adapter       string   `json:"adapter"`
+	Servers       []string `json:"servers"`
+	Attempts      int      `json:"sends"`
+	Status        int      `json:"status"`
+	Reason        string   `json:"reason"`
+	Objective     float64  `json:"objective"`
+	PauseLimit    float64  `json:"pause_limit"`
+	Predicted     float64  `json:"predicted"`
+	Running       int      `json:"running"`
+	FirstEvent    float64  `json:"first_event"`
+	LongestPause  float64  `json:"longest_pause"`
+	Events        int      `json:"events"`
+	AdmissionWait float64  `json:"held"`
+	FindWait      float64  `json:"sought"`
+	Duration      float64  `json:"took"`
 
-	Server  string `json:"server"`
-	Unload  bool   `json:"unload"`
-	Verdict int    `json:"verdict"`
+	Server      string `json:"server"`
+	Unload      bool   `json:"unload"`
+	OrderResult int    `json:"verdict"`
 }
 
 // Errors of lines that are skipped.
--- a/trail/log.go
+++ b/trail/log.go
@@ -57,26 +57,26 @@
 	result        int8
 }
 
-// Bad describes a line that could not be read.
-type Bad struct {
+// BadLine describes a line that could not be read.
+type BadLine struct {
 	source string
 	line   int
 	err    error
 }
 
 // String returns the source and number of the line and the error.
-func (b Bad) String() string { return fmt.Sprintf("%s line %d: %v", b.source, b.line, b.err) }
+func (b BadLine) String() string { return fmt.Sprintf("%s line %d: %v", b.source, b.line, b.err) }
 
 // Log holds the data of the lines read. The zero value is ready to use.
 type Log struct {
-	// Follow is the ID of the request whose lines are retained for its timeline, "" for none. It must
+	// RequestID is the ID of the request whose lines are retained for its timeline, "" for none. It must
 	// be set before the first Read.
-	Follow string
+	RequestID string
 
 	texts    textTable
 	lines    int
 	bad      int
-	badLines []Bad
+	badLines []BadLine
 	firstAt  int64
 	lastAt   int64
 	vms      map[textID]bool
@@ -102,7 +102,7 @@
 func (l *Log) Lines() (all, bad int) { return l.lines, l.bad }
 
 // BadLines returns the first lines that could not be read, at most maxBadLines.
-func (l *Log) BadLines() []Bad { return l.badLines }
+func (l *Log) BadLines() []BadLine { return l.badLines }
 
 // Requests returns the requests in the order of their lines.
 func (l *Log) Requests() []Request { return l.requests }
@@ -159,7 +159,7 @@
 func (l *Log) addBadLine(source string, lineNumber int, err error) {
 	l.bad++
 	if len(l.badLines) < maxBadLines {
-		l.badLines = append(l.badLines, Bad{source, lineNumber, err})
+		l.badLines = append(l.badLines, BadLine{source, lineNumber, err})
 	}
 }
 
@@ -175,7 +175,7 @@
 		l.vms, l.failedAttempts = make(map[textID]bool), make(map[failedAttempt]int)
 	}
 	l.vms[vm] = true
-	if l.Follow != "" && parsed.Request == l.Follow {
+	if l.RequestID != "" && parsed.Request == l.RequestID {
 		l.timeline = append(l.timeline, timelineLine{at: parsed.Time, vm: parsed.VM, text: string(text), line: parsed})
 	}
 	switch parsed.Message {
@@ -185,7 +185,7 @@
 		l.failedAttempts[failedAttempt{l.texts.id(parsed.Server), l.texts.id(normalizeReason(parsed.Reason))}]++
 	case messageOrder:
 		if parsed.Adapter == "" {
-			l.orders = append(l.orders, order{parsed.Time.UnixNano(), l.texts.id(parsed.Model), l.texts.id(parsed.Server), parsed.Unload, int8(parsed.Verdict)})
+			l.orders = append(l.orders, order{parsed.Time.UnixNano(), l.texts.id(parsed.Model), l.texts.id(parsed.Server), parsed.Unload, int8(parsed.OrderResult)})
 		}
 	}
 }
@@ -201,10 +201,10 @@
 	outcome, cause := classify(parsed)
 	r := Request{
 		at: parsed.Time.UnixNano(), vm: vm, route: l.texts.id(parsed.Route), model: l.texts.id(parsed.Model),
-		outcome: outcome, cause: l.texts.id(cause), attempts: uint8(min(parsed.Sends, 255)),
-		streamed: parsed.PauseLimit > 0, sentDirectly: parsed.Sends == 1 && parsed.Held == 0 && parsed.Sought == 0,
+		outcome: outcome, cause: l.texts.id(cause), attempts: uint8(min(parsed.Attempts, 255)),
+		streamed: parsed.PauseLimit > 0, sentDirectly: parsed.Attempts == 1 && parsed.AdmissionWait == 0 && parsed.FindWait == 0,
 		objective: float32(parsed.Objective), predicted: float32(parsed.Predicted), firstEvent: float32(parsed.FirstEvent),
-		pauseLimit: float32(parsed.PauseLimit), longestPause: float32(parsed.Pause), admissionWait: float32(parsed.Held), duration: float32(parsed.Took),
+		pauseLimit: float32(parsed.PauseLimit), longestPause: float32(parsed.LongestPause), admissionWait: float32(parsed.AdmissionWait), duration: float32(parsed.Duration),
 	}
 	if len(parsed.Servers) > 0 {
 		r.server = l.texts.id(parsed.Servers[len(parsed.Servers)-1])
--- a/trail/request.go
+++ b/trail/request.go
@@ -54,7 +54,7 @@
 		return Lost, normalizeReason(l.Reason)
 	}
 	stream := l.PauseLimit > 0
-	first := l.Took
+	first := l.Duration
 	if stream {
 		first = l.FirstEvent
 	}
@@ -62,17 +62,17 @@
 	switch {
 	case l.Objective <= 0 || l.Status >= http.StatusBadRequest:
 		return InTime, ""
-	case excess > 0 && l.Held >= excess:
+	case excess > 0 && l.AdmissionWait >= excess:
 		return Late, causeAdmission
-	case excess > 0 && l.Sought >= excess:
+	case excess > 0 && l.FindWait >= excess:
 		return Late, causeNoServer
-	case excess > 0 && l.Sends > 1:
+	case excess > 0 && l.Attempts > 1:
 		return Late, causeRetried
 	case excess > 0 && l.Predicted > l.Objective:
 		return Late, causePredictedLate
 	case excess > 0:
 		return Late, causeMispredicted
-	case stream && l.Pause > l.PauseLimit:
+	case stream && l.LongestPause > l.PauseLimit:
 		return Late, causePause
 	}
 	return InTime, ""
--- a/trail/timeline.go
+++ b/trail/timeline.go
@@ -11,11 +11,11 @@
 // orders for its model. A load takes a few seconds.
 const orderMargin = 5 * time.Second
 
-// Way writes the lines of the request with the ID Follow, sorted by time, and the orders for its
+// WriteTimeline writes the lines of the request with the ID Follow, sorted by time, and the orders for its
 // model within orderMargin of them.
-func (l *Log) Way(w io.Writer) error {
+func (l *Log) WriteTimeline(w io.Writer) error {
 	if len(l.timeline) == 0 {
-		return fmt.Errorf("request %q is in none of the %d lines", l.Follow, l.lines)
+		return fmt.Errorf("request %q is in none of the %d lines", l.RequestID, l.lines)
 	}
 	lines := slices.Clone(l.timeline)
 	slices.SortStableFunc(lines, func(a, b timelineLine) int { return a.at.Compare(b.at) })
@@ -64,19 +64,19 @@
 		return fmt.Sprintf("%s was silent", l.Server)
 	case messageRequest:
 		outcome, cause := classify(l)
-		text := fmt.Sprintf("%s: status %d after %.0f ms, %d attempts on %v", outcomeTexts[outcome], l.Status, l.Took, l.Sends, l.Servers)
+		text := fmt.Sprintf("%s: status %d after %.0f ms, %d attempts on %v", outcomeTexts[outcome], l.Status, l.Duration, l.Attempts, l.Servers)
 		if cause != "" {
 			text += ", " + cause
 		}
 		text += fmt.Sprintf("; first event %.0f ms, predicted %.0f, objective %.0f", l.FirstEvent, l.Predicted, l.Objective)
 		if l.PauseLimit > 0 {
-			text += fmt.Sprintf("; longest pause %.0f ms of %.0f", l.Pause, l.PauseLimit)
+			text += fmt.Sprintf("; longest pause %.0f ms of %.0f", l.LongestPause, l.PauseLimit)
 		}
-		if l.Held > 0 {
-			text += fmt.Sprintf("; waited %.0f ms for server capacity", l.Held)
+		if l.AdmissionWait > 0 {
+			text += fmt.Sprintf("; waited %.0f ms for server capacity", l.AdmissionWait)
 		}
-		if l.Sought > 0 {
-			text += fmt.Sprintf("; waited %.0f ms for a server", l.Sought)
+		if l.FindWait > 0 {
+			text += fmt.Sprintf("; waited %.0f ms for a server", l.FindWait)
 		}
 		return text
 	}
--- a/trail/trail_test.go
+++ b/trail/trail_test.go
@@ -24,7 +24,7 @@
 	f, err := os.Open(recordedLog)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, f.Close()) }()
-	l := &trail.Log{Follow: follow}
+	l := &trail.Log{RequestID: follow}
 	require.NoError(t, l.Read(recordedLog, f))
 	return l
 }
@@ -108,10 +108,10 @@
 	}
 	require.NotEmpty(t, id)
 	var out bytes.Buffer
-	require.NoError(t, readRecordedLog(t, id).Way(&out))
+	require.NoError(t, readRecordedLog(t, id).WriteTimeline(&out))
 	require.Contains(t, out.String(), "did not answer: refused with 503")
 	require.Regexp(t, "(in time|late|lost): status", out.String())
-	require.ErrorContains(t, readRecordedLog(t, "nobody").Way(&out), `request "nobody" is in none of the 286 lines`)
+	require.ErrorContains(t, readRecordedLog(t, "nobody").WriteTimeline(&out), `request "nobody" is in none of the 286 lines`)
 }
 
 func recordedLines(t *testing.T) []string {
