--- a/replay/load_reports.go
+++ b/replay/load_reports.go
@@ -16,7 +16,7 @@
 	frameIntervalPerLink = 5 * time.Millisecond
 	minFrameInterval     = 100 * time.Millisecond
 	maxFrameInterval     = 300 * time.Millisecond
-	// minVMsForRelays is the number of VMs from which on there are relays.
+	// minVMsForRelays is the minimum number of VMs at which relays are used.
 	minVMsForRelays = 20
 )
 
--- a/replay/pattern.go
+++ b/replay/pattern.go
@@ -18,8 +18,8 @@
 // Model is a model that servers can load.
 type Model struct {
 	SizeMB float64
-	// LoadTime, Disk and Warm are the load times from the weight store, the server's disk and its
-	// host memory.
+	// LoadTime, DiskLoadTime and MemoryLoadTime are the load times from the weight store, the
+	// server's disk and its host memory.
 	LoadTime, DiskLoadTime, MemoryLoadTime time.Duration
 	// TokenTimeFactor is the time per token relative to that of the largest model.
 	TokenTimeFactor float64
@@ -27,8 +27,8 @@
 	AdapterCount int
 }
 
-// TokenDistribution is a lognormal distribution of a number of tokens. Spread is the standard deviation
-// divided by Mean, 0 for a constant; Most is the maximum, 0 for none.
+// TokenDistribution is a lognormal distribution of a number of tokens. RelativeStdDev is the
+// standard deviation divided by Mean, 0 for a constant; Max is the maximum, 0 for none.
 type TokenDistribution struct{ Mean, RelativeStdDev, Max float64 }
 
 func (s TokenDistribution) draw(rng *rand.Rand) int {
@@ -43,7 +43,7 @@
 	return max(int(n), 1)
 }
 
-// SharedPrompt is a prompt part that requests for a model share. Each request draws one of Things
+// SharedPrompt is a prompt part that requests for a model share. Each request draws one of the
 // variants.
 type SharedPrompt struct {
 	Tokens   TokenDistribution
@@ -54,20 +54,22 @@
 type RequestClass struct {
 	Name              string
 	RequestsPerSecond float64
-	// SharedPrompts are the prompt parts shared with other requests, and Own is the length of the rest.
+	// SharedPrompts are the prompt parts shared with other requests, and UniqueTokens is the length
+	// of the rest.
 	SharedPrompts []SharedPrompt
 	UniqueTokens  TokenDistribution
 	OutputTokens  TokenDistribution
 	// Priority is the priority at a server, 0 being the most urgent.
 	Priority int
-	// Objective is the time to the first event, and Gap the longest pause between later events,
-	// within which an answer is worth Worth. Other complete answers are worth Late.
+	// Objective is the time to the first event, and MaxEventGap the longest pause between later
+	// events, within which an answer is worth Worth. Other complete answers are worth LateWorth.
 	Objective, MaxEventGap time.Duration
 	Worth, LateWorth       float64
 	// CallerTimeout is the time after which a caller that has received no event disconnects.
 	CallerTimeout time.Duration
-	// FirstModel and Last are the bounds of the requested models in the fleet's list, Last excluded.
-	// Active is the number of them in demand at a time, 0 for equal demand for all of them.
+	// FirstModel and EndModel are the bounds of the requested models in the fleet's list, EndModel
+	// excluded. ActiveModels is the number of them in demand at a time, 0 for equal demand for all
+	// of them.
 	FirstModel, EndModel, ActiveModels int
 	// AdapterShare is the share of requests with an adapter among those for models that have some.
 	AdapterShare float64
@@ -78,20 +80,20 @@
 	VMs, Domains, Servers int
 	ServerSpec            batch.Spec
 	Models                []Model
-	// WeightMemoryMB is a server's memory for weights, and HostCacheMB and DiskCacheMB are the capacities of its
-	// caches of weights in host memory and on disk.
+	// WeightMemoryMB is a server's memory for weights, and HostCacheMB and DiskCacheMB are the
+	// capacities of its caches of weights in host memory and on disk.
 	WeightMemoryMB, HostCacheMB, DiskCacheMB float64
 	// AdapterSlots is the maximum number of adapters on a server, AdapterSizeMB their size and
 	// AdapterLoadTime their load time.
 	AdapterSlots    int
 	AdapterSizeMB   float64
 	AdapterLoadTime time.Duration
-	// StoreLoadsPerSecond is the rate limit of loads from the weight store, and FullSpeedLoads the number of
-	// concurrent loads up to which each runs at full speed.
+	// StoreLoadsPerSecond is the rate limit of loads from the weight store, and FullSpeedLoads the
+	// number of concurrent loads up to which each runs at full speed.
 	StoreLoadsPerSecond float64
 	FullSpeedLoads      int
-	// CrossDomainLatency is the one-way latency between a VM and a server in another domain, and Near the one
-	// within a domain.
+	// CrossDomainLatency is the one-way latency between a VM and a server in another domain, and
+	// IntraDomainLatency the one within a domain.
 	CrossDomainLatency, IntraDomainLatency time.Duration
 	// RetriesPerRequest and ExtraRetries set the retry budget: the retries allowed per request, and in
 	// addition to these in each budget window, summed over all VMs.
@@ -104,7 +106,7 @@
 	ModelOffset  int
 }
 
-// Burst multiplies the request rate of a class, or of all classes if Kind is "".
+// Burst multiplies the request rate of a class, or of all classes if Class is "".
 type Burst struct {
 	At, Duration time.Duration
 	Class        string
@@ -125,7 +127,7 @@
 	Fleet   Fleet
 	Classes []RequestClass
 	// ZipfExponent is the exponent of the power law by which demand falls from one active model to the
-	// next. Head multiplies the demand for the first, unless it is 0.
+	// next. TopModelFactor multiplies the demand for the first, unless it is 0.
 	ZipfExponent, TopModelFactor float64
 	// Warmup is how long before the traffic the VMs and the controller start.
 	Warmup time.Duration
--- a/replay/patterns.go
+++ b/replay/patterns.go
@@ -19,7 +19,8 @@
 // intraDomainLatency is the one-way latency within a failure domain.
 const intraDomainLatency = 300 * time.Microsecond
 
-// mixModels returns n models, interleaved in proportion to the given shares.
+// mixModels returns n models, interleaved in proportion to the given shares: large models, and
+// smaller or faster ones. Every second model has adapters.
 func mixModels(n int, shares ...modelShare) []Model {
 	list := make([]Model, 0, n)
 	credits := make([]float64, len(shares))
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -133,7 +133,7 @@
 	sim.entriesStale = true
 }
 
-// placeInitialModels distributes the servers over the models of classes with Active set, in
+// placeInitialModels distributes the servers over the models of classes with ActiveModels set, in
 // proportion to their shares of the demand, and then places each model without a copy on one server.
 func (sim *simulation) placeInitialModels() {
 	f := &sim.pattern.Fleet
--- a/replay/variant.go
+++ b/replay/variant.go
@@ -10,20 +10,20 @@
 // Variant selects how a replay differs from the real system: which policies are off, or which
 // information is available that the real system cannot have. The zero value is the real system.
 type Variant struct {
-	// RandomServer sends each request to a random server that has loaded its model. Still keeps the
-	// initial placement of models. Both together are the simplest form of the system.
+	// RandomServer sends each request to a random server that has loaded its model. FixedPlacement
+	// keeps the initial placement of models. Both together are the simplest form of the system.
 	RandomServer, FixedPlacement bool
 	// ExactLoad gives each VM the exact load of all VMs without delay.
 	ExactLoad bool
-	// ForecastHorizon reports to the controller the demand at that time in the future instead of the
-	// observed demand, unless it is 0.
+	// ForecastHorizon is how far in the future the demand is that is reported to the controller
+	// instead of the observed demand; 0 reports the observed demand.
 	ForecastHorizon time.Duration
 	// InstantLoads makes loads take instantLoadTime each, without a rate limit.
 	InstantLoads bool
 }
 
 const (
-	// instantLoadTime is the time of each load if Instant is set.
+	// instantLoadTime is the time of each load if InstantLoads is set.
 	instantLoadTime = 50 * time.Millisecond
 	// unlimited is a rate or number that no pattern reaches.
 	unlimited = 1e6
--- a/trail/log.go
+++ b/trail/log.go
@@ -69,8 +69,8 @@
 
 // Log holds the data of the lines read. The zero value is ready to use.
 type Log struct {
-	// RequestID is the ID of the request whose lines are retained for its timeline, "" for none. It must
-	// be set before the first Read.
+	// RequestID is the ID of the request whose lines are retained for its timeline, "" for none. It
+	// must be set before the first Read.
 	RequestID string
 
 	texts    textTable
@@ -84,7 +84,7 @@
 	orders   []order
 	// failedAttempts counts the attempts that a server did not answer, by server and reason.
 	failedAttempts map[failedAttempt]int
-	// timeline holds the lines of the request with the ID Follow.
+	// timeline holds the lines of the request selected by RequestID.
 	timeline []timelineLine
 }
 
--- a/trail/timeline.go
+++ b/trail/timeline.go
@@ -11,8 +11,8 @@
 // orders for its model. A load takes a few seconds.
 const orderMargin = 5 * time.Second
 
-// WriteTimeline writes the lines of the request with the ID Follow, sorted by time, and the orders for its
-// model within orderMargin of them.
+// WriteTimeline writes the lines of the request selected by RequestID, sorted by time, and the orders
+// for its model within orderMargin of them.
 func (l *Log) WriteTimeline(w io.Writer) error {
 	if len(l.timeline) == 0 {
 		return fmt.Errorf("request %q is in none of the %d lines", l.RequestID, l.lines)
