--- a/bench/worst.go
+++ b/bench/worst.go
@@ -49,17 +49,17 @@
 	color   color.Color
 }{
 	{"actual system", replay.Variant{}, color.RGBA{R: 200, G: 30, B: 30, A: 255}},
-	{"naive", replay.Variant{Random: true, Still: true}, color.Gray{Y: 140}},
-	{"exact load", replay.Variant{Exact: true}, color.RGBA{R: 30, G: 80, B: 190, A: 255}},
-	{"foreseen demand", replay.Variant{Foreseen: demandLookahead}, color.RGBA{R: 220, G: 150, A: 255}},
-	{"instant loads", replay.Variant{Instant: true}, color.RGBA{R: 120, B: 120, A: 255}},
-	{"all three", replay.Variant{Exact: true, Foreseen: demandLookahead, Instant: true}, color.RGBA{G: 140, B: 60, A: 255}},
+	{"naive", replay.Variant{RandomServer: true, FixedPlacement: true}, color.Gray{Y: 140}},
+	{"exact load", replay.Variant{ExactLoad: true}, color.RGBA{R: 30, G: 80, B: 190, A: 255}},
+	{"foreseen demand", replay.Variant{ForecastHorizon: demandLookahead}, color.RGBA{R: 220, G: 150, A: 255}},
+	{"instant loads", replay.Variant{InstantLoads: true}, color.RGBA{R: 120, B: 120, A: 255}},
+	{"all three", replay.Variant{ExactLoad: true, ForecastHorizon: demandLookahead, InstantLoads: true}, color.RGBA{G: 140, B: 60, A: 255}},
 }
 
 // worst returns the experiment that replays a load pattern.
 func worst(pattern string) func(context.Context, Options) (Report, error) {
 	return func(_ context.Context, o Options) (Report, error) {
-		p, err := replay.Named(pattern)
+		p, err := replay.PatternByName(pattern)
 		if err != nil {
 			return nil, fmt.Errorf("find load pattern: %w", err)
 		}
@@ -67,7 +67,7 @@
 		tallies := make([]*replay.Tally, len(replayVariants))
 		var group sync.WaitGroup
 		for i, v := range replayVariants {
-			group.Go(func() { tallies[i] = replay.Play(p, v.variant, o.Seed) })
+			group.Go(func() { tallies[i] = replay.Run(p, v.variant, o.Seed) })
 		}
 		group.Wait()
 		for i, v := range replayVariants {
@@ -85,8 +85,8 @@
 func newWorstReport(pattern string, o Options, p replay.Pattern, tallies []*replay.Tally) worstReport {
 	system := tallies[0]
 	report := worstReport{
-		CommonReport: CommonReport{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Troubles), Requests: system.Total().Asked},
-		EarnedShare:  system.Worth(), WorstSpanShare: system.WorstSpan(),
+		CommonReport: CommonReport{Experiment: "worst_" + pattern, Seed: o.Seed, FaultsInjected: len(p.Faults), Requests: system.Total().Requests},
+		EarnedShare:  system.Worth(), WorstSpanShare: system.WorstSpanWorth(),
 		NaiveShare: tallies[1].Worth(), ExactLoadShare: tallies[2].Worth(), ForeseenDemandShare: tallies[3].Worth(),
 		InstantLoadsShare: tallies[4].Worth(), BoundShare: tallies[5].Worth(),
 	}
@@ -103,7 +103,7 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	for i, v := range replayVariants {
 		var points plotter.XYs
-		for at, share := range tallies[i].ByTime() {
+		for at, share := range tallies[i].WorthOverTime() {
 			points = append(points, plotter.XY{X: at.Seconds(), Y: share})
 		}
 		line, err := plotter.NewLine(points)
--- a/cmd/hibiscuscart/explain.go
+++ b/cmd/hibiscuscart/explain.go
@@ -45,12 +45,12 @@
 	case *requestID != "" && (opts.Model != "" || *plotFile != ""):
 		return usageErrorf("-request cannot be combined with -model or -plot")
 	}
-	log := &trail.Log{Follow: *requestID}
+	log := &trail.Log{RequestID: *requestID}
 	if err := readLogs(log, fs.Args()); err != nil {
 		return err
 	}
 	if *requestID != "" {
-		return log.Way(os.Stdout)
+		return log.WriteTimeline(os.Stdout)
 	}
 	if err := log.Report(os.Stdout, opts); err != nil {
 		return err
--- a/replay/pattern.go
+++ b/replay/pattern.go
@@ -1,9 +1,9 @@
-// Package replay plays load patterns through the packages that decide: the choice of
-// servers with the load that each VM knows by then, admission, the order of waiting, and
-// the placement of models. Servers are modelled step by step, VMs by what they know and
-// when; time is simulated, so that half a minute of hundreds of VMs takes seconds, and the
-// same pattern and seed give the same figures. It measures policies; the programs
-// themselves are tested elsewhere.
+// Package replay runs load patterns through the policies of the system: server selection with
+// the load information that each VM has at the time, admission, queue order, and model
+// placement. It is a discrete-event simulation of the servers, in batch steps, and of the VMs,
+// including the delay of the information that they receive. Half a minute of hundreds of VMs is
+// simulated in seconds, and the same pattern and seed give the same results. The package
+// evaluates policies; the programs themselves are tested elsewhere.
 package replay
 
 import (
@@ -15,184 +15,189 @@
 	"github.com/hibiscuscart/hibiscuscart/batch"
 )
 
-// Model is a model that servers can hold.
+// Model is a model that servers can load.
 type Model struct {
-	MB float64
-	// Load is its time from the weight store, Disk from the server's disk, Warm from its
-	// memory.
-	Load, Disk, Warm time.Duration
-	// Pace is the time of its tokens against those of the largest.
-	Pace float64
-	// Adapters is how many it has.
-	Adapters int
+	SizeMB float64
+	// LoadTime, DiskLoadTime and MemoryLoadTime are the load times from the weight store, the
+	// server's disk and its host memory.
+	LoadTime, DiskLoadTime, MemoryLoadTime time.Duration
+	// TokenTimeFactor is the time per token relative to that of the largest model.
+	TokenTimeFactor float64
+	// AdapterCount is the number of adapters of the model.
+	AdapterCount int
 }
 
-// Size is a number of tokens drawn at random: lognormal with a mean, a spread as a part
-// of the mean, and a bound.
-type Size struct{ Mean, Spread, Most float64 }
+// TokenDistribution is a lognormal distribution of a number of tokens. RelativeStdDev is the
+// standard deviation divided by Mean, 0 for a constant; Max is the maximum, 0 for none.
+type TokenDistribution struct{ Mean, RelativeStdDev, Max float64 }
 
-func (s Size) draw(rng *rand.Rand) int {
-	if s.Spread == 0 {
+func (s TokenDistribution) draw(rng *rand.Rand) int {
+	if s.RelativeStdDev == 0 {
 		return max(int(s.Mean), 1)
 	}
-	v := math.Log(1 + s.Spread*s.Spread)
+	v := math.Log(1 + s.RelativeStdDev*s.RelativeStdDev)
 	n := math.Exp(math.Log(s.Mean) - v/2 + math.Sqrt(v)*rng.NormFloat64())
-	if s.Most > 0 {
-		n = min(n, s.Most)
+	if s.Max > 0 {
+		n = min(n, s.Max)
 	}
 	return max(int(n), 1)
 }
 
-// Shared is a level of prompt parts that requests for a model share: each draws one of
-// some things.
-type Shared struct {
-	Tokens Size
-	Things int
+// SharedPrompt is a prompt part that requests for a model share. Each request draws one of the
+// variants.
+type SharedPrompt struct {
+	Tokens   TokenDistribution
+	Variants int
 }
 
-// Kind is a kind of request.
-type Kind struct {
-	Name      string
-	PerSecond float64
-	// Shared are the levels of its prompt that others have too, Own the rest.
-	Shared []Shared
-	Own    Size
-	Output Size
-	// Rank orders requests at a server, 0 first.
-	Rank int
-	// Objective is the time to the first event, Gap the longest pause after it, within
-	// which the answer is worth Worth; otherwise it is worth Late.
-	Objective, Gap time.Duration
-	Worth, Late    float64
-	// Leaves is when a caller without an event gives up.
-	Leaves time.Duration
-	// First and Last bound the places in the list of models that it asks for; Active is
-	// how many of them at a time, 0 for all of them alike.
-	First, Last, Active int
-	// Adapted is the share of its requests for models with adapters that ask for one.
-	Adapted float64
+// RequestClass is a class of requests.
+type RequestClass struct {
+	Name              string
+	RequestsPerSecond float64
+	// SharedPrompts are the prompt parts shared with other requests, and UniqueTokens is the length
+	// of the rest.
+	SharedPrompts []SharedPrompt
+	UniqueTokens  TokenDistribution
+	OutputTokens  TokenDistribution
+	// Priority is the priority at a server, 0 being the most urgent.
+	Priority int
+	// Objective is the time to the first event, and MaxEventGap the longest pause between later
+	// events, within which an answer is worth Worth. Other complete answers are worth LateWorth.
+	Objective, MaxEventGap time.Duration
+	Worth, LateWorth       float64
+	// CallerTimeout is the time after which a caller that has received no event disconnects.
+	CallerTimeout time.Duration
+	// FirstModel and EndModel are the bounds of the requested models in the fleet's list, EndModel
+	// excluded. ActiveModels is the number of them in demand at a time, 0 for equal demand for all
+	// of them.
+	FirstModel, EndModel, ActiveModels int
+	// AdapterShare is the share of requests with an adapter among those for models that have some.
+	AdapterShare float64
 }
 
-// Fleet is the machines of a replay.
+// Fleet describes the simulated VMs, servers and models.
 type Fleet struct {
 	VMs, Domains, Servers int
-	Server                batch.Spec
+	ServerSpec            batch.Spec
 	Models                []Model
-	// MemoryMB is a server's room for weights, HostMB and DiskMB for copies of them.
-	MemoryMB, HostMB, DiskMB float64
-	// AdapterSlots is how many adapters a server holds, AdapterMB their size and
-	// AdapterLoad their time.
-	AdapterSlots int
-	AdapterMB    float64
-	AdapterLoad  time.Duration
-	// LoadsPerSecond bounds loads from the weight store, AtOnce is how many of them run at
-	// full speed.
-	LoadsPerSecond float64
-	AtOnce         int
-	// Way is the time between a VM and a server in another domain, Near in its own.
-	Way, Near time.Duration
-	// RetryShare and RetryExtra bound the sends beyond each request's first.
-	RetryShare, RetryExtra float64
+	// WeightMemoryMB is a server's memory for weights, and HostCacheMB and DiskCacheMB are the
+	// capacities of its caches of weights in host memory and on disk.
+	WeightMemoryMB, HostCacheMB, DiskCacheMB float64
+	// AdapterSlots is the maximum number of adapters on a server, AdapterSizeMB their size and
+	// AdapterLoadTime their load time.
+	AdapterSlots    int
+	AdapterSizeMB   float64
+	AdapterLoadTime time.Duration
+	// StoreLoadsPerSecond is the rate limit of loads from the weight store, and FullSpeedLoads the
+	// number of concurrent loads up to which each runs at full speed.
+	StoreLoadsPerSecond float64
+	FullSpeedLoads      int
+	// CrossDomainLatency is the one-way latency between a VM and a server in another domain, and
+	// IntraDomainLatency the one within a domain.
+	CrossDomainLatency, IntraDomainLatency time.Duration
+	// RetriesPerRequest and ExtraRetries set the retry budget: the retries allowed per request, and in
+	// addition to these in each budget window, summed over all VMs.
+	RetriesPerRequest, ExtraRetries float64
 }
 
-// Shift moves the demand on by some places in the list of models.
-type Shift struct {
-	At, For time.Duration
-	Places  int
+// DemandShift moves the demand by a number of models in the list, gradually from At on.
+type DemandShift struct {
+	At, Duration time.Duration
+	ModelOffset  int
 }
 
-// Burst is more requests of a kind, all for "".
+// Burst multiplies the request rate of a class, or of all classes if Class is "".
 type Burst struct {
-	At, For time.Duration
-	Kind    string
-	Times   float64
+	At, Duration time.Duration
+	Class        string
+	RateFactor   float64
 }
 
-// Trouble is something that befalls a share of the servers.
-type Trouble struct {
-	At, For time.Duration
-	Share   float64
-	// Times is how much slower they are; 0 takes them down: they come back empty but for
-	// their disks.
-	Times float64
+// Fault is a fault of a randomly chosen share of the servers.
+type Fault struct {
+	At, Duration time.Duration
+	ServerShare  float64
+	// Slowdown is the factor by which they are slower. If it is 0 they crash, and restart with
+	// nothing but the contents of their disks.
+	Slowdown float64
 }
 
 // Pattern is a load pattern.
 type Pattern struct {
-	Fleet Fleet
-	Kinds []Kind
-	// Skew is by how much less each active model is asked for than the one before (a
-	// power), Head how much more the first is.
-	Skew, Head float64
-	// Lead is how long before the traffic the VMs begin.
-	Lead     time.Duration
-	Length   time.Duration
-	Shifts   []Shift
-	Bursts   []Burst
-	Troubles []Trouble
+	Fleet   Fleet
+	Classes []RequestClass
+	// ZipfExponent is the exponent of the power law by which demand falls from one active model to the
+	// next. TopModelFactor multiplies the demand for the first, unless it is 0.
+	ZipfExponent, TopModelFactor float64
+	// Warmup is how long before the traffic the VMs and the controller start.
+	Warmup time.Duration
+	Length time.Duration
+	Shifts []DemandShift
+	Bursts []Burst
+	Faults []Fault
 }
 
-// firstRank returns the rank of the most urgent requests.
-func (p *Pattern) firstRank() int {
-	first := p.Kinds[0].Rank
-	for _, k := range p.Kinds {
-		first = min(first, k.Rank)
+// topPriority returns the priority of the most urgent class.
+func (p *Pattern) topPriority() int {
+	top := p.Classes[0].Priority
+	for _, class := range p.Classes {
+		top = min(top, class.Priority)
 	}
-	return first
+	return top
 }
 
-// weights returns the parts of the demand of a kind that fall to each model at a time
-// since the traffic began.
-func (p *Pattern) weights(k *Kind, at time.Duration) []float64 {
-	list := k.Last - k.First
-	w := make([]float64, len(p.Fleet.Models))
-	begin := 0
-	p.lay(w, k, begin, 1)
+// demandShares returns the share of each model in the demand of a class at a time since the
+// start of the traffic.
+func (p *Pattern) demandShares(class *RequestClass, at time.Duration) []float64 {
+	modelCount := class.EndModel - class.FirstModel
+	shares := make([]float64, len(p.Fleet.Models))
+	offset := 0
+	p.addDemand(shares, class, offset, 1)
 	for _, s := range p.Shifts {
-		f := min(max(float64(at-s.At)/float64(s.For), 0), 1)
-		if f == 0 {
+		progress := min(max(float64(at-s.At)/float64(s.Duration), 0), 1)
+		if progress == 0 {
 			continue
 		}
-		for i := range w {
-			w[i] *= 1 - f
+		for i := range shares {
+			shares[i] *= 1 - progress
 		}
-		begin = (begin + s.Places) % list
-		p.lay(w, k, begin, f)
+		offset = (offset + s.ModelOffset) % modelCount
+		p.addDemand(shares, class, offset, progress)
 	}
-	return w
+	return shares
 }
 
-// lay adds a list of active models that begins at a place.
-func (p *Pattern) lay(w []float64, k *Kind, begin int, part float64) {
-	list := k.Last - k.First
-	active := cmp.Or(k.Active, list)
+// addDemand adds a fraction of the demand of a class, with the active models starting at offset.
+func (p *Pattern) addDemand(shares []float64, class *RequestClass, offset int, fraction float64) {
+	modelCount := class.EndModel - class.FirstModel
+	active := cmp.Or(class.ActiveModels, modelCount)
 	total := 0.0
 	for i := range active {
-		total += p.share(k, i)
+		total += p.modelWeight(class, i)
 	}
 	for i := range active {
-		w[k.First+(begin+i)%list] += part * p.share(k, i) / total
+		shares[class.FirstModel+(offset+i)%modelCount] += fraction * p.modelWeight(class, i) / total
 	}
 }
 
-func (p *Pattern) share(k *Kind, i int) float64 {
-	if k.Active == 0 {
+func (p *Pattern) modelWeight(class *RequestClass, i int) float64 {
+	if class.ActiveModels == 0 {
 		return 1
 	}
-	s := math.Pow(float64(i+1), -p.Skew)
-	if i == 0 && p.Head > 0 {
-		s *= p.Head
+	weight := math.Pow(float64(i+1), -p.ZipfExponent)
+	if i == 0 && p.TopModelFactor > 0 {
+		weight *= p.TopModelFactor
 	}
-	return s
+	return weight
 }
 
-// rate returns the requests of a kind a second at a time.
-func (p *Pattern) rate(k *Kind, at time.Duration) float64 {
-	r := k.PerSecond
+// requestRate returns the requests per second of a class at a time.
+func (p *Pattern) requestRate(class *RequestClass, at time.Duration) float64 {
+	rate := class.RequestsPerSecond
 	for _, b := range p.Bursts {
-		if (b.Kind == "" || b.Kind == k.Name) && at >= b.At && at < b.At+b.For {
-			r *= b.Times
+		if (b.Class == "" || b.Class == class.Name) && at >= b.At && at < b.At+b.Duration {
+			rate *= b.RateFactor
 		}
 	}
-	return r
+	return rate
 }
