--- a/demo/backends.go
+++ b/demo/backends.go
@@ -9,32 +9,33 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// AddBackend starts the n-th backend server of a service.
-func (s *Site) AddBackend(service string, n int) (*stand.Backend, error) {
+// AddBackend starts a backend server of a service. The index determines its ID, its failure domain
+// and the model that it holds at the start.
+func (s *Site) AddBackend(service string, index int) (*stand.Backend, error) {
 	b := &stand.Backend{
-		ID: fmt.Sprintf("%s-%d", service, n), Service: service, Domain: fmt.Sprintf("domain-%d", n%siteCount), Slots: 8, Work: siteWork, Runs: s.Runs,
+		ID: fmt.Sprintf("%s-%d", service, index), Service: service, Domain: fmt.Sprintf("domain-%d", index%siteDefaultCount), Slots: 8, Work: siteWorkTime, Runs: s.Runs,
 	}
 	if service == SiteModel {
-		b.MemoryMB, b.AdapterSlots, b.LoadTime, b.Events = siteMemory, 4, siteLoad, siteEvents
+		b.MemoryMB, b.AdapterSlots, b.LoadTime, b.Events = siteMemoryMB, 4, siteLoadTime, siteStreamEvents
 		b.SizeMB = make(map[string]float64)
 		for _, m := range SiteModels {
-			b.SizeMB[m] = siteModel
+			b.SizeMB[m] = siteModelMB
 		}
-		b.Hold(SiteModels[n%len(SiteModels)])
+		b.Hold(SiteModels[index%len(SiteModels)])
 	}
 	b.CrashBody, b.Crash = s.options.CrashBody, func() { s.crashBackend(b) }
-	b.Changed = func() { s.enter(b) }
+	b.Changed = func() { s.writeEntry(b) }
 	if err := s.startBackend(b); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	s.backends = append(s.backends, b)
 	s.mu.Unlock()
-	s.enter(b)
+	s.writeEntry(b)
 	return b, nil
 }
 
-// startBackend serves a backend server at a new address.
+// startBackend serves a backend server on a new address.
 func (s *Site) startBackend(b *stand.Backend) error {
 	server, address, err := s.serve(platform.ServeBackend(b))
 	if err != nil {
@@ -42,12 +43,12 @@
 	}
 	if s.options.Front != nil {
 		if address, err = s.options.Front(b.ID, address); err != nil {
-			return fmt.Errorf("front of backend server: %w", err)
+			return fmt.Errorf("get address of backend server from Front: %w", err)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.address[b.ID], s.processes[b.ID] = address, server
+	s.backendAddresses[b.ID], s.backendServers[b.ID] = address, server
 	return nil
 }
 
@@ -55,31 +56,31 @@
 // siteRestartDelay.
 func (s *Site) crashBackend(b *stand.Backend) {
 	s.mu.Lock()
-	process := s.processes[b.ID]
-	delete(s.processes, b.ID)
+	server := s.backendServers[b.ID]
+	delete(s.backendServers, b.ID)
 	s.mu.Unlock()
-	if process == nil {
+	if server == nil {
 		return
 	}
-	_ = process.Close()
+	_ = server.Close()
 	time.AfterFunc(siteRestartDelay, func() {
 		err := s.startBackend(b)
 		if errors.Is(err, errSiteClosed) {
 			return
 		}
 		if err != nil {
-			s.options.Log.Error().Err(err).Str("server", b.ID).Msg("backend server not restarted")
+			s.options.Log.Error().Err(err).Str("server", b.ID).Msg("backend server restart failed")
 			return
 		}
 		b.Restart(time.Now())
 	})
 }
 
-// enter writes a backend server's entry.
-func (s *Site) enter(b *stand.Backend) {
+// writeEntry writes a backend server's entry to the store.
+func (s *Site) writeEntry(b *stand.Backend) {
 	e := b.Entry()
 	s.mu.Lock()
-	e.Address = s.address[b.ID]
+	e.Address = s.backendAddresses[b.ID]
 	s.mu.Unlock()
 	value, err := platform.EntryValue(e)
 	if err != nil {
--- a/demo/check.go
+++ b/demo/check.go
@@ -13,16 +13,18 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// Kind is what a caller of a Site asks for.
+// Kind is a kind of request that callers send to a Site.
 type Kind struct {
 	Name, Method, Path string
-	// Once says that it may run once only, Stream that it is answered by events.
+	// Once is set for requests that must run at most once, Stream for requests whose response is an
+	// event stream.
 	Once, Stream bool
-	// Models are those it may name, each with an adapter after a slash or none.
+	// Models lists the models that the request may name, each optionally followed by a slash and an
+	// adapter.
 	Models []string
 }
 
-// SiteKinds are requests for the routes of SiteRoutes.
+// SiteKinds lists one request kind for each route of SiteRoutes.
 var SiteKinds = []Kind{
 	{Name: "look", Method: http.MethodGet, Path: "/look/x"},
 	{Name: "book", Method: http.MethodPost, Path: "/book/x", Once: true},
@@ -30,21 +32,21 @@
 	{Name: "batch", Method: http.MethodPost, Path: "/batch/x", Once: true, Stream: true, Models: []string{"m2", "m4"}},
 }
 
-// Outcome is what a caller saw of one request.
+// Outcome is the result of one request as its caller observed it.
 type Outcome struct {
 	ID     string
 	Kind   Kind
 	Status int
 	Body   string
 	Stamp  string
-	// Broken says that the connection ended before the answer was whole.
+	// Broken is set if the connection failed before the response was complete.
 	Broken bool
 }
 
-// Good reports whether the request was answered with success, whole.
+// Good reports whether the caller received a complete successful response.
 func (o Outcome) Good() bool { return o.Status == http.StatusOK && !o.Broken }
 
-// Ask sends one request of a kind to a VM, with a model drawn from rng.
+// Ask sends one request of a kind to a VM, with a model chosen at random by rng.
 func (s *Site) Ask(ctx context.Context, client *http.Client, address, id string, k Kind, rng *rand.Rand) Outcome {
 	model := ""
 	if len(k.Models) > 0 {
@@ -62,65 +64,66 @@
 	return o
 }
 
-// Checks gathers broken promises, as text. The zero value works. It is safe for
-// use by several goroutines.
+// Checks collects descriptions of violated guarantees. The zero value is ready to use. It is safe
+// for concurrent use.
 type Checks struct {
-	mu   sync.Mutex
-	list []string
+	mu         sync.Mutex
+	violations []string
 }
 
-// Add notes a broken promise.
-func (b *Checks) Add(format string, args ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.list = append(b.list, fmt.Sprintf(format, args...))
+// Add records a violation.
+func (c *Checks) Add(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Broken returns the broken promises.
-func (b *Checks) Broken() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.list
+// Broken returns the recorded violations.
+func (c *Checks) Broken() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violations
 }
 
-// Answer checks what can be told from the answer alone.
-func (b *Checks) Answer(o Outcome) {
+// Answer checks a successful response: it carries the server stamp and the expected complete body.
+func (c *Checks) Answer(o Outcome) {
 	if o.Status != http.StatusOK || o.Broken {
 		return
 	}
 	if o.Stamp == "" {
-		b.Add("%s %s: a success without proof of its server", o.Kind.Name, o.ID)
+		c.Add("%s %s: successful response without a server stamp", o.Kind.Name, o.ID)
 	}
 	want := "answer to " + o.ID
 	if o.Kind.Stream {
-		want = wholeStream(o.ID)
+		want = completeStream(o.ID)
 	}
 	if o.Body != want {
-		b.Add("%s %s: a success with another body: %.80q", o.Kind.Name, o.ID, o.Body)
+		c.Add("%s %s: successful response with an unexpected body: %.80q", o.Kind.Name, o.ID, o.Body)
 	}
 }
 
-// Runs checks answers against what the servers ran, once nothing runs any
-// more: a request that ran twice, and one that ran although its caller was told
-// that it had not.
-func (b *Checks) Runs(outcomes []Outcome, ledger *stand.Ledger) {
+// Runs checks outcomes against the executions that the servers recorded, once all requests have
+// ended. A violation is an at-most-once request that ran twice, an at-most-once request that ran
+// although its caller got status 503 (not run), or a success that no server ran.
+func (c *Checks) Runs(outcomes []Outcome, ledger *stand.Ledger) {
 	for _, o := range outcomes {
-		ran := len(ledger.Of(o.ID))
-		if o.Kind.Once && ran > 1 {
-			b.Add("%s %s: ran %d times", o.Kind.Name, o.ID, ran)
+		executions := len(ledger.Of(o.ID))
+		if o.Kind.Once && executions > 1 {
+			c.Add("%s %s: ran %d times", o.Kind.Name, o.ID, executions)
 		}
-		if o.Kind.Once && o.Status == http.StatusServiceUnavailable && ran > 0 {
-			b.Add("%s %s: told that it had not run, and it ran", o.Kind.Name, o.ID)
+		if o.Kind.Once && o.Status == http.StatusServiceUnavailable && executions > 0 {
+			c.Add("%s %s: reported to the caller as not run, but a server ran it", o.Kind.Name, o.ID)
 		}
-		if o.Status == http.StatusOK && ran == 0 {
-			b.Add("%s %s: a success that no server ran", o.Kind.Name, o.ID)
+		if o.Status == http.StatusOK && executions == 0 {
+			c.Add("%s %s: reported as a success, but no server ran it", o.Kind.Name, o.ID)
 		}
 	}
 }
 
-func wholeStream(id string) string {
+// completeStream returns the body of a complete event stream for a request.
+func completeStream(id string) string {
 	var s strings.Builder
-	for n := 1; n <= siteEvents; n++ {
+	for n := 1; n <= siteStreamEvents; n++ {
 		fmt.Fprintf(&s, "id: %d\ndata: %s %d\n\n", n, id, n)
 	}
 	return s.String()
@@ -137,7 +140,7 @@
 
 // Limit checks that the requests to a backend server stay within its rate limit once limitGracePeriod
 // has passed since limitedAt, when the limit was announced. It reports only the first violation.
-func (b *Checks) Limit(backend *stand.Backend, limitedAt time.Time) {
+func (c *Checks) Limit(backend *stand.Backend, limitedAt time.Time) {
 	rate, _ := backend.Limit()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
 	arrivals := backend.Arrivals()
@@ -152,7 +155,7 @@
 			}
 		}
 		if float64(count) > allowed {
-			b.Add("server %s: rate limit of %v requests per second exceeded: %d requests in %v, starting %v after the announcement; at most %v allowed",
+			c.Add("server %s: rate limit of %v requests per second exceeded: %d requests in %v, starting %v after the announcement; at most %v allowed",
 				backend.ID, rate, count, limitWindow, first.Sub(limitedAt), allowed)
 			return
 		}
--- a/demo/world.go
+++ b/demo/deployment.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole deployment in one process on loopback: the
-// stand-ins and the entry VMs. The demo command, the experiments and the tests
-// of several VMs use it.
+// Package demo runs complete deployments in one process on loopback: VMs of the system, and stand-ins
+// for the platform and the backend servers. The demo command, the experiments and multi-VM tests use
+// it.
 package demo
 
 import (
@@ -24,49 +24,50 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-const anyPort = "127.0.0.1:0"
+const anyLoopbackPort = "127.0.0.1:0"
 
-// Options say what to run.
+// Options configures a World.
 type Options struct {
 	Settings *conf.Settings
 	Profiles []wire.Profile
-	// VMsPerDomain bounds the entry VMs of each failure domain; 0 runs all.
+	// VMsPerDomain limits the number of entry VMs in each failure domain; 0 means no limit.
 	VMsPerDomain int
-	// MaxVMs bounds the entry VMs; 0 runs all.
+	// MaxVMs limits the total number of entry VMs; 0 means no limit.
 	MaxVMs int
-	// Preload has one copy of each model loaded at the start, as in a
-	// deployment that has been running.
+	// Preload starts the deployment with one copy of each model loaded, as in a deployment that has
+	// been running.
 	Preload bool
-	// PreloadCopies is how many copies Preload makes; 0 makes one.
+	// PreloadCopies is the number of copies of each model that Preload loads; 0 means one.
 	PreloadCopies int
 	// AdjustEngine changes an engine stand-in before it starts.
 	AdjustEngine func(*stand.Engine)
 	Seed         uint64
 	Log          zerolog.Logger
-	// Adjust changes a VM's configuration before it starts.
+	// Adjust changes the configuration of a VM before it starts.
 	Adjust func(*entry.Config)
 }
 
-// World is a running deployment.
+// World is a deployment on loopback in one process: entry VMs, and stand-ins for the platform, the
+// weight store and the backend servers of the settings.
 type World struct {
 	Platform *stand.Platform
 	Weights  *stand.Weights
 	Net      *stand.Net
 	Runs     *stand.Runs
 
-	options  Options
-	mu       sync.Mutex
-	rng      *rand.Rand
-	engines  map[string]*stand.Engine
-	services map[string]*stand.Service
-	servers  []wire.Server
-	https    map[string]*http.Server
-	vms      map[string]*entry.Daemon
-	dead     map[string]bool
-	platform string
+	options         Options
+	mu              sync.Mutex
+	rng             *rand.Rand
+	engines         map[string]*stand.Engine
+	services        map[string]*stand.Service
+	servers         []wire.Server
+	httpServers     map[string]*http.Server
+	vms             map[string]*entry.Daemon
+	killed          map[string]bool
+	platformAddress string
 }
 
-// Start runs a deployment. Close ends it.
+// Start starts a deployment. The caller must call Close.
 func Start(ctx context.Context, o Options) (*World, error) {
 	w := &World{
 		Platform: &stand.Platform{
@@ -77,9 +78,9 @@
 		Weights: NewWeights(o.Settings), Net: &stand.Net{}, Runs: &stand.Runs{}, options: o,
 		rng:     rand.New(rand.NewPCG(o.Seed, 7)),
 		engines: make(map[string]*stand.Engine), services: make(map[string]*stand.Service),
-		https: make(map[string]*http.Server), vms: make(map[string]*entry.Daemon), dead: make(map[string]bool),
+		httpServers: make(map[string]*http.Server), vms: make(map[string]*entry.Daemon), killed: make(map[string]bool),
 	}
-	w.Platform.Chance = w.chance
+	w.Platform.Chance = w.randomFloat
 	if err := w.start(ctx); err != nil {
 		w.Close()
 		return nil, err
@@ -87,7 +88,7 @@
 	return w, nil
 }
 
-// NewWeights returns the weight store that the settings describe.
+// NewWeights returns a stand-in for the weight store in the settings.
 func NewWeights(s *conf.Settings) *stand.Weights {
 	return &stand.Weights{
 		LoadsPerSecond:    s.Float("weight_store", "loads_per_second"),
@@ -103,14 +104,14 @@
 	if err != nil {
 		return err
 	}
-	w.platform = address
+	w.platformAddress = address
 	for _, pool := range w.options.Settings.Pools() {
 		if err := w.startPool(pool); err != nil {
 			return err
 		}
 	}
 	if w.options.Preload {
-		w.preload()
+		w.preloadModels()
 	}
 	for _, doc := range w.options.Profiles {
 		if err := w.ApplyProfile(doc); err != nil {
@@ -120,22 +121,22 @@
 	return w.startVMs(ctx)
 }
 
-func (w *World) chance() float64 {
+func (w *World) randomFloat() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64()
 }
 
-// listen serves a handler on a free port of loopback.
+// listen serves a handler on a free loopback port.
 func (w *World) listen(name string, h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", anyPort)
+	l, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return "", fmt.Errorf("listen for %s: %w", name, err)
 	}
 	address := l.Addr().String()
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	w.mu.Lock()
-	w.https[name] = s
+	w.httpServers[name] = s
 	w.mu.Unlock()
 	w.Net.Name(address, name)
 	go func() { _ = s.Serve(l) }()
@@ -144,28 +145,28 @@
 
 func (w *World) startPool(pool conf.Pool) error {
 	for _, doc := range pool.Servers(w.options.Settings.FailureDomains()) {
-		handler := w.newServer(pool, doc)
+		handler := w.newServerHandler(pool, doc)
 		address, err := w.listen(doc.Name, handler)
 		if err != nil {
 			return err
 		}
 		doc.Address = address
 		w.servers = append(w.servers, doc)
-		if err := w.put(entry.KindServer, doc.Name, doc); err != nil {
+		if err := w.putObject(entry.KindServer, doc.Name, doc); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) newServer(pool conf.Pool, doc wire.Server) http.Handler {
+func (w *World) newServerHandler(pool conf.Pool, doc wire.Server) http.Handler {
 	if pool.IsService() {
-		s := &stand.Service{Name: doc.Name, Runs: w.Runs, Chance: w.chance}
+		s := &stand.Service{Name: doc.Name, Runs: w.Runs, Chance: w.randomFloat}
 		w.services[doc.Name] = s
 		return s.Handler()
 	}
 	e := NewEngine(pool, doc.Name)
-	e.Fetch, e.Runs, e.Chance = w.Weights.Fetch, w.Runs, w.chance
+	e.Fetch, e.Runs, e.Chance = w.Weights.Fetch, w.Runs, w.randomFloat
 	if w.options.AdjustEngine != nil {
 		w.options.AdjustEngine(e)
 	}
@@ -173,7 +174,7 @@
 	return e.Handler()
 }
 
-// NewEngine returns an engine stand-in that a pool's settings describe.
+// NewEngine returns an engine stand-in configured from the settings of a pool.
 func NewEngine(pool conf.Pool, name string) *stand.Engine {
 	return &stand.Engine{
 		Name: name, MemoryBytes: pool.MemoryBytes(), KVBytes: pool.KVBytes(), Slots: pool.Slots(),
@@ -181,8 +182,8 @@
 	}
 }
 
-// preload makes copies of each model resident.
-func (w *World) preload() {
+// preloadModels makes PreloadCopies copies of each model resident on the engines.
+func (w *World) preloadModels() {
 	var demands []naive.Demand
 	for _, doc := range w.options.Profiles {
 		for _, m := range doc.Models {
@@ -197,8 +198,8 @@
 	}
 }
 
-// put writes an object past the rate limit, as the platform's operators do.
-func (w *World) put(kind, name string, value any) error {
+// putObject writes an object directly to the platform, bypassing its rate limit as operators do.
+func (w *World) putObject(kind, name string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("encode %s/%s: %w", kind, name, err)
@@ -210,11 +211,11 @@
 	return nil
 }
 
-// ApplyProfile puts a profile in the platform.
-func (w *World) ApplyProfile(doc wire.Profile) error { return w.put(profs.Kind, doc.Name, doc) }
+// ApplyProfile writes a profile to the platform.
+func (w *World) ApplyProfile(doc wire.Profile) error { return w.putObject(profs.Kind, doc.Name, doc) }
 
-// SetServer changes a backend server's entry.
-func (w *World) SetServer(doc wire.Server) error { return w.put(entry.KindServer, doc.Name, doc) }
+// SetServer writes the entry of a backend server to the platform.
+func (w *World) SetServer(doc wire.Server) error { return w.putObject(entry.KindServer, doc.Name, doc) }
 
 func (w *World) startVMs(ctx context.Context) error {
 	started := make(map[string]int)
@@ -234,13 +235,13 @@
 	return nil
 }
 
-// StartVM starts an entry VM and enters it in the platform's list.
+// StartVM starts an entry VM and adds it to the platform's list of VMs.
 func (w *World) StartVM(ctx context.Context, vm conf.VM) (*entry.Daemon, error) {
 	c, err := entry.ConfigFrom(w.options.Settings, vm, w.options.Log)
 	if err != nil {
 		return nil, fmt.Errorf("configure %s: %w", vm.Name(), err)
 	}
-	c.Listen, c.PeerListen, c.Platform = anyPort, anyPort, "http://"+w.platform
+	c.Listen, c.PeerListen, c.Platform = anyLoopbackPort, anyLoopbackPort, "http://"+w.platformAddress
 	dial := w.Net.Dialer(vm.Name())
 	c.PlatformHTTP, c.BackendHTTP = &httpx.Client{Dial: dial}, &httpx.Client{Dial: dial}
 	c.PeerDial, c.Seeds = dial, w.vmDocuments()
@@ -262,7 +263,7 @@
 	return d, nil
 }
 
-// vmDocuments returns the running VMs as the platform lists them.
+// vmDocuments returns the documents by which the platform lists the running VMs.
 func (w *World) vmDocuments() []wire.VM {
 	var docs []wire.VM
 	for name, d := range w.VMs() {
@@ -271,17 +272,17 @@
 	return docs
 }
 
-// RestartVM starts a VM that was stopped anew.
+// RestartVM starts a VM that was stopped or killed.
 func (w *World) RestartVM(ctx context.Context, name string) (*entry.Daemon, error) {
 	vm, err := w.options.Settings.VM(name)
 	if err != nil {
-		return nil, fmt.Errorf("restart: %w", err)
+		return nil, fmt.Errorf("find VM to restart: %w", err)
 	}
 	return w.StartVM(ctx, vm)
 }
 
-// PeerBytes returns the bytes that the running VMs have sent to each other and
-// received.
+// PeerBytes returns the total number of bytes that the running VMs have sent to and received from
+// their peers.
 func (w *World) PeerBytes() int64 {
 	total := int64(0)
 	for _, d := range w.VMs() {
@@ -290,27 +291,26 @@
 	return total
 }
 
-// Split returns the hosts of a failure domain, and the others with the
-// platform.
+// Split returns the hosts inside a failure domain, and all other hosts including the platform.
 func (w *World) Split(domain string) (inside, outside []string) {
 	outside = append(outside, "platform")
-	put := func(name, where string) {
-		if where == domain {
+	add := func(name, serverDomain string) {
+		if serverDomain == domain {
 			inside = append(inside, name)
 			return
 		}
 		outside = append(outside, name)
 	}
 	for name, d := range w.VMs() {
-		put(name, d.FailureDomain())
+		add(name, d.FailureDomain())
 	}
 	for _, doc := range w.servers {
-		put(doc.Name, doc.FailureDomain)
+		add(doc.Name, doc.FailureDomain)
 	}
 	return inside, outside
 }
 
-// SetCut cuts or heals what goes from one host to another.
+// SetCut blocks or restores the network path from one host to another, in this direction only.
 func (w *World) SetCut(from, to string, cut bool) {
 	if cut {
 		w.Net.Cut(from, to)
@@ -319,23 +319,23 @@
 	w.Net.Heal(from, to)
 }
 
-// StopVM stops a VM in peace.
+// StopVM removes a VM from the platform's list and stops it gracefully.
 func (w *World) StopVM(ctx context.Context, name string) error {
-	d := w.takeVM(name)
+	d := w.removeVM(name)
 	if d == nil {
-		return fmt.Errorf("no VM %s", name)
+		return fmt.Errorf("stop VM %s: not running", name)
 	}
 	return d.Stop(ctx)
 }
 
-// KillVM ends a VM at once.
+// KillVM removes a VM from the platform's list and kills it without a graceful shutdown.
 func (w *World) KillVM(name string) {
-	if d := w.takeVM(name); d != nil {
+	if d := w.removeVM(name); d != nil {
 		d.Kill()
 	}
 }
 
-func (w *World) takeVM(name string) *entry.Daemon {
+func (w *World) removeVM(name string) *entry.Daemon {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.vms[name]
@@ -344,11 +344,11 @@
 	return d
 }
 
-// KillServer breaks a backend server's connections and takes no new ones.
+// KillServer closes the listener and connections of a backend server.
 func (w *World) KillServer(name string) {
 	w.mu.Lock()
-	s := w.https[name]
-	w.dead[name] = true
+	s := w.httpServers[name]
+	w.killed[name] = true
 	w.mu.Unlock()
 	if s != nil {
 		_ = s.Close()
--- a/demo/limit_test.go
+++ b/demo/limit_test.go
@@ -22,11 +22,11 @@
 	loadInterval = 20 * time.Millisecond
 )
 
-// sendLoad sends requests to all VMs for loadDuration and returns the answers.
-func sendLoad(ctx context.Context, s *demo.Site, method, path, model string) []answer {
+// sendLoad sends requests to all VMs for loadDuration and returns the results.
+func sendLoad(ctx context.Context, s *demo.Site, method, path, model string) []callResult {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	var answers []answer
+	var answers []callResult
 	end := time.Now().Add(loadDuration)
 	for v, address := range s.Addresses() {
 		wait.Go(func() {
@@ -45,8 +45,9 @@
 	return answers
 }
 
-// Guards against all VMs together sending a server more requests than its rate limit allows, or none.
-func TestServerGetsMoreThanItsLimit(t *testing.T) {
+// Guards against all VMs together sending a server more requests than its rate limit allows, or no
+// requests at all.
+func TestServerRateLimit(t *testing.T) {
 	tests := map[string]struct{ method, path, model, service string }{
 		"plain service": {http.MethodGet, "/look/x", "", demo.SitePlain},
 		"model server":  {http.MethodPost, "/draft/x", "m1", demo.SiteModel},
@@ -72,10 +73,10 @@
 	}
 }
 
-// Guards against a permit call closing the VM's link to the controller, because its frame is rejected
-// or its caller disconnects.
+// Guards against a permit call closing the VM's link to the controller because the frame of the call
+// is rejected or the caller of the request disconnects.
 func TestPermitCallKeepsLink(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	var log logBuffer
 	s, err := demo.StartSite(ctx, demo.SiteOptions{Log: zerolog.New(&log)})
@@ -91,7 +92,7 @@
 		wait.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, time.Duration(i%40)*time.Millisecond)
 			defer cancel()
-			call(callCtx, s, s.Addresses()[i%3], fmt.Sprint("leaves", i), http.MethodGet, "/look/x", "")
+			call(callCtx, s, s.Addresses()[i%3], fmt.Sprint("disconnect", i), http.MethodGet, "/look/x", "")
 		})
 		time.Sleep(loadInterval / 10)
 	}
@@ -99,7 +100,7 @@
 	require.Equal(t, before, log.count("link to the controller lost"))
 }
 
-// logBuffer collects the logs of the VMs.
+// logBuffer collects the log output of the VMs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/demo/mix.go
+++ b/demo/mix.go
@@ -8,11 +8,11 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// repeatedShare is the share of once-only requests that the mix sends twice.
+// repeatedShare is the fraction of at-most-once requests that the mix sends twice.
 const repeatedShare = 0.05
 
-// Mix returns a mixed load over the profiles, of rate requests a second in
-// all: streams, whole completions, and calls of plain services.
+// Mix returns load classes for the profiles with a total of rate requests per second: streams,
+// non-streaming completions and calls to plain services.
 func Mix(s *conf.Settings, profiles []wire.Profile, rate float64) []load.Class {
 	var keys []string
 	for key := range s.Callers() {
--- a/demo/poison_test.go
+++ b/demo/poison_test.go
@@ -67,30 +67,30 @@
 
 // Guards against a request that has crashed three servers crashing further ones when it is
 // repeated, and against blocking other requests for the model.
-func TestRequestCrashesServerAfterServer(t *testing.T) {
+func TestCrashingRequestBlocked(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{CrashBody: crashingBody})
 	crashServers(ctx, t, s)
 	before := crashCount(s)
 	for i := range 8 * len(s.Addresses()) {
 		sendCrashingRequest(ctx, s, s.Addresses()[i%len(s.Addresses())])
 		require.LessOrEqual(t, crashCount(s)-before, maxLaterCrashes)
-		got := comeBack(ctx, t, s, s.Addresses()[i%len(s.Addresses())], fmt.Sprint("other", i), http.MethodPost, "/draft/other", "m1")
-		require.Equal(t, http.StatusOK, got.status, "another request for the model: "+got.body)
+		got := callUntilAccepted(ctx, t, s, s.Addresses()[i%len(s.Addresses())], fmt.Sprint("other", i), http.MethodPost, "/draft/other", "m1")
+		require.Equal(t, http.StatusOK, got.status, "a different request for the same model: "+got.body)
 	}
 }
 
 // Guards against a blocked request reaching servers again after a change of controller, a restart
 // of all VMs or a store outage, and against a refusal without status 503 or the remaining block
 // time.
-func TestBlockedRequestIsForgotten(t *testing.T) {
+func TestBlockSurvivesFailures(t *testing.T) {
 	tests := map[string]func(ctx context.Context, t *testing.T, s *demo.Site){
-		"nothing happens": func(context.Context, *testing.T, *demo.Site) {},
+		"no event": func(context.Context, *testing.T, *demo.Site) {},
 		"the controller is killed": func(_ context.Context, t *testing.T, s *demo.Site) {
-			i := leader(t, s)
+			i := controllerIndex(t, s)
 			s.KillNode(i)
-			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testLimit, 5*time.Millisecond)
+			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testTimeout, 5*time.Millisecond)
 		},
-		"all VMs start again": func(ctx context.Context, t *testing.T, s *demo.Site) {
+		"all VMs are restarted": func(ctx context.Context, t *testing.T, s *demo.Site) {
 			for i := range s.Addresses() {
 				s.KillNode(i)
 			}
@@ -99,7 +99,7 @@
 			}
 			require.NoError(t, s.WaitReady(ctx))
 		},
-		"the store is away": func(_ context.Context, _ *testing.T, s *demo.Site) {
+		"the store is unavailable": func(_ context.Context, _ *testing.T, s *demo.Site) {
 			s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
 		},
 	}
@@ -118,7 +118,7 @@
 				require.Equal(t, http.StatusServiceUnavailable, status)
 				wait, err := strconv.ParseFloat(retryAfter, 64)
 				require.NoError(t, err)
-				require.Greater(t, wait, time.Hour.Seconds()-testLimit.Seconds())
+				require.Greater(t, wait, time.Hour.Seconds()-testTimeout.Seconds())
 				refused++
 			}
 			require.GreaterOrEqual(t, refused, 12)
@@ -127,9 +127,9 @@
 	}
 }
 
-// Guards against losing crash records when the store is unavailable during the first crashes and
-// each VM in turn is killed and restarted afterwards.
-func TestServersCrashWhileTheStoreIsAway(t *testing.T) {
+// Guards against losing crash records if the store is unavailable during the first crashes and each
+// VM in turn is killed and restarted afterwards.
+func TestCrashRecordsDuringStoreOutage(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{CrashBody: crashingBody})
 	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
 	for range 3 {
@@ -149,8 +149,8 @@
 	require.LessOrEqual(t, crashCount(s)-before, maxLaterCrashes)
 }
 
-// leader returns the index of the VM that is the controller.
-func leader(t *testing.T, s *demo.Site) int {
+// controllerIndex returns the index of the VM that acts as the controller.
+func controllerIndex(t *testing.T, s *demo.Site) int {
 	t.Helper()
 	for i := range s.Addresses() {
 		if s.Node(i).Leading() {
--- a/demo/run.go
+++ b/demo/run.go
@@ -17,19 +17,21 @@
 
 const readyTimeout = 30 * time.Second
 
-// RunOptions say what the demo runs.
+// RunOptions configures a demo run.
 type RunOptions struct {
+	// Deployment is the name of an example deployment.
 	Deployment string
-	// For is how long to send load; 0 waits until the context ends.
-	For  time.Duration
+	// For is the duration of the load; 0 sends no load and waits until the context ends.
+	For time.Duration
+	// Rate is the load in requests per second.
 	Rate float64
 	Seed uint64
 	Out  io.Writer
 	Log  zerolog.Logger
 }
 
-// Run runs an example deployment with one VM in each failure domain. It
-// returns how many promises were broken.
+// Run runs an example deployment with one VM in each failure domain. It returns the number of
+// violated guarantees.
 func Run(ctx context.Context, o RunOptions) (int, error) {
 	settings, err := sample.Settings(o.Deployment)
 	if err != nil {
@@ -44,12 +46,12 @@
 		return 0, fmt.Errorf("start deployment: %w", err)
 	}
 	defer w.Close()
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(ready); err != nil {
+	if err := w.WaitReady(readyCtx); err != nil {
 		return 0, err
 	}
-	w.describe(o.Out, settings, profiles)
+	w.printUsage(o.Out, settings, profiles)
 	if o.For == 0 {
 		<-ctx.Done()
 		return 0, nil
@@ -61,18 +63,18 @@
 	return summary.Promises.Broken(), nil
 }
 
-// Load sends load to the deployment and sums up what came of it.
+// Load sends load to the deployment and returns a summary of the results.
 func (w *World) Load(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) load.Summary {
 	return w.Sum(classes, w.Send(ctx, classes, length, seed, out))
 }
 
-// Send sends load to the deployment.
+// Send sends load to the deployment and returns the result of each request.
 func (w *World) Send(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) []load.Result {
-	r := &load.Runner{Classes: classes, Targets: w.Ready, Progress: progress(out)}
+	r := &load.Runner{Classes: classes, Targets: w.Ready, Progress: progressPrinter(out)}
 	return r.Run(ctx, load.Schedule(seed, length, classes))
 }
 
-// Sum sums up results with what the stand-ins saw.
+// Sum summarizes the results together with the counters and recorded executions of the stand-ins.
 func (w *World) Sum(classes []load.Class, results []load.Result) load.Summary {
 	s := load.Summarise(classes, results, w.Runs.All())
 	s.Promises.Overcommits = w.Overcommits()
@@ -80,7 +82,7 @@
 	return s
 }
 
-func progress(out io.Writer) func(time.Duration, int, int) {
+func progressPrinter(out io.Writer) func(time.Duration, int, int) {
 	if out == nil {
 		return nil
 	}
@@ -89,8 +91,8 @@
 	}
 }
 
-// describe tells how to send a request.
-func (w *World) describe(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
+// printUsage prints the addresses of the VMs and an example request.
+func (w *World) printUsage(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
 	addresses := w.Ready()
 	slices.Sort(addresses)
 	fmt.Fprintf(out, "%s: %d entry VMs, %d backend servers, %d profiles\n", s.Text("deployment", "name"), len(addresses), len(w.servers), len(profiles))
@@ -103,7 +105,7 @@
 	}
 	for _, p := range profiles {
 		if p.RunsAllowed > 1 && len(p.Models) > 0 {
-			fmt.Fprintf(out, "try:\n  curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":\"%s/%s\",\"stream\":true,\"max_tokens\":16,\"messages\":[{\"role\":\"user\",\"content\":\"Which allergens are in peanut chikki?\"}]}'\n",
+			fmt.Fprintf(out, "example request:\n  curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":\"%s/%s\",\"stream\":true,\"max_tokens\":16,\"messages\":[{\"role\":\"user\",\"content\":\"Which allergens are in peanut chikki?\"}]}'\n",
 				addresses[0], key, p.Name, p.Models[0].Name)
 			return
 		}
--- a/demo/site.go
+++ b/demo/site.go
@@ -21,59 +21,58 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// Names of the services and the host of a Site.
+// Host and service names of a Site.
 const (
 	SiteHost  = "site.example"
 	SiteModel = "model-servers"
 	SitePlain = "ledger"
 )
 
-// SiteOptions say what a Site runs.
+// SiteOptions configures a Site.
 type SiteOptions struct {
-	// VMs and Backends are how many of each there are; Backends of each of the
-	// two services. 0 takes three.
+	// VMs is the number of VMs, and Backends the number of backend servers of each of the two
+	// services. 0 means three.
 	VMs, Backends int
-	// NoVMs starts only what is outside the system; the caller runs VMs.
+	// NoVMs starts only the store and the backend servers; the test or tool runs the VMs itself.
 	NoVMs bool
-	// Front returns the address under which a backend server is listed, for a
-	// proxy in front of it; nil lists its own. It is called again with the same ID
-	// after the server has restarted at a different address.
+	// Front returns the address to register for a backend server, such as that of a proxy in front
+	// of it. If Front is nil, the server's own address is registered. Front is called again with the
+	// same ID after the server has restarted on a different address.
 	Front func(id, address string) (string, error)
 	// CrashBody is the body of requests that crash the backend server executing them; empty for
-	// none. The server restarts without models and at a different address.
+	// none. The server restarts without models and on a different address.
 	CrashBody string
 	// Routes replaces the routes of SiteRoutes.
 	Routes []routes.Route
 	Log    zerolog.Logger
 }
 
-// Site is a deployment that keeps everything in the platform's store: stand-ins
-// of the store and of backend servers on the platform's wire, and VMs of the
-// system, in one process on loopback.
+// Site is a deployment on loopback in one process: stand-ins for the platform's store and for backend
+// servers, which use the platform's wire format, and VMs that keep configuration and state in that store.
 type Site struct {
 	Objects *stand.Objects
 	Runs    *stand.Ledger
 
-	options  SiteOptions
-	storeAt  string
-	mu       sync.Mutex
-	backends []*stand.Backend
-	address  map[string]string
-	// processes holds the HTTP server of each running backend server, by the backend's ID.
-	processes map[string]*http.Server
-	servers   []*http.Server
-	nodes     []*siteNode
-	closed    bool
+	options          SiteOptions
+	storeAddress     string
+	mu               sync.Mutex
+	backends         []*stand.Backend
+	backendAddresses map[string]string
+	// backendServers holds the HTTP server of each running backend server, by the backend's ID.
+	backendServers map[string]*http.Server
+	httpServers    []*http.Server
+	vms            []*siteVM
+	closed         bool
 }
 
-// siteNode is a VM and its settings, so that it can be started again.
-type siteNode struct {
-	node     *node.Node
-	settings *conf.Settings
-	idle     func()
+// siteVM is a VM with the settings that a restart of it uses.
+type siteVM struct {
+	node                 *node.Node
+	settings             *conf.Settings
+	closeIdleConnections func()
 }
 
-// SiteRoutes are the routes of a Site: one of each kind.
+// SiteRoutes returns the default routes of a Site, which cover all kinds of routes.
 func SiteRoutes() []routes.Route {
 	plain, models := []routes.Target{{Service: SitePlain, Weight: 1}}, []routes.Target{{Service: SiteModel, Weight: 1}}
 	return []routes.Route{
@@ -85,44 +84,46 @@
 }
 
 const (
-	siteMemory = 30
-	siteModel  = 10
-	siteEvents = 8
-	siteWork   = 2 * time.Millisecond
-	siteLoad   = 60 * time.Millisecond
+	siteMemoryMB     = 30
+	siteModelMB      = 10
+	siteStreamEvents = 8
+	siteWorkTime     = 2 * time.Millisecond
+	siteLoadTime     = 60 * time.Millisecond
 	// siteRestartDelay is the time between the crash of a backend server and its restart.
 	siteRestartDelay = 100 * time.Millisecond
-	siteCount        = 3
+	// siteDefaultCount is the default number of VMs, the default number of backend servers of each
+	// service, and the number of failure domains.
+	siteDefaultCount = 3
 )
 
-// SiteModels are the models of a Site's model servers.
+// SiteModels lists the models that the model servers of a Site can load.
 var SiteModels = []string{"m1", "m2", "m3", "m4"}
 
 func siteServices() []routes.Service {
 	models := make(map[string]routes.Model)
 	for _, m := range SiteModels {
-		models[m] = routes.Model{Name: m, SizeMB: siteModel, LoadTime: siteLoad, MemoryLoadTime: siteLoad, DiskLoadTime: siteLoad, AdapterCount: 4}
+		models[m] = routes.Model{Name: m, SizeMB: siteModelMB, LoadTime: siteLoadTime, MemoryLoadTime: siteLoadTime, DiskLoadTime: siteLoadTime, AdapterCount: 4}
 	}
 	return []routes.Service{
 		{Name: SitePlain, MaxConns: 100},
 		{Name: SiteModel, MaxConns: 100, Engine: &routes.Engine{
-			Slots: 8, KVCacheTokens: 100_000, WeightMemoryMB: siteMemory, AdapterSlots: 4, StoreLoadsPerSecond: 20, Models: models,
+			Slots: 8, KVCacheTokens: 100_000, WeightMemoryMB: siteMemoryMB, AdapterSlots: 4, StoreLoadsPerSecond: 20, Models: models,
 		}},
 	}
 }
 
-// StartSite starts a deployment.
+// StartSite starts a Site. The caller must call Close.
 func StartSite(ctx context.Context, o SiteOptions) (*Site, error) {
 	if o.VMs == 0 {
-		o.VMs = siteCount
+		o.VMs = siteDefaultCount
 	}
 	if o.Backends == 0 {
-		o.Backends = siteCount
+		o.Backends = siteDefaultCount
 	}
 	if o.Routes == nil {
 		o.Routes = SiteRoutes()
 	}
-	s := &Site{Objects: &stand.Objects{}, Runs: &stand.Ledger{}, options: o, address: make(map[string]string), processes: make(map[string]*http.Server)}
+	s := &Site{Objects: &stand.Objects{}, Runs: &stand.Ledger{}, options: o, backendAddresses: make(map[string]string), backendServers: make(map[string]*http.Server)}
 	if err := s.start(ctx); err != nil {
 		s.Close()
 		return nil, err
@@ -132,7 +133,7 @@
 
 func (s *Site) start(ctx context.Context) error {
 	var err error
-	if s.storeAt, err = s.listen(platform.ServeStore(s.Objects)); err != nil {
+	if s.storeAddress, err = s.listen(platform.ServeStore(s.Objects)); err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
 	if err := s.Configure(1, s.options.Routes); err != nil {
@@ -150,24 +151,24 @@
 		return nil
 	}
 	for i := range s.options.VMs {
-		if err := s.addNode(ctx, i); err != nil {
+		if err := s.addVM(ctx, i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// StoreAddress returns where the store answers.
-func (s *Site) StoreAddress() string { return s.storeAt }
+// StoreAddress returns the address on which the store listens.
+func (s *Site) StoreAddress() string { return s.storeAddress }
 
-// Configure writes the operators' configuration.
+// Configure writes the routes, services and limits to the store, as an operator does.
 func (s *Site) Configure(version int, all []routes.Route) error {
 	value, err := platform.TableValue(version, all, siteServices(), routes.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20})
 	if err != nil {
-		return fmt.Errorf("configure: %w", err)
+		return fmt.Errorf("encode configuration: %w", err)
 	}
 	if _, err := s.Objects.Put(platform.KindConfig, platform.NameConfig, -1, value); err != nil {
-		return fmt.Errorf("configure: %w", err)
+		return fmt.Errorf("write configuration: %w", err)
 	}
 	return nil
 }
@@ -181,7 +182,7 @@
 
 // serve serves a handler on a free loopback port.
 func (s *Site) serve(h http.Handler) (*http.Server, string, error) {
-	l, err := net.Listen("tcp", anyPort)
+	l, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return nil, "", fmt.Errorf("listen: %w", err)
 	}
@@ -189,17 +190,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		// A delayed restart after Close must not leave a listener open.
+		// A delayed restart of a backend server must not open a listener after Close.
 		_ = l.Close()
 		return nil, "", errSiteClosed
 	}
-	s.servers = append(s.servers, server)
+	s.httpServers = append(s.httpServers, server)
 	go func() { _ = server.Serve(l) }()
 	return server, l.Addr().String(), nil
 }
 
-// siteSettings is the settings file of a VM of a Site.
-const siteSettings = `
+// siteSettingsFormat is the format of the settings file of a VM.
+const siteSettingsFormat = `
 [vm]
 name = vm-%d
 failure_domain = domain-%d
@@ -223,23 +224,23 @@
 `
 
 const (
-	// firstPort and ports are where VMs listen: below the ports that the kernel
-	// gives to outgoing connections, one of which may otherwise take a port
-	// between the look at it and its use.
-	firstPort = 12_000
-	ports     = 18_000
-	portTries = 50
+	// firstPort and portCount define the range of ports on which VMs listen. It is below the
+	// kernel's ephemeral ports: an outgoing connection could otherwise occupy a port between the
+	// check in freePort and the start of the VM.
+	firstPort       = 12_000
+	portCount       = 18_000
+	maxPortAttempts = 50
 )
 
 // triedPorts holds every port that freePort has tried in this process. It keeps freePort from
 // returning a port that is already assigned to a VM that is not listening yet.
 var triedPorts sync.Map
 
-// freePort returns a loopback address that nothing listens at now. It returns each address at
-// most once per process.
+// freePort returns a loopback address on which nothing currently listens. It returns each address
+// at most once per process.
 func freePort() (string, error) {
-	for range portTries {
-		port := firstPort + rand.IntN(ports)
+	for range maxPortAttempts {
+		port := firstPort + rand.IntN(portCount)
 		if _, tried := triedPorts.LoadOrStore(port, true); tried {
 			continue
 		}
@@ -251,11 +252,11 @@
 		_ = l.Close()
 		return address, nil
 	}
-	return "", fmt.Errorf("no port from %d on is free", firstPort)
+	return "", fmt.Errorf("find a port for a VM: no free port from %d on", firstPort)
 }
 
-// VMSettings returns the settings file of the i-th VM of a site, whose store is
-// at an address, on ports that are free now.
+// VMSettings returns the settings file of the i-th VM of a Site with the store at storeAddress. The
+// VM listens on ports that are currently free.
 func VMSettings(i int, storeAddress string) ([]byte, error) {
 	var addresses [3]string
 	for k := range addresses {
@@ -264,42 +265,42 @@
 			return nil, err
 		}
 	}
-	return fmt.Appendf(nil, siteSettings, i, i%siteCount, addresses[0], addresses[1], addresses[2], storeAddress), nil
+	return fmt.Appendf(nil, siteSettingsFormat, i, i%siteDefaultCount, addresses[0], addresses[1], addresses[2], storeAddress), nil
 }
 
-// ListenAddress returns where a VM with these settings takes callers.
+// ListenAddress returns the caller-facing address in the settings file of a VM.
 func ListenAddress(text []byte) (string, error) {
 	settings, err := conf.ParseNode(text)
 	if err != nil {
-		return "", fmt.Errorf("settings of a VM: %w", err)
+		return "", fmt.Errorf("parse settings of a VM: %w", err)
 	}
 	return settings.Text("vm", "listen"), nil
 }
 
-func (s *Site) addNode(ctx context.Context, i int) error {
-	text, err := VMSettings(i, s.storeAt)
+func (s *Site) addVM(ctx context.Context, i int) error {
+	text, err := VMSettings(i, s.storeAddress)
 	if err != nil {
 		return err
 	}
 	settings, err := conf.ParseNode(text)
 	if err != nil {
-		return fmt.Errorf("settings of a VM: %w", err)
+		return fmt.Errorf("parse settings of a VM: %w", err)
 	}
-	n := &siteNode{settings: settings}
+	n := &siteVM{settings: settings}
 	s.mu.Lock()
-	s.nodes = append(s.nodes, n)
+	s.vms = append(s.vms, n)
 	s.mu.Unlock()
 	return s.StartNode(ctx, i)
 }
 
-// StartNode starts the i-th VM, again after StopNode or KillNode.
+// StartNode starts the i-th VM. It also restarts a VM after StopNode or KillNode.
 func (s *Site) StartNode(ctx context.Context, i int) error {
-	n := s.nodes[i]
+	n := s.vms[i]
 	client := &http.Client{Transport: &http.Transport{}}
-	n.idle = client.CloseIdleConnections
+	n.closeIdleConnections = client.CloseIdleConnections
 	n.node = node.New(node.Config{
 		Settings: n.settings, Names: &platform.Names,
-		Objects: platform.Store(client, s.storeAt), Commands: platform.Commands(client),
+		Objects: platform.Store(client, s.storeAddress), Commands: platform.Commands(client),
 		ConfigKind: platform.KindConfig, ConfigName: platform.NameConfig, ServerKind: platform.KindServers,
 		Table: platform.Table, Entry: platform.Entry, CloseIdle: client.CloseIdleConnections, Now: clock.Now, Log: s.options.Log,
 	})
@@ -309,29 +310,29 @@
 	return nil
 }
 
-// StopNode stops the i-th VM in peace.
-func (s *Site) StopNode(i int) error { return s.nodes[i].node.Stop() }
+// StopNode stops the i-th VM gracefully.
+func (s *Site) StopNode(i int) error { return s.vms[i].node.Stop() }
 
-// KillNode ends the i-th VM at once.
-func (s *Site) KillNode(i int) { s.nodes[i].node.Kill() }
+// KillNode kills the i-th VM without a graceful shutdown.
+func (s *Site) KillNode(i int) { s.vms[i].node.Kill() }
 
-// Addresses returns where the VMs take callers.
+// Addresses returns the caller-facing addresses of the VMs.
 func (s *Site) Addresses() []string {
 	var list []string
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		list = append(list, n.settings.Text("vm", "listen"))
 	}
 	return list
 }
 
 // Node returns the i-th VM.
-func (s *Site) Node(i int) *node.Node { return s.nodes[i].node }
+func (s *Site) Node(i int) *node.Node { return s.vms[i].node }
 
-// WaitReady waits until all VMs are ready and one of them steers.
+// WaitReady waits until all VMs are ready and exactly one of them acts as the controller.
 func (s *Site) WaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
 		ready, leading := 0, 0
-		for _, n := range s.nodes {
+		for _, n := range s.vms {
 			if n.node.Ready() {
 				ready++
 			}
@@ -339,31 +340,31 @@
 				leading++
 			}
 		}
-		if ready == len(s.nodes) && leading == 1 {
+		if ready == len(s.vms) && leading == 1 {
 			return nil
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return fmt.Errorf("not all VMs became ready: %w", ctx.Err())
+	return fmt.Errorf("wait until all VMs are ready with one controller: %w", ctx.Err())
 }
 
-// Close ends everything.
+// Close kills all VMs and closes the store and the backend servers.
 func (s *Site) Close() {
-	for _, n := range s.nodes {
+	for _, n := range s.vms {
 		if n.node != nil {
 			n.node.Kill()
-			n.idle()
+			n.closeIdleConnections()
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for _, server := range s.servers {
+	for _, server := range s.httpServers {
 		_ = server.Close()
 	}
 }
 
-// Call sends one request to a VM as a caller would.
+// Call sends one request to a VM, with the headers that callers set.
 func (s *Site) Call(ctx context.Context, client *http.Client, address, id, method, path, model, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -380,5 +381,5 @@
 	return client.Do(req)
 }
 
-// StampOf returns the proof that an answer is a server's own, "" for none.
+// StampOf returns the header value by which a server proves that a response is its own, or "".
 func StampOf(resp *http.Response) string { return resp.Header.Get(platform.Names.ServerStamp) }
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -25,12 +25,12 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// testLimit bounds what a test waits for; none passes by being fast.
-const testLimit = 60 * time.Second
+// testTimeout bounds each wait of a test. No test depends on an operation being fast.
+const testTimeout = 60 * time.Second
 
 func startSite(t *testing.T, o demo.SiteOptions) (*demo.Site, context.Context) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	o.Log = zerolog.Nop()
 	s, err := demo.StartSite(ctx, o)
@@ -40,41 +40,41 @@
 	return s, ctx
 }
 
-type answer struct {
+// callResult is the response to a call, or the error that ended it.
+type callResult struct {
 	status int
 	stamp  string
 	body   string
 	err    error
 }
 
-func call(ctx context.Context, s *demo.Site, address, id, method, path, model string) answer {
+func call(ctx context.Context, s *demo.Site, address, id, method, path, model string) callResult {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := s.Call(ctx, client, address, id, method, path, model, "body")
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, stamp: demo.StampOf(resp), body: string(body), err: err}
+	return callResult{status: resp.StatusCode, stamp: demo.StampOf(resp), body: string(body), err: err}
 }
 
-// comeBack makes a call and repeats it, as callers do, while it is refused. How
-// long a model takes to be placed depends on the machine; that a refused request
-// has not run does not.
-func comeBack(ctx context.Context, t *testing.T, s *demo.Site, address, id, method, path, model string) answer {
+// callUntilAccepted sends a call and repeats it while it is refused with status 503, as callers do.
+// The time until a model is loaded depends on the machine. A refused request must never have run.
+func callUntilAccepted(ctx context.Context, t *testing.T, s *demo.Site, address, id, method, path, model string) callResult {
 	t.Helper()
 	for n := 0; ; n++ {
-		try := fmt.Sprintf("%s-%d", id, n)
-		got := call(ctx, s, address, try, method, path, model)
+		attemptID := fmt.Sprintf("%s-%d", id, n)
+		got := call(ctx, s, address, attemptID, method, path, model)
 		if got.status != http.StatusServiceUnavailable || ctx.Err() != nil {
 			return got
 		}
-		require.Empty(t, s.Runs.Of(try), "refused as not run, and it ran")
+		require.Empty(t, s.Runs.Of(attemptID), "the request was refused as not run, but a server ran it")
 	}
 }
 
-// wholeStream is what a stream of the stand-in says when nothing is missing.
-func wholeStream(id string) string {
+// completeStream returns the body of a complete event stream of the backend stand-in.
+func completeStream(id string) string {
 	var b strings.Builder
 	for n := 1; n <= 8; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s %d\n\n", n, id, n)
@@ -82,7 +82,9 @@
 	return b.String()
 }
 
-func TestWholePath(t *testing.T) {
+// Guards against a route that is not served end to end through every VM, and against an order that
+// exceeds the memory or adapter slots of a model server.
+func TestAllRoutes(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	for i, address := range s.Addresses() {
 		id := fmt.Sprintf("%02d", i)
@@ -94,9 +96,9 @@
 		require.Equal(t, http.StatusOK, got.status, got.body)
 		got = call(ctx, s, address, "c"+id, "POST", "/draft/x", "m2")
 		require.Equal(t, http.StatusOK, got.status, got.body)
-		require.Equal(t, wholeStream("c"+id), got.body)
-		got = comeBack(ctx, t, s, address, "d"+id, "POST", "/draft/x", "m4/a3")
-		require.Equal(t, http.StatusOK, got.status, "a model that no server held, and an adapter of it: "+got.body)
+		require.Equal(t, completeStream("c"+id), got.body)
+		got = callUntilAccepted(ctx, t, s, address, "d"+id, "POST", "/draft/x", "m4/a3")
+		require.Equal(t, http.StatusOK, got.status, "a model and adapter that no server had loaded: "+got.body)
 		got = call(ctx, s, address, "e"+id, "GET", "/nowhere/", "")
 		require.Equal(t, http.StatusNotFound, got.status)
 	}
@@ -105,29 +107,28 @@
 	}
 }
 
-// Each fault strikes one send. What the caller sees depends on what may be
-// repeated: an idempotent request and a resumable stream are answered whole by
-// another server; one that runs at most once is told that it may have run, and
-// only a refusal by the server lets it be sent again.
-func TestFaultsOfBackends(t *testing.T) {
+// Guards against a wrong retry after a backend fault; each fault affects one attempt. Another server
+// must completely answer an idempotent request or a resumable stream. An at-most-once request must be
+// reported as possibly run, and may be sent again only if the server refused it.
+func TestBackendFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults stand.BackendFaults
 		path   string
 		status int
 		runs   int
 	}{
-		"refused, idempotent":       {stand.BackendFaults{Refuse: 1}, "/look/", 200, 1},
-		"refused, once":             {stand.BackendFaults{Refuse: 1}, "/book/", 200, 1},
-		"answer lost, idempotent":   {stand.BackendFaults{Lose: 1}, "/look/", 200, 2},
-		"answer lost, once":         {stand.BackendFaults{Lose: 1}, "/book/", 502, 1},
-		"failed, idempotent":        {stand.BackendFaults{Fail: 1}, "/look/", 200, 2},
-		"failed, once":              {stand.BackendFaults{Fail: 1}, "/book/", 500, 1},
-		"forged, idempotent":        {stand.BackendFaults{Forge: 1}, "/look/", 200, 2},
-		"forged, once":              {stand.BackendFaults{Forge: 1}, "/book/", 502, 1},
-		"answered twice":            {stand.BackendFaults{Stray: 1}, "/look/", 200, 1},
-		"stream lost, resumable":    {stand.BackendFaults{Lose: 1}, "/draft/", 200, 2},
-		"stream cut, resumable":     {stand.BackendFaults{Cut: 1}, "/draft/", 200, 2},
-		"stream cut, not resumable": {stand.BackendFaults{Cut: 1}, "/batch/", 200, 1},
+		"refused, idempotent":         {stand.BackendFaults{Refuse: 1}, "/look/", 200, 1},
+		"refused, at most once":       {stand.BackendFaults{Refuse: 1}, "/book/", 200, 1},
+		"response lost, idempotent":   {stand.BackendFaults{Lose: 1}, "/look/", 200, 2},
+		"response lost, at most once": {stand.BackendFaults{Lose: 1}, "/book/", 502, 1},
+		"failed, idempotent":          {stand.BackendFaults{Fail: 1}, "/look/", 200, 2},
+		"failed, at most once":        {stand.BackendFaults{Fail: 1}, "/book/", 500, 1},
+		"forged stamp, idempotent":    {stand.BackendFaults{Forge: 1}, "/look/", 200, 2},
+		"forged stamp, at most once":  {stand.BackendFaults{Forge: 1}, "/book/", 502, 1},
+		"duplicate response":          {stand.BackendFaults{Stray: 1}, "/look/", 200, 1},
+		"stream lost, resumable":      {stand.BackendFaults{Lose: 1}, "/draft/", 200, 2},
+		"stream cut, resumable":       {stand.BackendFaults{Cut: 1}, "/draft/", 200, 2},
+		"stream cut, not resumable":   {stand.BackendFaults{Cut: 1}, "/batch/", 200, 1},
 	}
 	s, ctx := startSite(t, demo.SiteOptions{Backends: 2})
 	n := 0
@@ -138,21 +139,21 @@
 			method, model, service := "GET", "", demo.SitePlain
 			if tc.path == "/draft/" || tc.path == "/batch/" {
 				method, model, service = "POST", "m1", demo.SiteModel
-				require.Eventually(t, func() bool { return spread(ctx, s, n) }, testLimit, 10*time.Millisecond)
+				require.Eventually(t, func() bool { return loadedOnBothServers(ctx, s, n) }, testTimeout, 10*time.Millisecond)
 			}
-			strikes := stand.NewStrikes(tc.faults)
+			sharedFaults := stand.NewStrikes(tc.faults)
 			for _, b := range s.Backends(service) {
-				b.SetStrikes(strikes)
+				b.SetStrikes(sharedFaults)
 			}
 			got := call(ctx, s, s.Addresses()[0], id, method, tc.path, model)
 			require.Equal(t, tc.status, got.status, got.body)
 			require.Len(t, s.Runs.Of(id), tc.runs)
 			switch {
 			case name == "stream cut, not resumable":
-				require.Error(t, got.err, "a stream that broke off must not look complete")
+				require.Error(t, got.err, "an interrupted stream must not appear complete")
 			case model != "":
 				require.NoError(t, got.err)
-				require.Equal(t, wholeStream(id), got.body)
+				require.Equal(t, completeStream(id), got.body)
 			case got.status == 200:
 				require.Equal(t, "answer to "+id, got.body)
 			}
@@ -160,8 +161,8 @@
 	}
 }
 
-// holders counts the servers that hold a model.
-func holders(s *demo.Site, model string) int {
+// loadedServerCount returns the number of servers that hold a model.
+func loadedServerCount(s *demo.Site, model string) int {
 	n := 0
 	for _, b := range s.Backends(demo.SiteModel) {
 		if b.Entry().HasModel(model, "") {
@@ -171,31 +172,32 @@
 	return n
 }
 
-// spread makes demand for a model and reports whether two servers hold it.
-func spread(ctx context.Context, s *demo.Site, n int) bool {
+// loadedOnBothServers sends a request for model m1 and reports whether two servers hold the model.
+func loadedOnBothServers(ctx context.Context, s *demo.Site, n int) bool {
 	call(ctx, s, s.Addresses()[0], fmt.Sprintf("w%03d", n), "POST", "/draft/", "m1")
-	return holders(s, "m1") == 2
+	return loadedServerCount(s, "m1") == 2
 }
 
-// A configuration is changed while the VMs run: the new route is served by all
-// of them, and the old one no more, without a restart.
-func TestConfigurationChanges(t *testing.T) {
+// Guards against VMs that need a restart to apply a configuration change: all running VMs must serve
+// the new route and stop serving the old one.
+func TestConfigurationChange(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	moved := demo.SiteRoutes()
-	moved[0].PathPrefix = "/seen/"
-	require.NoError(t, s.Configure(5, moved))
+	changedRoutes := demo.SiteRoutes()
+	changedRoutes[0].PathPrefix = "/seen/"
+	require.NoError(t, s.Configure(5, changedRoutes))
 	for i, address := range s.Addresses() {
 		require.Eventually(t, func() bool {
 			return call(ctx, s, address, fmt.Sprintf("n%d", i), "GET", "/seen/", "").status == 200
-		}, testLimit, 10*time.Millisecond)
+		}, testTimeout, 10*time.Millisecond)
 		require.Equal(t, 404, call(ctx, s, address, fmt.Sprintf("o%d", i), "GET", "/look/", "").status)
 	}
-	require.NoError(t, s.Configure(4, demo.SiteRoutes()), "written later, so it is in force, whatever its number")
+	require.NoError(t, s.Configure(4, demo.SiteRoutes()), "the latest write applies, whatever its version number")
 }
 
-// The store forgets its history and then goes away. Requests are served all the
-// while; a change made after its return is in force everywhere.
-func TestStoreAwayAndCompacted(t *testing.T) {
+// Guards against failed requests while the store is unavailable, and against VMs that miss later
+// changes. The store compacts its watch history and then becomes unavailable. A configuration change
+// after its recovery must apply on all VMs.
+func TestStoreOutageAndCompaction(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	s.Objects.Compact()
 	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
@@ -204,27 +206,28 @@
 		require.Equal(t, 200, got.status, got.body)
 	}
 	s.Objects.SetFaults(stand.ObjectFaults{})
-	moved := demo.SiteRoutes()
-	moved[0].PathPrefix = "/seen/"
-	require.NoError(t, s.Configure(9, moved))
+	changedRoutes := demo.SiteRoutes()
+	changedRoutes[0].PathPrefix = "/seen/"
+	require.NoError(t, s.Configure(9, changedRoutes))
 	for i, address := range s.Addresses() {
 		require.Eventually(t, func() bool {
 			return call(ctx, s, address, fmt.Sprintf("t%d", i), "GET", "/seen/", "").status == 200
-		}, testLimit, 10*time.Millisecond)
+		}, testTimeout, 10*time.Millisecond)
 	}
 }
 
-// The VM that steers is killed; another takes over and loads a model that no
-// server holds, for a request that waits for it.
-func TestControllerIsKilled(t *testing.T) {
+// Guards against models that are no longer loaded after a controller failure. The VM that acts as the
+// controller is killed. Another VM must become the controller and load a model that no server holds,
+// for a request that waits for the model.
+func TestControllerKilled(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	for i := range 3 {
 		if s.Node(i).Leading() {
 			s.KillNode(i)
-			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testLimit, 5*time.Millisecond)
+			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testTimeout, 5*time.Millisecond)
 			require.Eventually(t, func() bool {
 				return call(ctx, s, s.Addresses()[(i+1)%3], fmt.Sprintf("k%d", time.Now().UnixNano()), "POST", "/draft/", "m4/a1").status == 200
-			}, testLimit, 20*time.Millisecond)
+			}, testTimeout, 20*time.Millisecond)
 			break
 		}
 	}
@@ -233,49 +236,51 @@
 	}
 }
 
-// A VM is stopped under load: callers that it took get their whole answers.
-func TestStopInPeace(t *testing.T) {
+// Guards against truncated responses when a VM is stopped gracefully under load: each accepted request
+// must get a complete response.
+func TestGracefulStop(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{VMs: 2})
 	var wait sync.WaitGroup
-	answers := make([]answer, 40)
+	answers := make([]callResult, 40)
 	for i := range answers {
 		wait.Go(func() {
 			answers[i] = call(ctx, s, s.Addresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
 		})
 	}
-	require.Eventually(t, func() bool { return len(s.Runs.Of("p0")) > 0 }, testLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.Runs.Of("p0")) > 0 }, testTimeout, time.Millisecond)
 	require.NoError(t, s.StopNode(0))
 	wait.Wait()
 	for i, got := range answers {
 		if got.err != nil && got.status == 0 {
-			continue // It was not taken any more.
+			continue // The VM no longer accepted the connection.
 		}
 		require.NoError(t, got.err)
 		if got.status == 200 {
-			require.Equal(t, wholeStream(fmt.Sprintf("p%d", i)), got.body)
+			require.Equal(t, completeStream(fmt.Sprintf("p%d", i)), got.body)
 		}
 	}
 }
 
-// Orders are carried out and their answers lost. No server is ordered beyond its
-// memory or places, and every model stays reachable.
-func TestOrdersWithoutAnswers(t *testing.T) {
+// Guards against wrong model placement when model servers execute orders but the responses are lost.
+// No order may exceed the memory or adapter slots of a server, and every model must stay reachable.
+func TestLostOrderResponses(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	strikes := stand.NewStrikes(stand.BackendFaults{LoseOrders: 6})
+	sharedFaults := stand.NewStrikes(stand.BackendFaults{LoseOrders: 6})
 	for _, b := range s.Backends(demo.SiteModel) {
-		b.SetStrikes(strikes)
+		b.SetStrikes(sharedFaults)
 	}
 	for i, model := range []string{"m1/a1", "m2/a2", "m3/a3", "m4/a4", "m4/a1", "m2"} {
 		require.Eventually(t, func() bool {
 			return call(ctx, s, s.Addresses()[i%3], fmt.Sprintf("l%d-%d", i, time.Now().UnixNano()), "POST", "/draft/", model).status == 200
-		}, testLimit, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
 		require.False(t, b.Crashed())
 	}
 }
 
-func TestSiteRoutesAreOfAllKinds(t *testing.T) {
+// Guards against default routes that leave a kind of route untested.
+func TestSiteRoutesCoverAllKinds(t *testing.T) {
 	kinds := map[routes.Kind]bool{}
 	for _, r := range demo.SiteRoutes() {
 		kinds[r.Kind] = true
@@ -283,16 +288,16 @@
 	require.Len(t, kinds, 3)
 }
 
-// Each hop of a request has a span: the VM that takes it, the choice of a server,
-// the question to the controller for a model that no server holds, and each send.
-func TestSpansOfTheWholePath(t *testing.T) {
+// Guards against missing trace spans: each request has a span for the VM that accepts it, the choice
+// of a server, the query to the controller for a model that no server holds, and each attempt.
+func TestTraceSpans(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(recorder)))
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(trace.NewTracerProvider()) })
 	s, ctx := startSite(t, demo.SiteOptions{})
 	for i, address := range s.Addresses() {
-		comeBack(ctx, t, s, address, fmt.Sprint("traced", i), "POST", "/draft/x", fmt.Sprint("m4/a", i+1))
+		callUntilAccepted(ctx, t, s, address, fmt.Sprint("traced", i), "POST", "/draft/x", fmt.Sprint("m4/a", i+1))
 	}
 	require.Eventually(t, func() bool {
 		names := make(map[string]int)
@@ -300,19 +305,19 @@
 			names[span.Name()]++
 		}
 		return names["request"] >= 3 && names["route"] >= 3 && names["attempt"] >= 3 && names["find"] >= 1
-	}, testLimit, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
-// Backend servers start again under their IDs, empty, and say when they were born. What
-// the VMs knew of the starts before, down to the number of the next order, is wrong:
-// requests for their models would be refused, and orders be taken for known. Every
-// model is loaded again and reached, and no server is ordered beyond its memory.
-func TestServersStartAgainUnderTheirIDs(t *testing.T) {
+// Guards against state of an earlier instance being applied to a restarted backend server. The servers
+// restart under the same IDs without models and report a new start time. With stale state, including
+// the sequence number of the next order, servers would refuse requests for their models and discard new
+// orders as duplicates. Every model must be loaded again, and no order may exceed a server's memory.
+func TestBackendRestartWithSameID(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	served := func(name, model string) {
+	requireServed := func(name, model string) {
 		t.Helper()
 		for i, address := range s.Addresses() {
-			got := comeBack(ctx, t, s, address, fmt.Sprint(name, i, model), "POST", "/draft/x", model)
+			got := callUntilAccepted(ctx, t, s, address, fmt.Sprint(name, i, model), "POST", "/draft/x", model)
 			require.Equal(t, http.StatusOK, got.status, got.body)
 		}
 	}
@@ -321,25 +326,25 @@
 			b.Restart(time.UnixMilli(int64(1_000_000 + round)))
 		}
 		for _, model := range demo.SiteModels {
-			served(fmt.Sprint("restart", round), model)
+			requireServed(fmt.Sprint("restart", round), model)
 		}
-		served(fmt.Sprint("adapter", round), "m2/a1")
+		requireServed(fmt.Sprint("adapter", round), "m2/a1")
 	}
 	for _, b := range s.Backends(demo.SiteModel) {
 		require.False(t, b.Crashed())
 	}
 }
 
-// Another writer leaves entries that name no server, and overwrites those of servers
-// with such. Read as servers they would draw requests to nowhere; taken for the end of
-// the list they would hide the others. Requests go to the servers whose entries hold,
-// and to the others again after their next heartbeat.
-func TestEntriesOfOtherWriters(t *testing.T) {
+// Guards against invalid server entries from another writer, which adds new entries and overwrites
+// valid ones. If such entries were accepted as servers, requests would go to unreachable addresses. If
+// they ended the list, other servers would be hidden. Requests must go to servers with valid entries,
+// and to the overwritten servers again after their next heartbeat.
+func TestInvalidServerEntries(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	bad := []string{`{}`, `{"Service":5}`, `"ready"`, `{"Service":"` + demo.SitePlain + `","Address":"127.0.0.1:1","Zone":"d","Version":"v","Slots":8,"State":"resting","Sequence":1}`}
+	invalidValues := []string{`{}`, `{"Service":5}`, `"ready"`, `{"Service":"` + demo.SitePlain + `","Address":"127.0.0.1:1","Zone":"d","Version":"v","Slots":8,"State":"resting","Sequence":1}`}
 	backends := s.Backends(demo.SitePlain)
-	for i, value := range bad {
-		for _, name := range []string{fmt.Sprint("stranger", i), backends[i%len(backends)].ID} {
+	for i, value := range invalidValues {
+		for _, name := range []string{fmt.Sprint("invalid", i), backends[i%len(backends)].ID} {
 			_, err := s.Objects.Put(platform.KindServers, name, -1, json.RawMessage(value))
 			require.NoError(t, err)
 		}
@@ -351,8 +356,8 @@
 	}
 }
 
-// Guards against assigning one port to two VMs, the second of which then fails to listen.
-func TestVMsShareNoPort(t *testing.T) {
+// Guards against assigning one port to two VMs, so that the second VM fails to listen.
+func TestVMPortsUnique(t *testing.T) {
 	used := make(map[string]bool)
 	for i := range 200 {
 		text, err := demo.VMSettings(i, "127.0.0.1:1")
--- a/demo/look.go
+++ b/demo/state.go
@@ -14,8 +14,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Ready returns the callers' addresses of the VMs that are ready, as the
-// platform's balancer sees them.
+// Ready returns the caller-facing addresses of the VMs whose readiness check succeeds, as used by the
+// platform's load balancer.
 func (w *World) Ready() []string {
 	var addresses []string
 	for _, d := range w.VMs() {
@@ -26,16 +26,16 @@
 	return addresses
 }
 
-// Engine returns an engine stand-in.
+// Engine returns the engine stand-in of a name, or nil.
 func (w *World) Engine(name string) *stand.Engine { return w.engines[name] }
 
-// Service returns a service stand-in.
+// Service returns the service stand-in of a name, or nil.
 func (w *World) Service(name string) *stand.Service { return w.services[name] }
 
 // Servers returns the documents of the backend servers.
 func (w *World) Servers() []wire.Server { return w.servers }
 
-// Overcommits returns how often an engine's memory was overcommitted.
+// Overcommits returns how often the memory of any engine was overcommitted.
 func (w *World) Overcommits() int {
 	total := 0
 	for _, e := range w.engines {
@@ -44,7 +44,7 @@
 	return total
 }
 
-// Moves returns how many loads and unloads the engines have carried out.
+// Moves returns the number of model and adapter loads and unloads that the engines have executed.
 func (w *World) Moves() int {
 	total := 0
 	for _, e := range w.engines {
@@ -54,7 +54,8 @@
 	return total
 }
 
-// UnreachableModels returns the models and adapters that no engine holds.
+// UnreachableModels returns the models and adapters of the active profiles that no running engine
+// holds.
 func (w *World) UnreachableModels() []ctrl.Artifact {
 	var missing []ctrl.Artifact
 	for _, obj := range w.Platform.List(profs.Kind).Items {
@@ -64,7 +65,7 @@
 		}
 		for _, m := range doc.Models {
 			for _, a := range (naive.Demand{Model: m}).Artifacts() {
-				if !w.holds(a) {
+				if !w.isLoaded(a) {
 					missing = append(missing, a)
 				}
 			}
@@ -73,51 +74,53 @@
 	return missing
 }
 
-func (w *World) holds(a ctrl.Artifact) bool {
+func (w *World) isLoaded(a ctrl.Artifact) bool {
 	for name, e := range w.engines {
-		if !w.isDead(name) && e.Has(a.Model, a.Adapter) {
+		if !w.isKilled(name) && e.Has(a.Model, a.Adapter) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *World) isDead(server string) bool {
+func (w *World) isKilled(server string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.dead[server]
+	return w.killed[server]
 }
 
-// OnlyCopies returns how many models only the named engine holds.
+// OnlyCopies returns the number of models and adapters that no running engine except the named one
+// holds.
 func (w *World) OnlyCopies(server string) int {
 	e := w.engines[server]
 	if e == nil {
 		return 0
 	}
-	n := 0
+	count := 0
 	for _, r := range e.Report().Residents {
 		others := 0
 		for name, other := range w.engines {
-			if name != server && !w.isDead(name) && other.Has(r.Model, r.Adapter) {
+			if name != server && !w.isKilled(name) && other.Has(r.Model, r.Adapter) {
 				others++
 			}
 		}
 		if others == 0 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-var errNotReady = errors.New("the VMs did not get ready in time")
+var errNotReady = errors.New("deployment was not ready before the deadline")
 
-// WaitReady waits until every VM is ready and every model is reachable.
+// WaitReady waits until every VM is ready and has reports from all servers, and every model is
+// loaded on an engine.
 func (w *World) WaitReady(ctx context.Context) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		vms := w.VMs()
-		if len(w.Ready()) == len(vms) && len(w.UnreachableModels()) == 0 && w.seen(vms) {
+		if len(w.Ready()) == len(vms) && len(w.UnreachableModels()) == 0 && w.allServersReported(vms) {
 			return nil
 		}
 		select {
@@ -128,8 +131,8 @@
 	}
 }
 
-// seen reports whether every VM has had a report of every server.
-func (w *World) seen(vms map[string]*entry.Daemon) bool {
+// allServersReported reports whether every VM has received a report from every server.
+func (w *World) allServersReported(vms map[string]*entry.Daemon) bool {
 	for _, d := range vms {
 		if !d.SeesServers() {
 			return false
@@ -138,19 +141,19 @@
 	return true
 }
 
-// Close ends the deployment at once.
+// Close kills all VMs and closes all stand-ins immediately.
 func (w *World) Close() {
 	for _, d := range w.VMs() {
 		d.Kill()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.https {
+	for _, s := range w.httpServers {
 		_ = s.Close()
 	}
 }
 
-// StoreClient returns a client of the platform for a named caller.
+// StoreClient returns a client of the platform store with the given client name.
 func (w *World) StoreClient(name string) *store.Client {
-	return store.New("http://"+w.platform, w.options.Settings.Text("platform", "key"), name)
+	return store.New("http://"+w.platformAddress, w.options.Settings.Text("platform", "key"), name)
 }
