--- a/soak/crash.go
+++ b/soak/crash.go
@@ -14,10 +14,10 @@
 const (
 	// crashBody is the body of requests that crash the backend server executing them.
 	crashBody = "crash"
-	// crashingRequestGap bounds the pause before each send of a crashing request, and
+	// maxCrashingRequestInterval bounds the delay before each send of a crashing request, and
 	// crashingRequestSends is the number of sends before the next request is used.
-	crashingRequestGap   = 200 * time.Millisecond
-	crashingRequestSends = 10
+	maxCrashingRequestInterval = 200 * time.Millisecond
+	crashingRequestSends       = 10
 	// crashLimit is the number of crashes after which a request must be blocked, and
 	// maxLaterCrashes bounds its crashes once blockTimeout has passed after the last fault.
 	crashLimit      = 3
@@ -41,9 +41,9 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		c := &crashingRequest{path: fmt.Sprintf("/draft/crash-%d", n)}
 		r.crashingRequests = append(r.crashingRequests, c)
-		r.count("crashing_request")
+		r.countFault("crashing_request")
 		for range crashingRequestSends {
-			pause.For(ctx, time.Duration(rng.Int64N(int64(crashingRequestGap))))
+			pause.For(ctx, time.Duration(rng.Int64N(int64(maxCrashingRequestInterval))))
 			if ctx.Err() != nil {
 				return
 			}
@@ -54,7 +54,7 @@
 
 // sendCrashingRequest sends the request to a VM under a new identifier and ignores the outcome.
 func (r *run) sendCrashingRequest(c *crashingRequest, v *vm) {
-	client := &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	id := fmt.Sprintf("%s-%d-%d", c.path, r.options.Seed, len(c.ids))
 	c.ids = append(c.ids, id)
 	resp, err := r.site.Call(context.Background(), client, v.listen, id, http.MethodPost, c.path, demo.SiteModels[0], crashBody)
@@ -77,20 +77,20 @@
 // crashLimit+maxLaterCrashes within it. It guards against VMs that do not block such requests.
 func (r *run) checkBlocked(ctx context.Context) {
 	var toBlock []*crashingRequest
-	during := make(map[*crashingRequest]int)
+	crashesDuringFaults := make(map[*crashingRequest]int)
 	for _, c := range r.crashingRequests {
 		if n := r.crashCount(c); n >= crashLimit {
 			toBlock = append(toBlock, c)
-			during[c] = n
+			crashesDuringFaults[c] = n
 			// If all VMs are killed while the store is unavailable, the record of the crashes is
 			// lost, and the VMs can block the request only after it crashes servers again.
 			r.sendCrashingRequest(c, r.vms[0])
 		}
 	}
 	pause.For(ctx, blockTimeout)
-	before := make(map[*crashingRequest]int)
+	crashesBeforeResend := make(map[*crashingRequest]int)
 	for _, c := range toBlock {
-		before[c] = r.crashCount(c)
+		crashesBeforeResend[c] = r.crashCount(c)
 	}
 	for range resendRounds {
 		for _, c := range toBlock {
@@ -100,11 +100,11 @@
 		}
 	}
 	for _, c := range toBlock {
-		if relearned := before[c] - during[c]; relearned > crashLimit+maxLaterCrashes {
-			r.checks.Add("request %s crashed %d servers, and %d more within %v after the last fault", c.path, during[c], relearned, blockTimeout)
+		if graceCrashes := crashesBeforeResend[c] - crashesDuringFaults[c]; graceCrashes > crashLimit+maxLaterCrashes {
+			r.checks.Add("request %s crashed %d servers, and %d more within %v after the last fault", c.path, crashesDuringFaults[c], graceCrashes, blockTimeout)
 		}
-		if later := r.crashCount(c) - before[c]; later > maxLaterCrashes {
-			r.checks.Add("request %s crashed %d servers, and %d more later than %v after the last fault", c.path, before[c], later, blockTimeout)
+		if later := r.crashCount(c) - crashesBeforeResend[c]; later > maxLaterCrashes {
+			r.checks.Add("request %s crashed %d servers, and %d more later than %v after the last fault", c.path, crashesBeforeResend[c], later, blockTimeout)
 		}
 	}
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -13,43 +13,46 @@
 )
 
 const (
-	// faultGap bounds the pause between two faults, faultLength how long one
-	// lasts: they come in series and overlap.
-	faultGap    = 300 * time.Millisecond
-	faultLength = 900 * time.Millisecond
-	// restartPause bounds the time until a process that ended starts again.
-	restartPause = 300 * time.Millisecond
-	strikeMost   = 4
+	// maxFaultInterval bounds the time between the starts of two faults. maxFaultDuration bounds the
+	// random part of a fault's duration. Faults follow in series and overlap.
+	maxFaultInterval = 300 * time.Millisecond
+	maxFaultDuration = 900 * time.Millisecond
+	// maxRestartDelay bounds the time between the exit of a process and its restart.
+	maxRestartDelay = 300 * time.Millisecond
+	// maxFaultsPerKind bounds how often one injection makes a stand-in fail, for each kind of fault.
+	maxFaultsPerKind = 4
 )
 
-// strike injects faults until ctx ends, and returns when all have been lifted.
-func (r *run) strike(ctx context.Context) {
+// injectFaults injects faults until ctx ends, and returns when all timed faults have ended.
+func (r *run) injectFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, 1))
 	var wait sync.WaitGroup
 	version := 1
 	for ctx.Err() == nil {
-		pause.For(ctx, time.Duration(rng.Int64N(int64(faultGap))))
-		length := faultLength/9 + time.Duration(rng.Int64N(int64(faultLength)))
-		v, front := r.vms[rng.IntN(len(r.vms))], r.fronts[rng.IntN(len(r.fronts))]
-		n := 1 + rng.IntN(strikeMost)
+		pause.For(ctx, time.Duration(rng.Int64N(int64(maxFaultInterval))))
+		length := maxFaultDuration/9 + time.Duration(rng.Int64N(int64(maxFaultDuration)))
+		v, front := r.vms[rng.IntN(len(r.vms))], r.serverProxies[rng.IntN(len(r.serverProxies))]
+		n := 1 + rng.IntN(maxFaultsPerKind)
 		version++
-		fault, name := r.draw(rng.IntN(14), v, front, n, version)
-		r.count(name)
+		fault, name := r.selectFault(rng.IntN(14), v, front, n, version)
+		r.countFault(name)
 		wait.Go(func() { fault(ctx, length) })
 	}
 	wait.Wait()
 }
 
-func (r *run) count(name string) {
+// countFault counts an injected fault by its name.
+func (r *run) countFault(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults[name]++
 }
 
+// fault injects one fault for a duration.
 type fault func(ctx context.Context, length time.Duration)
 
-// draw returns one fault and its name.
-func (r *run) draw(which int, v *vm, front *Proxy, n, version int) (fault, string) {
+// selectFault returns the fault with an index, and its name in the result.
+func (r *run) selectFault(which int, v *vm, front *Proxy, n, version int) (fault, string) {
 	switch which {
 	case 0:
 		return r.restart(v, syscall.SIGKILL), "kill"
@@ -62,13 +65,13 @@
 			v.signal(syscall.SIGCONT)
 		}, "pause"
 	case 3:
-		return proxied(v.store, Silence), "store_silent"
+		return proxyFault(v.store, Silence), "store_silent"
 	case 4:
-		return proxied(v.store, OneWay), "store_one_way"
+		return proxyFault(v.store, OneWay), "store_one_way"
 	case 5:
-		return proxied(front, Silence), "server_silent"
+		return proxyFault(front, Silence), "server_silent"
 	case 6:
-		return proxied(front, Delay), "server_delayed"
+		return proxyFault(front, Delay), "server_delayed"
 	case 7:
 		return func(context.Context, time.Duration) { front.Reset() }, "server_reset"
 	case 8:
@@ -82,9 +85,9 @@
 	case 10:
 		return func(context.Context, time.Duration) { r.site.Objects.Compact() }, "store_compacted"
 	case 11:
-		return r.strikes(demo.SitePlain, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
+		return r.injectServerFaults(demo.SitePlain, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
 	case 12:
-		return r.strikes(demo.SiteModel, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
+		return r.injectServerFaults(demo.SiteModel, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
 	}
 	return func(context.Context, time.Duration) {
 		if err := r.site.Configure(version, demo.SiteRoutes()); err != nil {
@@ -93,7 +96,8 @@
 	}, "configuration"
 }
 
-func proxied(p *Proxy, m Mode) fault {
+// proxyFault returns a fault that sets the mode of a proxy for its duration.
+func proxyFault(p *Proxy, m Mode) fault {
 	return func(ctx context.Context, d time.Duration) {
 		p.Set(m)
 		pause.For(ctx, d)
@@ -101,7 +105,9 @@
 	}
 }
 
-func (r *run) strikes(service string, f stand.BackendFaults) fault {
+// injectServerFaults returns a fault that makes the backend servers of a service inject f. The counts
+// in f apply to all servers together.
+func (r *run) injectServerFaults(service string, f stand.BackendFaults) fault {
 	return func(context.Context, time.Duration) {
 		s := stand.NewStrikes(f)
 		for _, b := range r.site.Backends(service) {
@@ -110,22 +116,22 @@
 	}
 }
 
-// restart ends a process by a signal and starts it again.
+// restart returns a fault that ends a process with a signal and restarts it.
 func (r *run) restart(v *vm, s syscall.Signal) fault {
 	return func(_ context.Context, d time.Duration) {
-		if !v.claim() {
+		if !v.reserve() {
 			return
 		}
 		defer v.release()
 		v.signal(s)
-		// A process that is paused takes SIGTERM when it goes on.
+		// A paused process handles SIGTERM only after SIGCONT.
 		v.signal(syscall.SIGCONT)
-		if !v.mustEnd() {
-			r.checks.Add("a VM did not end after signal %v", s)
+		if !v.waitExit() {
+			r.checks.Add("a VM did not exit after signal %v", s)
 		}
-		time.Sleep(min(d, restartPause))
+		time.Sleep(min(d, maxRestartDelay))
 		if err := v.start(r.options.Program); err != nil {
-			r.checks.Add("a VM did not start again: %v", err)
+			r.checks.Add("a VM did not restart: %v", err)
 		}
 	}
 }
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -41,7 +41,7 @@
 // sendLoad sends concurrent requests to a VM until ctx is done, then waits for the answers. Requests
 // in flight are not canceled.
 func (r *run) sendLoad(ctx context.Context, v int) {
-	client := &http.Client{Timeout: callLimit}
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
 	for i := 0; ctx.Err() == nil; i++ {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Mode is what a proxy does with the bytes that pass it.
+// Mode selects how a Proxy handles the bytes that it receives.
 type Mode int
 
-// The modes.
+// Modes of a Proxy.
 const (
-	// Pass hands them on.
+	// Pass forwards all bytes.
 	Pass Mode = iota
-	// Delay hands them on later.
+	// Delay forwards all bytes after a delay.
 	Delay
-	// Silence holds them up in both directions.
+	// Silence keeps connections open but forwards no bytes in either direction.
 	Silence
-	// OneWay holds up what comes back.
+	// OneWay forwards bytes to the target but no bytes from it.
 	OneWay
 )
 
 const (
-	delayBy  = 60 * time.Millisecond
-	heldLook = 10 * time.Millisecond
-	copyRoom = 16 << 10
+	addedDelay       = 60 * time.Millisecond
+	modePollInterval = 10 * time.Millisecond
+	copyBufferSize   = 16 << 10
 )
 
-// Proxy hands TCP connections on to a target and can be made to misbehave.
+// Proxy forwards TCP connections to a target and injects network faults.
 type Proxy struct {
 	listener net.Listener
 
@@ -38,7 +38,7 @@
 	conns  map[net.Conn]bool
 }
 
-// NewProxy starts a proxy on loopback.
+// NewProxy starts a proxy on a free loopback port. The caller must call Close.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return p, nil
 }
 
-// Address returns where the proxy takes connections.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // SetTarget sets the address to which new connections are forwarded. Open connections keep
@@ -60,14 +60,14 @@
 	p.target = address
 }
 
-// Set changes what the proxy does.
+// Set changes the mode for all connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
 }
 
-// Reset closes all connections with a reset.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Close ends the proxy.
+// Close closes the listener and all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
@@ -116,14 +116,14 @@
 	p.mu.Unlock()
 }
 
-// copy hands bytes on until either side ends.
+// copy forwards the bytes of one direction until either connection is closed.
 func (p *Proxy) copy(to, from net.Conn, back bool) {
 	defer to.Close()
 	defer from.Close()
-	buffer := make([]byte, copyRoom)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if !p.hold(back) {
+		if !p.waitUntilForwarded(back) {
 			return
 		}
 		if n > 0 {
@@ -137,20 +137,20 @@
 	}
 }
 
-// hold waits while the mode holds bytes up. It reports false when the
-// connection has been reset meanwhile.
-func (p *Proxy) hold(back bool) bool {
-	for waited := time.Duration(0); ; waited += heldLook {
+// waitUntilForwarded waits until the mode allows forwarding. It reports false if all connections
+// were reset while it waited.
+func (p *Proxy) waitUntilForwarded(back bool) bool {
+	for waited := time.Duration(0); ; waited += modePollInterval {
 		p.mu.Lock()
 		mode, open := p.mode, len(p.conns) > 0
 		p.mu.Unlock()
-		held := mode == Silence || mode == OneWay && back || mode == Delay && waited < delayBy
+		held := mode == Silence || mode == OneWay && back || mode == Delay && waited < addedDelay
 		if !held {
 			return true
 		}
 		if !open {
 			return false
 		}
-		time.Sleep(heldLook)
+		time.Sleep(modePollInterval)
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak runs the real program as separate processes on one machine and
-// injects faults from outside: connections that a loopback proxy delays, resets,
-// silences or cuts one way, processes that are paused, killed, stopped and
-// started again, and stand-ins of the store and of servers that misbehave. It
-// checks the promises from what callers and servers see, while it runs and at
-// its end.
+// Package soak runs the real program as separate processes on one machine and injects faults from
+// outside. Loopback proxies delay, reset or block connections in one or both directions. Processes are
+// paused, killed, stopped and restarted. Stand-ins for the store and the backend servers fail. During a
+// run and at its end, the package checks the system's guarantees from the responses that callers get
+// and the requests that servers execute.
 package soak
 
 import (
@@ -24,42 +23,44 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
-	// Program is the path of hibiscuscart, Dir where settings and logs go.
+	// Program is the path of the hibiscuscart program, and Dir the folder for settings and logs.
 	Program, Dir string
 	Seed         uint64
-	// For is how long faults and load go on.
+	// For is the duration of the faults and the load.
 	For time.Duration
-	// VMs and Callers are how many of each there are; 0 takes three and twelve.
+	// VMs is the number of VMs; 0 means three. Callers is the number of callers; 0 means twelve.
 	VMs, Callers int
 }
 
-// Result is what a run saw.
+// Result is the result of a run.
 type Result struct {
 	Seed uint64 `json:"seed"`
 	// Faults counts the injected faults by kind.
 	Faults map[string]int `json:"faults"`
-	// Requests counts those sent, Served those answered with success.
+	// Requests counts the requests sent by the callers, Served those with a complete successful
+	// response.
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
-	// Broken are the broken promises.
+	// Broken describes the violated guarantees.
 	Broken []string `json:"broken"`
 }
 
 const (
 	defaultVMs     = 3
 	defaultCallers = 12
-	startLimit     = 30 * time.Second
-	// settleLimit is how long the system has to serve again after the last
-	// fault, and endLimit how long a process has to end after SIGTERM.
-	settleLimit = 30 * time.Second
-	endLimit    = 20 * time.Second
-	dumpLimit   = 2 * time.Second
-	callLimit   = 7 * time.Second
+	startTimeout   = 30 * time.Second
+	// recoveryTimeout is the time within which all VMs must serve after the last fault, and
+	// exitTimeout the time within which a process must exit after SIGTERM.
+	recoveryTimeout = 30 * time.Second
+	exitTimeout     = 20 * time.Second
+	// stackDumpTimeout is the time for a process to log its goroutines after SIGQUIT.
+	stackDumpTimeout = 2 * time.Second
+	callTimeout      = 7 * time.Second
 )
 
-// run is one soak.
+// run is the state of one soak run.
 type run struct {
 	options Options
 	site    *demo.Site
@@ -68,15 +69,15 @@
 	// crashingRequests is appended to by crashServers and read only after it has returned.
 	crashingRequests []*crashingRequest
 
-	mu     sync.Mutex
-	fronts []*Proxy
-	// frontsByID holds the proxy in front of each backend server, by the backend's ID.
-	frontsByID map[string]*Proxy
-	outcomes   []demo.Outcome
-	faults     map[string]int
+	mu            sync.Mutex
+	serverProxies []*Proxy
+	// proxyByServerID holds the proxy in front of each backend server, by the backend's ID.
+	proxyByServerID map[string]*Proxy
+	outcomes        []demo.Outcome
+	faults          map[string]int
 }
 
-// vm is one process of the system, with the proxy between it and the store.
+// vm is one VM process with the proxy between it and the store.
 type vm struct {
 	settings, listen string
 	store            *Proxy
@@ -84,27 +85,28 @@
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// claimed is set while the process is being started again.
-	claimed bool
+	exited  chan struct{}
+	// reserved is set while the process is being restarted.
+	reserved bool
 }
 
-// claim reserves the process for a restart; it reports whether it was free.
-func (v *vm) claim() bool {
+// reserve reserves the process for a restart. It reports false if it was already reserved.
+func (v *vm) reserve() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	free := !v.claimed
-	v.claimed = true
+	free := !v.reserved
+	v.reserved = true
 	return free
 }
 
 func (v *vm) release() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.claimed = false
+	v.reserved = false
 }
 
-// Run runs one seed.
+// Run starts the system, injects the faults of one seed under load, and checks the guarantees. A
+// violated guarantee is reported in the Result, not as an error.
 func Run(ctx context.Context, o Options) (Result, error) {
 	if o.VMs == 0 {
 		o.VMs = defaultVMs
@@ -112,7 +114,7 @@
 	if o.Callers == 0 {
 		o.Callers = defaultCallers
 	}
-	r := &run{options: o, faults: make(map[string]int), frontsByID: make(map[string]*Proxy)}
+	r := &run{options: o, faults: make(map[string]int), proxyByServerID: make(map[string]*Proxy)}
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
@@ -121,16 +123,16 @@
 	defer cancel()
 	var wait sync.WaitGroup
 	for i := range o.Callers {
-		wait.Go(func() { r.caller(load, i) })
+		wait.Go(func() { r.sendRequests(load, i) })
 	}
 	wait.Go(func() { r.crashServers(load) })
-	r.strike(load)
+	r.injectFaults(load)
 	wait.Wait()
-	r.settle(ctx)
+	r.checkRecovery(ctx)
 	r.checks.Runs(r.outcomes, r.site.Runs)
 	for _, b := range r.site.Backends(demo.SiteModel) {
 		if b.Crashed() {
-			r.checks.Add("server %s was ordered beyond its memory or places", b.ID)
+			r.checks.Add("server %s was ordered to exceed its memory or adapter slots", b.ID)
 		}
 	}
 	return r.result(), nil
@@ -148,7 +150,7 @@
 
 func (r *run) start(ctx context.Context) error {
 	var err error
-	r.site, err = demo.StartSite(ctx, demo.SiteOptions{NoVMs: true, Front: r.front, CrashBody: crashBody, Log: zerolog.Nop()})
+	r.site, err = demo.StartSite(ctx, demo.SiteOptions{NoVMs: true, Front: r.proxyAddress, CrashBody: crashBody, Log: zerolog.Nop()})
 	if err != nil {
 		return fmt.Errorf("start stand-ins: %w", err)
 	}
@@ -157,15 +159,16 @@
 			return err
 		}
 	}
-	return r.await(ctx, startLimit)
+	return r.waitServing(ctx, startTimeout)
 }
 
-// front returns the address of the proxy that forwards to a backend server at address. A restarted
-// server keeps its proxy, so that no proxy of an ended process remains a target of faults.
-func (r *run) front(id, address string) (string, error) {
+// proxyAddress returns the address of the proxy that forwards to a backend server at address. A
+// restarted server keeps its proxy, so that faults are never injected into the proxy of an exited
+// process.
+func (r *run) proxyAddress(id, address string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p := r.frontsByID[id]; p != nil {
+	if p := r.proxyByServerID[id]; p != nil {
 		p.SetTarget(address)
 		return p.Address(), nil
 	}
@@ -173,16 +176,17 @@
 	if err != nil {
 		return "", err
 	}
-	// Servers are added only while the site starts; fronts is read without mu afterwards.
-	r.fronts = append(r.fronts, p)
-	r.frontsByID[id] = p
+	// Servers are added only while the site starts; serverProxies is read without mu
+	// afterwards.
+	r.serverProxies = append(r.serverProxies, p)
+	r.proxyByServerID[id] = p
 	return p.Address(), nil
 }
 
 func (r *run) addVM(i int) error {
 	store, err := NewProxy(r.site.StoreAddress())
 	if err != nil {
-		return fmt.Errorf("proxy to the store: %w", err)
+		return fmt.Errorf("start proxy for the store: %w", err)
 	}
 	v := &vm{store: store, settings: filepath.Join(r.options.Dir, fmt.Sprintf("vm-%d.ini", i))}
 	r.vms = append(r.vms, v)
@@ -202,7 +206,7 @@
 	return v.start(r.options.Program)
 }
 
-// start starts the process.
+// start starts the VM process.
 func (v *vm) start(program string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -211,12 +215,12 @@
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("start VM: %w", err)
 	}
-	v.command, v.ended = c, make(chan struct{})
+	v.command, v.exited = c, make(chan struct{})
 	go func(ended chan struct{}) {
-		// Its status is judged by the one who ended it.
+		// The exit status is ignored: the code that ends the process checks that it exits in time.
 		_ = c.Wait()
 		close(ended)
-	}(v.ended)
+	}(v.exited)
 	return nil
 }
 
@@ -224,27 +228,27 @@
 func (v *vm) signal(s syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	// A process that has ended already needs no signal.
+	// The error is ignored: the process may have exited already.
 	_ = v.command.Process.Signal(s)
 }
 
-// mustEnd waits for a process that was told to end. One that does not writes its
-// goroutines to its log before it is killed; it reports whether it ended.
-func (v *vm) mustEnd() bool {
-	if v.wait(endLimit) {
+// waitExit waits for a process that was signaled to exit, and reports whether it exited within
+// exitTimeout. Otherwise the process logs its goroutines on SIGQUIT and is then killed.
+func (v *vm) waitExit() bool {
+	if v.waitFor(exitTimeout) {
 		return true
 	}
 	v.signal(syscall.SIGQUIT)
-	if !v.wait(dumpLimit) {
+	if !v.waitFor(stackDumpTimeout) {
 		v.signal(syscall.SIGKILL)
-		v.wait(endLimit)
+		v.waitFor(exitTimeout)
 	}
 	return false
 }
 
-func (v *vm) wait(limit time.Duration) bool {
+func (v *vm) waitFor(limit time.Duration) bool {
 	v.mu.Lock()
-	ended := v.ended
+	ended := v.exited
 	v.mu.Unlock()
 	select {
 	case <-ended:
@@ -254,11 +258,11 @@
 	}
 }
 
-// caller sends requests one after the other, and keeps using its connection
-// until the VM ends it.
-func (r *run) caller(ctx context.Context, n int) {
+// sendRequests sends requests as one caller, one at a time. It reuses its connection to a VM until
+// the VM closes it.
+func (r *run) sendRequests(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(n)+100))
-	client := &http.Client{Timeout: callLimit}
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		k := demo.SiteKinds[rng.IntN(len(demo.SiteKinds))]
@@ -271,9 +275,9 @@
 	}
 }
 
-// await waits until every VM serves.
-func (r *run) await(ctx context.Context, limit time.Duration) error {
-	client := &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+// waitServing waits until every VM has served a request.
+func (r *run) waitServing(ctx context.Context, limit time.Duration) error {
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	deadline := time.Now().Add(limit)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i, v := range r.vms {
@@ -283,7 +287,7 @@
 				break
 			}
 			if time.Now().After(deadline) || ctx.Err() != nil {
-				return fmt.Errorf("VM %d does not serve: status %d", i, o.Status)
+				return fmt.Errorf("wait for VM %d: request not served, status %d", i, o.Status)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -291,16 +295,17 @@
 	return nil
 }
 
-// settle lifts all faults and checks that the system serves again, that every
-// model is reachable, and that SIGTERM ends the processes.
-func (r *run) settle(ctx context.Context) {
-	r.lift()
-	if err := r.await(ctx, settleLimit); err != nil {
-		r.checks.Add("after the last fault: %v", err)
+// checkRecovery clears all faults. It then checks that all VMs serve, that every model is reachable,
+// that crashing requests are blocked, that the rate limit holds, and that the processes exit on
+// SIGTERM.
+func (r *run) checkRecovery(ctx context.Context) {
+	r.clearFaults()
+	if err := r.waitServing(ctx, recoveryTimeout); err != nil {
+		r.checks.Add("no recovery after the last fault: %v", err)
 		return
 	}
-	client := &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}
-	deadline := time.Now().Add(settleLimit)
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	deadline := time.Now().Add(recoveryTimeout)
 	for _, model := range demo.SiteModels {
 		k := demo.Kind{Name: "draft", Method: http.MethodPost, Path: "/draft/x", Stream: true, Models: []string{model}}
 		for n := 0; ; n++ {
@@ -322,18 +327,19 @@
 	wait.Wait()
 	for i, v := range r.vms {
 		v.signal(syscall.SIGTERM)
-		if !v.mustEnd() {
-			r.checks.Add("VM %d does not end after SIGTERM", i)
+		if !v.waitExit() {
+			r.checks.Add("VM %d did not exit after SIGTERM", i)
 		}
 	}
 }
 
-func (r *run) lift() {
+// clearFaults clears all injected faults and resumes paused processes.
+func (r *run) clearFaults() {
 	r.site.Objects.SetFaults(stand.ObjectFaults{})
 	for _, b := range append(r.site.Backends(demo.SiteModel), r.site.Backends(demo.SitePlain)...) {
 		b.SetStrikes(nil)
 	}
-	for _, p := range r.fronts {
+	for _, p := range r.serverProxies {
 		p.Set(Pass)
 	}
 	for _, v := range r.vms {
@@ -342,12 +348,12 @@
 	}
 }
 
-// close ends everything that this run started.
+// close kills the processes and closes the proxies and the site that this run started.
 func (r *run) close() {
 	for _, v := range r.vms {
 		if v.command != nil {
 			v.signal(syscall.SIGKILL)
-			v.wait(endLimit)
+			v.waitFor(exitTimeout)
 		}
 		v.store.Close()
 		if v.log != nil {
@@ -357,7 +363,7 @@
 	if r.site != nil {
 		r.site.Close()
 	}
-	for _, p := range r.fronts {
+	for _, p := range r.serverProxies {
 		p.Close()
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,10 +15,10 @@
 	"github.com/hibiscuscart/hibiscuscart/soak"
 )
 
-// shortRun is how long a seed runs in the tests.
-const shortRun = 4 * time.Second
+// testDuration is the duration of faults and load for each seed.
+const testDuration = 4 * time.Second
 
-// TestSoak runs one seed, and every seed that ever failed, on the real program.
+// TestSoak runs the real program with one fixed seed and with every seed that has ever failed.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "hibiscuscart")
 	out, err := exec.Command("go", "build", "-o", program, "../cmd/hibiscuscart").CombinedOutput()
@@ -26,7 +26,7 @@
 	for _, seed := range append([]uint64{7}, failedSeeds(t)...) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: t.TempDir(), Seed: seed, For: shortRun})
+			res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: t.TempDir(), Seed: seed, For: testDuration})
 			require.NoError(t, err)
 			require.Empty(t, res.Broken)
 			require.NotZero(t, res.Served)
@@ -35,7 +35,8 @@
 	}
 }
 
-// failedSeeds reads the seeds that once failed: one a line, its cause behind it.
+// failedSeeds returns the seeds that have failed in the past. The file has one seed per line, followed
+// by the cause of its failure.
 func failedSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	data, err := os.ReadFile("testdata/seeds.txt")
