--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs seeds of the fault soak against a built hibiscuscart and
-// prints one JSON object a seed. It exits with 1 when a promise was broken.
+// Command soak runs the soak test with fault injection against a built hibiscuscart program, once per
+// seed, and prints one JSON object per seed. It exits with status 1 if a guarantee was violated or a
+// run failed.
 package main
 
 import (
@@ -17,11 +18,11 @@
 
 func main() {
 	program := flag.String("program", "target/hibiscuscart", "`PATH` of the built program")
-	dir := flag.String("dir", "", "`FOLDER` for settings and logs; a seed that failed keeps its own there (default a temporary one)")
+	dir := flag.String("dir", "", "`FOLDER` for settings and logs, kept only for failed seeds (default a temporary folder)")
 	from := flag.Uint64("from", uint64(time.Now().UnixNano()), "first `SEED`")
-	seeds := flag.Int("seeds", 1, "how many seeds to run")
-	length := flag.Duration("for", 6*time.Second, "how long faults and load go on for each seed")
-	jobs := flag.Int("jobs", 2, "seeds at once")
+	seeds := flag.Int("seeds", 1, "number of seeds to run")
+	length := flag.Duration("for", 6*time.Second, "duration of faults and load for each seed")
+	jobs := flag.Int("jobs", 2, "number of seeds to run concurrently")
 	flag.Parse()
 	if err := run(*program, *dir, *from, *seeds, *jobs, *length); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
@@ -32,11 +33,11 @@
 func run(program, dir string, from uint64, seeds, jobs int, length time.Duration) error {
 	program, err := filepath.Abs(program)
 	if err != nil {
-		return fmt.Errorf("find program: %w", err)
+		return fmt.Errorf("resolve path of program: %w", err)
 	}
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "soak"); err != nil {
-			return fmt.Errorf("make folder: %w", err)
+			return fmt.Errorf("create folder for settings and logs: %w", err)
 		}
 	}
 	slots, failed := make(chan struct{}, max(jobs, 1)), 0
@@ -46,7 +47,7 @@
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			ok := one(program, filepath.Join(dir, fmt.Sprint(from+uint64(i))), from+uint64(i), length)
+			ok := runSeed(program, filepath.Join(dir, fmt.Sprint(from+uint64(i))), from+uint64(i), length)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -56,13 +57,13 @@
 	}
 	wait.Wait()
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise; logs under %s", failed, seeds, dir)
+		return fmt.Errorf("%d of %d seeds failed; logs under %s", failed, seeds, dir)
 	}
 	return nil
 }
 
-// one runs a seed and reports whether all promises held.
-func one(program, dir string, seed uint64, length time.Duration) bool {
+// runSeed runs one seed and reports whether the run succeeded without a violated guarantee.
+func runSeed(program, dir string, seed uint64, length time.Duration) bool {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		return false
@@ -81,7 +82,7 @@
 	if len(res.Broken) > 0 {
 		return false
 	}
-	// What held needs no logs.
+	// The logs of a successful run are not kept.
 	if err := os.RemoveAll(dir); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 	}
