--- a/naive/claims.go
+++ b/naive/claims.go
@@ -13,24 +13,24 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// ClaimKind is the kind of the objects that hold one claim each.
+// ClaimKind is the kind of the store objects, each of which holds one claim.
 const ClaimKind = "claims"
 
-// Claims grants claims with one conditional update each. Its function fields
-// are the platform's calls.
+// Claims grants each claim with one conditional update of a store object. Its function fields are the
+// calls of the platform store.
 type Claims struct {
 	Get    func(ctx context.Context, kind, name string) (store.Object, error)
 	Put    func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error)
 	Delete func(ctx context.Context, kind, name string, ifVersion int) error
 }
 
-// NewClaims returns Claims that use a client.
+// NewClaims returns Claims that use the store client c.
 func NewClaims(c *store.Client) *Claims {
 	return &Claims{Get: c.Get, Put: c.Put, Delete: c.Delete}
 }
 
-// Claim asks for a claim. It is granted only when the platform has answered
-// that the update won, or when reading back shows that it did.
+// Claim requests a claim. It is granted only if the store confirms the conditional update, or if
+// reading the claim back shows that the update was applied.
 func (c *Claims) Claim(ctx context.Context, now time.Time, r dedup.Request) (dedup.Decision, error) {
 	return c.claimAt(ctx, now, r, 0)
 }
@@ -46,17 +46,16 @@
 	return unavailable(), fmt.Errorf("claim: %w", err)
 }
 
-// readBack settles a conflict or a lost answer by what the platform holds.
+// readBack decides a claim after a conflict or a lost response, from the claim in the store.
 func (c *Claims) readBack(ctx context.Context, now time.Time, r dedup.Request) (dedup.Decision, error) {
 	obj, err := c.Get(ctx, ClaimKind, r.StoredKey())
 	if trace.IsNotFound(err) {
-		// The lost update has not taken effect, though it still may. The
-		// request is not sent, so a claim that appears later only leaves the
-		// key unknown.
+		// The update with the lost response is not applied yet, but may be applied later. The request is
+		// not sent, so a claim that is stored later only leaves the outcome of the key unknown.
 		return unavailable(), nil
 	}
 	if err != nil {
-		return unavailable(), fmt.Errorf("read claim back: %w", err)
+		return unavailable(), fmt.Errorf("read back claim: %w", err)
 	}
 	var claim wire.Claim
 	if err := json.Unmarshal(obj.Value, &claim); err != nil {
@@ -74,8 +73,8 @@
 	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetry}
 }
 
-// Finish records how a granted request ended, with its answer if it is to be
-// kept. When it fails, the claim stays granted and turns unknown.
+// Finish records the final state of a granted claim, and the answer if it is to be stored. If Finish
+// fails, the claim stays granted and later becomes unknown.
 func (c *Claims) Finish(ctx context.Context, now time.Time, r dedup.Request, d dedup.Decision, state wire.ClaimState, answer string) error {
 	claim := dedup.NewClaim(now, r)
 	claim.State, claim.Answer = state, answer
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// Release gives up a granted claim whose request provably was not sent.
+// Release deletes a granted claim whose request was definitely not sent.
 func (c *Claims) Release(ctx context.Context, r dedup.Request, d dedup.Decision) error {
 	if err := c.Delete(ctx, ClaimKind, r.StoredKey(), d.Version); err != nil {
 		return fmt.Errorf("release claim: %w", err)
--- a/naive/doc.go
+++ b/naive/doc.go
@@ -1,4 +1,4 @@
-// Package naive has the simple forms of the system's parts: each correct, none
-// clever. The differential tests compare the real parts with them, and the
-// experiments measure against them.
+// Package naive has simple, correct and unoptimized implementations of the system's components.
+// Differential tests compare the production implementations with them, and experiments use them as
+// the baseline.
 package naive
--- a/naive/gate.go
+++ b/naive/gate.go
@@ -7,35 +7,36 @@
 	"github.com/hibiscuscart/hibiscuscart/admit"
 )
 
-// Gate is the rule of admit.Gate written plainly: it looks at every waiting
-// ticket for every decision.
+// Gate implements the rules of admit.Gate in the simplest form: it scans all waiting tickets for each
+// decision.
 type Gate struct {
-	Limits  admit.Limits
-	running int
-	waiting []admit.Ticket
-	count   uint64
-	virtual float64
-	tags    map[string]float64
-	service time.Duration
-	demand  admit.Demand
+	Limits       admit.Limits
+	running      int
+	waiting      []admit.Ticket
+	arrivalCount uint64
+	virtualTime  float64
+	finishTags   map[string]float64
+	serviceTime  time.Duration
+	demand       admit.Demand
 }
 
-// Running returns how many requests are in progress.
+// Running returns the number of requests in progress.
 func (g *Gate) Running() int { return g.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (g *Gate) Waiting() int { return len(g.waiting) }
 
-// Arrive takes in a request.
+// Arrive admits, queues or refuses a request. The returned ticket, if any, is a queued request that was
+// evicted and refused instead.
 func (g *Gate) Arrive(now time.Time, t admit.Ticket) (admit.Verdict, *admit.Ticket) {
-	g.count++
+	g.arrivalCount++
 	g.demand.Arrive(now)
-	t = t.Numbered(g.count)
+	t = t.Numbered(g.arrivalCount)
 	if g.running < g.Limits.Concurrency && len(g.waiting) == 0 {
 		g.start(t)
 		return admit.Admitted, nil
 	}
-	if g.hopeless(now, t) {
+	if g.cannotMeetDeadline(now, t) {
 		return admit.TooLate, nil
 	}
 	if len(g.waiting) < g.Limits.Queue {
@@ -45,16 +46,17 @@
 	return g.displace(t)
 }
 
-func (g *Gate) hopeless(now time.Time, t admit.Ticket) bool {
+// cannotMeetDeadline reports whether t is expected to end after its deadline.
+func (g *Gate) cannotMeetDeadline(now time.Time, t admit.Ticket) bool {
 	wait := g.Wait(t)
 	if t.Late() || now.Add(wait).After(t.Target) {
-		wait = time.Duration(float64(wait) / g.demand.Room(now, g.service, g.Limits.Concurrency))
+		wait = time.Duration(float64(wait) / g.demand.Room(now, g.serviceTime, g.Limits.Concurrency))
 	}
-	return now.Add(wait).Add(g.service).After(t.Deadline)
+	return now.Add(wait).Add(g.serviceTime).After(t.Deadline)
 }
 
-// Expire marks the waiting requests that have missed their targets and refuses
-// those that can not be answered in time at all.
+// Expire marks the waiting requests that have missed their targets. It refuses and returns those of
+// them that cannot meet their deadlines.
 func (g *Gate) Expire(now time.Time) []admit.Ticket {
 	var missed, kept, refused []admit.Ticket
 	for _, t := range g.waiting {
@@ -67,7 +69,7 @@
 	g.waiting = kept
 	for _, t := range missed {
 		t = t.Missed()
-		if g.hopeless(now, t) {
+		if g.cannotMeetDeadline(now, t) {
 			refused = append(refused, t)
 			continue
 		}
@@ -76,9 +78,9 @@
 	return refused
 }
 
-// displace refuses the ticket that goes last among those that wait and t: of
-// the lowest rank, of the caller with the most tickets for its weight, the
-// one that would be served last. A caller does not displace its own.
+// displace refuses one ticket among t and the waiting tickets: in the lowest rank, of the caller with
+// the most tickets relative to its weight, the ticket that would be served last. A ticket never
+// displaces another ticket of the same caller and rank.
 func (g *Gate) displace(t admit.Ticket) (admit.Verdict, *admit.Ticket) {
 	lowest := t.Rank()
 	for _, w := range g.waiting {
@@ -90,36 +92,38 @@
 			shares[w.Caller] += 1 / float64(w.Weight)
 		}
 	}
-	victim := -1
+	evictedIndex := -1
 	for i, w := range g.waiting {
-		if w.Rank() == lowest && (victim < 0 || last(shares, w, g.waiting[victim])) {
-			victim = i
+		if w.Rank() == lowest && (evictedIndex < 0 || servedLater(shares, w, g.waiting[evictedIndex])) {
+			evictedIndex = i
 		}
 	}
-	if victim < 0 || t.Rank() == lowest && !heavier(shares, g.waiting[victim].Caller, t.Caller) {
+	if evictedIndex < 0 || t.Rank() == lowest && !largerShare(shares, g.waiting[evictedIndex].Caller, t.Caller) {
 		return admit.QueueFull, nil
 	}
-	out := g.waiting[victim]
-	g.waiting = append(slices.Delete(g.waiting, victim, victim+1), t)
-	return admit.Queued, &out
+	evicted := g.waiting[evictedIndex]
+	g.waiting = append(slices.Delete(g.waiting, evictedIndex, evictedIndex+1), t)
+	return admit.Queued, &evicted
 }
 
-// heavier reports whether caller a yields to caller b.
-func heavier(shares map[string]float64, a, b string) bool {
+// largerShare reports whether caller a has a larger share of the tickets than caller b. Ties are broken
+// by name.
+func largerShare(shares map[string]float64, a, b string) bool {
 	if shares[a] != shares[b] {
 		return shares[a] > shares[b]
 	}
 	return a > b
 }
 
-func last(shares map[string]float64, a, b admit.Ticket) bool {
+// servedLater reports whether a is to be evicted before b.
+func servedLater(shares map[string]float64, a, b admit.Ticket) bool {
 	if a.Caller != b.Caller {
-		return heavier(shares, a.Caller, b.Caller)
+		return largerShare(shares, a.Caller, b.Caller)
 	}
 	return a.Compare(b) > 0
 }
 
-// Wait estimates how long t would wait.
+// Wait estimates the queueing time of t.
 func (g *Gate) Wait(t admit.Ticket) time.Duration {
 	if g.running < g.Limits.Concurrency && len(g.waiting) == 0 {
 		return 0
@@ -141,30 +145,31 @@
 	for caller, n := range others {
 		total += min(n, (own+1)*weights[caller]/float64(max(t.Weight, 1)))
 	}
-	return time.Duration(float64(g.service) * (total + own + 1) / float64(max(g.Limits.Concurrency, 1)))
+	return time.Duration(float64(g.serviceTime) * (total + own + 1) / float64(max(g.Limits.Concurrency, 1)))
 }
 
 func (g *Gate) start(t admit.Ticket) {
 	g.running++
-	if g.tags == nil {
-		g.tags = make(map[string]float64)
+	if g.finishTags == nil {
+		g.finishTags = make(map[string]float64)
 	}
-	g.virtual = max(g.tags[t.Caller], g.virtual)
-	g.tags[t.Caller] = g.virtual + 1/float64(t.Weight)
+	g.virtualTime = max(g.finishTags[t.Caller], g.virtualTime)
+	g.finishTags[t.Caller] = g.virtualTime + 1/float64(t.Weight)
 }
 
-// Finish notes that a request has ended and returns those whose turn it is.
+// Finish records that a request has ended after the duration took, and returns the queued requests that
+// start now.
 func (g *Gate) Finish(took time.Duration) []admit.Ticket {
 	g.running--
-	if g.service == 0 {
-		g.service = took
+	if g.serviceTime == 0 {
+		g.serviceTime = took
 	}
-	g.service += time.Duration(admit.Smoothing * float64(took-g.service))
+	g.serviceTime += time.Duration(admit.Smoothing * float64(took-g.serviceTime))
 	var started []admit.Ticket
 	for g.running < g.Limits.Concurrency && len(g.waiting) > 0 {
 		best := 0
 		for i, w := range g.waiting {
-			if g.before(w, g.waiting[best]) {
+			if g.servedBefore(w, g.waiting[best]) {
 				best = i
 			}
 		}
@@ -176,18 +181,20 @@
 	return started
 }
 
-func (g *Gate) before(a, b admit.Ticket) bool {
+// servedBefore reports whether a starts before b: by rank, then by the caller's virtual start time, then in
+// ticket order.
+func (g *Gate) servedBefore(a, b admit.Ticket) bool {
 	if a.Rank() != b.Rank() {
 		return a.Rank() > b.Rank()
 	}
-	ta, tb := max(g.tags[a.Caller], g.virtual), max(g.tags[b.Caller], g.virtual)
+	ta, tb := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
 	if a.Caller != b.Caller && ta != tb {
 		return ta < tb
 	}
 	return a.Compare(b) < 0
 }
 
-// Abandon takes a waiting request out of the queue.
+// Abandon removes a request from the queue. It reports whether the request was queued.
 func (g *Gate) Abandon(id uint64) bool {
 	i := slices.IndexFunc(g.waiting, func(t admit.Ticket) bool { return t.ID == id })
 	if i < 0 {
--- a/naive/keys.go
+++ b/naive/keys.go
@@ -7,11 +7,11 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Keys is the rule of claims written plainly, for one process that never fails:
-// a map.
+// Keys implements the rules for claims on idempotency keys in the simplest form: a map, for one process
+// that never fails.
 type Keys struct{ claims map[string]wire.Claim }
 
-// Claim grants a key that is free.
+// Claim grants a key that is unclaimed or whose claim has expired.
 func (k *Keys) Claim(now time.Time, r dedup.Request) dedup.Verdict {
 	if k.claims == nil {
 		k.claims = make(map[string]wire.Claim)
@@ -24,7 +24,7 @@
 	return dedup.Granted
 }
 
-// End records how a granted claim ended; a released one is free again.
+// End records the final state of a granted claim. A released key can be claimed again.
 func (k *Keys) End(r dedup.Request, state wire.ClaimState) {
 	c, used := k.claims[r.StoredKey()]
 	if !used || c.Grant != r.Grant || c.State != wire.ClaimStateGranted {
--- a/naive/lru.go
+++ b/naive/lru.go
@@ -8,46 +8,46 @@
 	"github.com/hibiscuscart/hibiscuscart/plan"
 )
 
-// Swap places models as a cache does: a failure domain whose callers ask for a
-// model that none of its servers holds loads it, in the place of the models
-// that have not been asked for there for the longest time. It never drops the
-// last copy of a model. The zero value has seen nothing.
+// Swap places models like an LRU cache per failure domain. If callers in a domain request a model that
+// none of its servers holds, one of the servers loads it and evicts the models that were least recently
+// requested in that domain. The last copy of a model is never evicted. The zero value is ready to use
+// and has no recorded requests.
 type Swap struct {
-	used map[string]map[string]time.Time // by domain and model
+	lastUsed map[string]map[string]time.Time // by failure domain and model
 }
 
-// Use notes that a domain's callers are asking for models now.
+// Use records that callers in a failure domain request models at time now.
 func (s *Swap) Use(now time.Time, domain string, models []string) {
-	if s.used == nil {
-		s.used = make(map[string]map[string]time.Time)
+	if s.lastUsed == nil {
+		s.lastUsed = make(map[string]map[string]time.Time)
 	}
-	if s.used[domain] == nil {
-		s.used[domain] = make(map[string]time.Time)
+	if s.lastUsed[domain] == nil {
+		s.lastUsed[domain] = make(map[string]time.Time)
 	}
 	for _, m := range models {
-		s.used[domain][m] = now
+		s.lastUsed[domain][m] = now
 	}
 }
 
-// recent is how long ago a use still counts as one.
-const recent = 2 * time.Second
+// recentUseWindow is the maximum age of a request for a model that makes Make load it.
+const recentUseWindow = 2 * time.Second
 
-// Make returns the placement that follows from the uses.
+// Make returns the placement for the requests recorded by Use.
 func (s *Swap) Make(now time.Time, in plan.Input) plan.Output {
-	first := plan.Make(plan.Input{Servers: in.Servers, Models: quiet(in.Models), Replicas: 1})
-	holds := first.Placement
+	singleCopies := plan.Make(plan.Input{Servers: in.Servers, Models: withoutDemand(in.Models), Replicas: 1})
+	placement := singleCopies.Placement
 	for _, m := range in.Models {
-		for domain, used := range s.used {
-			if at, ok := used[m.Name]; ok && now.Sub(at) < recent {
-				s.bring(m, domain, in, holds)
+		for domain, used := range s.lastUsed {
+			if at, ok := used[m.Name]; ok && now.Sub(at) < recentUseWindow {
+				s.loadIntoDomain(m, domain, in, placement)
 			}
 		}
 	}
-	return plan.Output{Placement: holds, Unplaced: first.Unplaced}
+	return plan.Output{Placement: placement, Unplaced: singleCopies.Unplaced}
 }
 
-// quiet returns the models without demand, so that each just gets its one copy.
-func quiet(models []plan.Model) []plan.Model {
+// withoutDemand returns the models with zero demand, so that plan.Make places one copy of each.
+func withoutDemand(models []plan.Model) []plan.Model {
 	all := slices.Clone(models)
 	for i := range all {
 		all[i].Demand = 0
@@ -55,59 +55,62 @@
 	return all
 }
 
-// bring loads a model into a domain that does not hold it.
-func (s *Swap) bring(m plan.Model, domain string, in plan.Input, holds map[string][]string) {
+// loadIntoDomain adds a model to the server of a failure domain that needs the fewest evictions for it.
+// It does nothing if a server in the domain already holds the model.
+func (s *Swap) loadIntoDomain(m plan.Model, domain string, in plan.Input, placement map[string][]string) {
 	var best plan.Server
-	var drop []string
+	var evictions []string
 	for _, server := range in.Servers {
 		if server.Domain != domain || server.Pool != m.Pool {
 			continue
 		}
-		if slices.Contains(holds[server.Name], m.Name) {
+		if slices.Contains(placement[server.Name], m.Name) {
 			return
 		}
-		victims, ok := s.victims(m, server, in, holds)
-		if ok && (best.Name == "" || len(victims) < len(drop)) {
-			best, drop = server, victims
+		serverEvictions, ok := s.selectEvictions(m, server, in, placement)
+		if ok && (best.Name == "" || len(serverEvictions) < len(evictions)) {
+			best, evictions = server, serverEvictions
 		}
 	}
 	if best.Name == "" {
 		return
 	}
-	holds[best.Name] = append(slices.DeleteFunc(slices.Clone(holds[best.Name]), func(n string) bool { return slices.Contains(drop, n) }), m.Name)
+	placement[best.Name] = append(slices.DeleteFunc(slices.Clone(placement[best.Name]), func(n string) bool { return slices.Contains(evictions, n) }), m.Name)
 }
 
-// victims returns the models to drop from a server, least recently used first.
-func (s *Swap) victims(m plan.Model, server plan.Server, in plan.Input, holds map[string][]string) ([]string, bool) {
-	sizes := make(map[string]int)
+// selectEvictions returns the models to evict from a server to free memory for m, least recently used
+// first. It reports false if the evictions do not free enough memory.
+func (s *Swap) selectEvictions(m plan.Model, server plan.Server, in plan.Input, placement map[string][]string) ([]string, bool) {
+	sizeBytes := make(map[string]int)
 	for _, other := range in.Models {
-		sizes[other.Name] = other.Bytes
+		sizeBytes[other.Name] = other.Bytes
 	}
-	free := server.MemoryBytes
-	for _, name := range holds[server.Name] {
-		free -= sizes[name]
+	freeBytes := server.MemoryBytes
+	for _, name := range placement[server.Name] {
+		freeBytes -= sizeBytes[name]
 	}
-	candidates := slices.Clone(holds[server.Name])
+	candidates := slices.Clone(placement[server.Name])
 	slices.SortFunc(candidates, func(a, b string) int {
-		return cmp.Or(s.used[server.Domain][a].Compare(s.used[server.Domain][b]), cmp.Compare(a, b))
+		return cmp.Or(s.lastUsed[server.Domain][a].Compare(s.lastUsed[server.Domain][b]), cmp.Compare(a, b))
 	})
-	var drop []string
+	var evictions []string
 	for _, name := range candidates {
-		if free >= m.Bytes {
+		if freeBytes >= m.Bytes {
 			break
 		}
-		if copiesOf(name, holds) < 2 {
+		if copyCount(name, placement) < 2 {
 			continue
 		}
-		drop = append(drop, name)
-		free += sizes[name]
+		evictions = append(evictions, name)
+		freeBytes += sizeBytes[name]
 	}
-	return drop, free >= m.Bytes
+	return evictions, freeBytes >= m.Bytes
 }
 
-func copiesOf(model string, holds map[string][]string) int {
+// copyCount returns the number of servers that hold a model.
+func copyCount(model string, placement map[string][]string) int {
 	n := 0
-	for _, names := range holds {
+	for _, names := range placement {
 		if slices.Contains(names, model) {
 			n++
 		}
--- a/naive/place.go
+++ b/naive/place.go
@@ -8,13 +8,13 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Demand is one model of the deployment with its adapters.
+// Demand is a model with its adapters, and the pool whose servers hold it.
 type Demand struct {
 	Pool  string
 	Model wire.Model
 }
 
-func (d Demand) bytes() int {
+func (d Demand) totalBytes() int {
 	total := d.Model.Bytes
 	for _, a := range d.Model.Adapters {
 		total += a.Bytes
@@ -31,28 +31,28 @@
 	return all
 }
 
-// Placement maps a server's name to what it should hold.
+// Placement maps the name of a server to the models and adapters that it should hold.
 type Placement map[string][]ctrl.Artifact
 
-// Place is static even placement: first every model once, the largest first,
-// each on the server with the most free memory; then further rounds of copies
-// up to the wanted number, in other failure domains first. The second result
-// has the models for which no server has room.
+// Place returns a static, even placement. The first round places one copy of each model, largest first,
+// on the server with the most free memory. Further rounds add copies up to the given number, and prefer
+// failure domains with fewer copies of the model. The second result lists the models that fit on no
+// server.
 func Place(servers []wire.Server, demands []Demand, copies int) (Placement, []Demand) {
-	p := &placer{placement: make(Placement), free: make(map[string]int), domains: make(map[string]map[string]int)}
+	p := &placer{placement: make(Placement), freeBytes: make(map[string]int), domainCopies: make(map[string]map[string]int)}
 	for _, s := range servers {
-		p.free[s.Name] = s.MemoryBytes
+		p.freeBytes[s.Name] = s.MemoryBytes
 	}
 	p.servers = slices.Clone(servers)
 	slices.SortFunc(p.servers, func(a, b wire.Server) int { return cmp.Compare(a.Name, b.Name) })
 	ordered := slices.Clone(demands)
 	slices.SortFunc(ordered, func(a, b Demand) int {
-		return cmp.Or(cmp.Compare(b.bytes(), a.bytes()), cmp.Compare(a.Model.Name, b.Model.Name))
+		return cmp.Or(cmp.Compare(b.totalBytes(), a.totalBytes()), cmp.Compare(a.Model.Name, b.Model.Name))
 	})
 	var unplaced []Demand
 	for round := range copies {
 		for _, d := range ordered {
-			if !p.add(d) && round == 0 {
+			if !p.placeCopy(d) && round == 0 {
 				unplaced = append(unplaced, d)
 			}
 		}
@@ -60,20 +60,22 @@
 	return p.placement, unplaced
 }
 
+// placer builds a Placement one copy at a time.
 type placer struct {
-	servers   []wire.Server
-	placement Placement
-	free      map[string]int
-	domains   map[string]map[string]int
+	servers      []wire.Server
+	placement    Placement
+	freeBytes    map[string]int
+	domainCopies map[string]map[string]int
 }
 
-func (p *placer) add(d Demand) bool {
+// placeCopy places one more copy of a model. It reports false if no server has capacity for it.
+func (p *placer) placeCopy(d Demand) bool {
 	best := -1
 	for i, s := range p.servers {
-		if s.Pool != d.Pool || p.free[s.Name] < d.bytes() || p.holds(s.Name, d.Model.Name) {
+		if s.Pool != d.Pool || p.freeBytes[s.Name] < d.totalBytes() || p.holds(s.Name, d.Model.Name) {
 			continue
 		}
-		if best < 0 || p.better(d, s, p.servers[best]) {
+		if best < 0 || p.preferred(d, s, p.servers[best]) {
 			best = i
 		}
 	}
@@ -82,21 +84,22 @@
 	}
 	s := p.servers[best]
 	p.placement[s.Name] = append(p.placement[s.Name], d.Artifacts()...)
-	p.free[s.Name] -= d.bytes()
-	if p.domains[d.Model.Name] == nil {
-		p.domains[d.Model.Name] = make(map[string]int)
+	p.freeBytes[s.Name] -= d.totalBytes()
+	if p.domainCopies[d.Model.Name] == nil {
+		p.domainCopies[d.Model.Name] = make(map[string]int)
 	}
-	p.domains[d.Model.Name][s.FailureDomain]++
+	p.domainCopies[d.Model.Name][s.FailureDomain]++
 	return true
 }
 
-// better prefers the domain with fewer copies, then more free memory.
-func (p *placer) better(d Demand, a, b wire.Server) bool {
-	copies := p.domains[d.Model.Name]
+// preferred reports whether server a is preferred to b: its failure domain has fewer copies of the
+// model, or the same number and a has more free memory.
+func (p *placer) preferred(d Demand, a, b wire.Server) bool {
+	copies := p.domainCopies[d.Model.Name]
 	if copies[a.FailureDomain] != copies[b.FailureDomain] {
 		return copies[a.FailureDomain] < copies[b.FailureDomain]
 	}
-	return p.free[a.Name] > p.free[b.Name]
+	return p.freeBytes[a.Name] > p.freeBytes[b.Name]
 }
 
 func (p *placer) holds(server, model string) bool {
