--- a/bench/control.go
+++ b/bench/control.go
@@ -70,7 +70,7 @@
 }
 
 // holder returns the VM that holds the lease of the domain.
-func holder(w *demo.World) string {
+func holder(w *demo.Deployment) string {
 	obj, _ := w.Platform.Get(leaseKind, "controller-"+takeoverDomain)
 	var r lease.Record
 	_ = json.Unmarshal(obj.Value, &r)
@@ -79,7 +79,7 @@
 
 // killController returns the time from the controller's death until another VM
 // has taken its place, in milliseconds.
-func killController(ctx context.Context, w *demo.World) (float64, error) {
+func killController(ctx context.Context, w *demo.Deployment) (float64, error) {
 	if !await(ctx, func() bool { return holder(w) != "" }) {
 		return 0, errNoTakeover
 	}
@@ -94,11 +94,11 @@
 
 // killOnlyCopies kills the server that holds the most only copies and returns
 // the time until every model has a copy again.
-func killOnlyCopies(ctx context.Context, w *demo.World) (float64, error) {
+func killOnlyCopies(ctx context.Context, w *demo.Deployment) (float64, error) {
 	time.Sleep(2 * time.Second) // until the second copies there is room for are loaded
 	victim, most := "", 0
 	for _, doc := range w.Servers() {
-		if n := w.OnlyCopies(doc.Name); n > most {
+		if n := w.SoleCopies(doc.Name); n > most {
 			victim, most = doc.Name, n
 		}
 	}
@@ -151,12 +151,12 @@
 	t := trial{
 		shape:    shape{domains: 2, vmsPerDomain: 2, engines: 4, slots: placeSlots, first: placeFirst, between: placeBetween, lateness: 2 * time.Second},
 		profiles: []wire.Profile{profile}, classes: classes, length: length,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LoseOrders: 0.2, LateOrders: 0.3, LateOrdersMs: 900})
 			}
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
+		faults: func(ctx context.Context, w *demo.Deployment) int {
 			pause.For(ctx, length/2)
 			w.KillVM(holder(w))
 			return 1
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := lateOrdersFigures{Common: t.common("late_orders", o, out), Moves: out.world.Moves(), Attainment: out.summary.Total.Attained}
+	f := lateOrdersFigures{Common: t.common("late_orders", o, out), Moves: out.world.LoadsAndUnloads(), Attainment: out.summary.Total.Attained}
 	// What the killed VM was answering is cut off by its death, which is no
 	// broken promise of a shutdown.
 	f.LostAnswers = 0
--- a/bench/deploy.go
+++ b/bench/deploy.go
@@ -65,13 +65,13 @@
 }
 
 // start runs a shape with profiles and waits until it is ready.
-func (s shape) start(ctx context.Context, o Options, profiles []wire.Profile, adjust func(*entry.Config)) (*demo.World, error) {
+func (s shape) start(ctx context.Context, o Options, profiles []wire.Profile, adjust func(*entry.Config)) (*demo.Deployment, error) {
 	settings, err := s.settings()
 	if err != nil {
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), Adjust: adjust,
+		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), AdjustVM: adjust,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start deployment: %w", err)
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -36,7 +36,7 @@
 		length:   length,
 		setUp:    loadEverywhere("label-1"),
 	}
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.faults = func(ctx context.Context, w *demo.Deployment) int {
 		pause.For(ctx, length/4)
 		doc := w.Servers()[0]
 		doc.Leaving = true
@@ -60,7 +60,7 @@
 	f.CutOffInShutdown = cutOff(ours.results, stopped)
 	f.NewWorkAfterLeave = float64(ours.world.Engine("llm-1").LastStart().Sub(leftAt)) / float64(time.Millisecond)
 	clear(stopped)
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.faults = func(ctx context.Context, w *demo.Deployment) int {
 		for _, name := range []string{"domain-1-1", "domain-2-1"} {
 			pause.For(ctx, length/3)
 			stopped[w.VMs()[name].Address()] = true
@@ -77,8 +77,8 @@
 }
 
 // loadEverywhere makes a model resident on every engine.
-func loadEverywhere(model string) func(*demo.World) {
-	return func(w *demo.World) {
+func loadEverywhere(model string) func(*demo.Deployment) {
+	return func(w *demo.Deployment) {
 		for _, doc := range w.Servers() {
 			if e := w.Engine(doc.Name); e != nil {
 				e.SetResident(model, "", 1, 1<<30)
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -54,24 +54,24 @@
 }
 
 // startFleet runs n VMs with the profiles of the two-year size in force.
-func startFleet(ctx context.Context, o Options, n int) (*demo.World, error) {
+func startFleet(ctx context.Context, o Options, n int) (*demo.Deployment, error) {
 	settings, err := fleetShape(n).settings()
 	if err != nil {
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: fleetProfiles(), Preload: true, Seed: o.Seed, MaxVMs: n,
-		Adjust: func(c *entry.Config) { c.Seeds = nil },
+		AdjustVM: func(c *entry.Config) { c.Seeds = nil },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start fleet: %w", err)
 	}
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for len(w.Ready()) < n {
+	for len(w.ReadyAddresses()) < n {
 		if ready.Err() != nil {
 			w.Close()
-			return nil, fmt.Errorf("%d of %d VMs got ready", len(w.Ready()), n)
+			return nil, fmt.Errorf("%d of %d VMs got ready", len(w.ReadyAddresses()), n)
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
@@ -132,7 +132,7 @@
 	return f, nil
 }
 
-func storeCalls(w *demo.World) int64 {
+func storeCalls(w *demo.Deployment) int64 {
 	c := w.Platform.Counts()
 	return c.Reads + c.Writes
 }
@@ -164,7 +164,7 @@
 
 // spreadOver changes a profile again and again and returns the times until the
 // change is in force at the last VM.
-func spreadOver(ctx context.Context, w *demo.World, n int) (*hdrhistogram.Histogram, error) {
+func spreadOver(ctx context.Context, w *demo.Deployment, n int) (*hdrhistogram.Histogram, error) {
 	h := newMicros()
 	doc := fleetProfiles()[0]
 	for i := range spreadChanges {
@@ -185,7 +185,7 @@
 	return h, nil
 }
 
-func inForce(w *demo.World, profile string, version int) int {
+func inForce(w *demo.Deployment, profile string, version int) int {
 	n := 0
 	for _, d := range w.VMs() {
 		if d.ProfileVersion(profile) >= version {
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -114,7 +114,7 @@
 
 // caller makes the two kinds of call.
 type caller struct {
-	w       *demo.World
+	w       *demo.Deployment
 	engines *engine.Client
 	calls   int
 }
@@ -153,7 +153,7 @@
 // gateway makes a call through the VM and checks that the answer is whole.
 func (c *caller) gateway(ctx context.Context, prompt string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"draft/draft-1","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.w.Ready()[0]+"/v1/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.w.ReadyAddresses()[0]+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build request: %w", err)
 	}
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func overheadWorld(b *testing.B) *demo.World {
+func overheadWorld(b *testing.B) *demo.Deployment {
 	b.Helper()
 	s := shape{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, first: time.Millisecond, between: 100 * time.Microsecond}
 	w, err := s.start(context.Background(), Options{Seed: 1}, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
--- a/bench/pair.go
+++ b/bench/pair.go
@@ -51,9 +51,9 @@
 	length   time.Duration
 	// adjust changes the VMs' configuration; setUp the running deployment.
 	adjust func(*entry.Config)
-	setUp  func(*demo.World)
+	setUp  func(*demo.Deployment)
 	// faults runs beside the load and returns how many faults it injected.
-	faults func(ctx context.Context, w *demo.World) int
+	faults func(ctx context.Context, w *demo.Deployment) int
 }
 
 // outcome is what came of a trial.
@@ -62,7 +62,7 @@
 	results  []load.Result
 	faults   int
 	attempts int64
-	world    *demo.World
+	world    *demo.Deployment
 }
 
 // run runs a trial; baseline turns the simple forms on.
@@ -91,9 +91,9 @@
 		faults <- t.faults(ctx, w)
 	}()
 	out := &outcome{world: w}
-	out.results = w.Send(ctx, t.classes, t.length, o.Seed, nil)
+	out.results = w.SendLoad(ctx, t.classes, t.length, o.Seed, nil)
 	out.faults = <-faults
-	out.summary = w.Sum(t.classes, out.results)
+	out.summary = w.Summarize(t.classes, out.results)
 	for _, d := range daemons {
 		out.attempts += d.Metrics().Counter("relay.attempts")
 	}
--- a/bench/parts.go
+++ b/bench/parts.go
@@ -37,7 +37,7 @@
 			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, Repeat: 0.1},
 		},
 		length: length,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				if e := w.Engine(doc.Name); e != nil {
 					e.SetResident("draft-1", "", 1, 1<<30)
@@ -62,7 +62,7 @@
 
 // watchVersions samples the version of a profile at every VM. The returned
 // function ends it and tells how often a version fell.
-func watchVersions(w *demo.World, profile string) func() int {
+func watchVersions(w *demo.Deployment, profile string) func() int {
 	seen := make(map[*entry.Daemon]int)
 	return sum(10*time.Millisecond, func() int {
 		fell := 0
@@ -85,7 +85,7 @@
 	var f partsFigures
 	var ready time.Duration
 	var failed error
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.faults = func(ctx context.Context, w *demo.Deployment) int {
 		pause.For(ctx, length/8)
 		w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 		pause.For(ctx, length/4)
@@ -106,7 +106,7 @@
 
 // replaceVM stops a VM in peace and starts a fresh one under its name; it
 // returns the time until that is ready.
-func replaceVM(ctx context.Context, w *demo.World, name string) (time.Duration, error) {
+func replaceVM(ctx context.Context, w *demo.Deployment, name string) (time.Duration, error) {
 	stop, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := w.StopVM(stop, name); err != nil {
@@ -131,7 +131,7 @@
 	var worst time.Duration
 	var failed error
 	names := []string{"domain-1-1", "domain-2-1", "domain-3-1", "domain-1-2", "domain-2-2", "domain-3-2"}
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.faults = func(ctx context.Context, w *demo.Deployment) int {
 		for _, name := range names {
 			pause.For(ctx, length/16)
 			ready, err := replaceVM(ctx, w, name)
@@ -162,15 +162,15 @@
 	var converged time.Duration
 	var failed error
 	reverts := 0
-	t.faults = func(ctx context.Context, w *demo.World) int {
+	t.faults = func(ctx context.Context, w *demo.Deployment) int {
 		stop := watchVersions(w, "draft")
 		defer func() { reverts = stop() }()
-		inside, outside := w.Split("domain-3")
+		inside, outside := w.SplitHosts("domain-3")
 		cut := func(on, both bool) {
 			for _, a := range inside {
 				for _, b := range outside {
-					w.SetCut(a, b, on)
-					w.SetCut(b, a, on && both)
+					w.SetPathBlocked(a, b, on)
+					w.SetPathBlocked(b, a, on && both)
 				}
 			}
 		}
--- a/bench/place.go
+++ b/bench/place.go
@@ -102,8 +102,8 @@
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
-		Adjust: func(c *entry.Config) { c.Placement, c.Callers = placement, nil },
+		Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
+		AdjustVM: func(c *entry.Config) { c.Placement, c.Callers = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
 			e.Slots, e.FirstToken, e.BetweenTokens = placeSlots, placeFirst, placeBetween
 		},
@@ -118,13 +118,13 @@
 		return nil, err
 	}
 	pause.For(ctx, settleTime)
-	before := w.Moves()
+	before := w.LoadsAndUnloads()
 	watch := watchReach(w)
 	classes := p.classes(profiles)
-	results := w.Send(ctx, classes, p.length, o.Seed, nil)
-	out := &placeOutcome{results: results, moves: w.Moves() - before}
+	results := w.SendLoad(ctx, classes, p.length, o.Seed, nil)
+	out := &placeOutcome{results: results, moves: w.LoadsAndUnloads() - before}
 	unreachable := watch()
-	out.summary = w.Sum(classes, results)
+	out.summary = w.Summarize(classes, results)
 	out.summary.Promises.UnreachableModels += unreachable
 	if o.Out != nil {
 		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, out.summary.Total.Attained, out.moves)
@@ -165,7 +165,7 @@
 
 // watchReach samples whether every model has a copy. The returned function ends
 // it and tells how many samples found one without.
-func watchReach(w *demo.World) func() int {
+func watchReach(w *demo.Deployment) func() int {
 	return sum(50*time.Millisecond, func() int { return len(w.UnreachableModels()) })
 }
 
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -33,14 +33,14 @@
 		profiles: []wire.Profile{profile},
 		classes:  []load.Class{{Name: "label", Profile: profile, Rate: 420, MaxTokens: 40}},
 		length:   length,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetResident("label-1", "", 1, 1<<30)
 				w.Engine(doc.Name).QueueLimit = 4
 			}
 			time.Sleep(time.Second)
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
+		faults: func(ctx context.Context, w *demo.Deployment) int {
 			pause.For(ctx, length/3)
 			w.KillServer("llm-1")
 			w.KillServer("llm-2")
@@ -82,12 +82,12 @@
 			{Name: "issue", Profile: issue, Rate: 50, MaxTokens: 60},
 		},
 		length: length,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetFaults(faults)
 			}
 		},
-		faults: func(ctx context.Context, w *demo.World) int {
+		faults: func(ctx context.Context, w *demo.Deployment) int {
 			pause.For(ctx, length/2)
 			w.KillServer("llm-3")
 			return 1
--- a/cmd/hibiscuscart/demo.go
+++ b/cmd/hibiscuscart/demo.go
@@ -28,7 +28,7 @@
 func runDemo(ctx context.Context, fs *flag.FlagSet, args []string) error {
 	o := demo.RunOptions{Out: os.Stdout}
 	fs.StringVar(&o.Deployment, "deployment", "vadodara", "example deployment `NAME`")
-	fs.DurationVar(&o.For, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
+	fs.DurationVar(&o.LoadDuration, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
 	fs.Float64Var(&o.Rate, "rate", 400, "requests a second of the load")
 	fs.Uint64Var(&o.Seed, "seed", 1, "`SEED` of the load and of the stand-ins")
 	inStore := fs.Bool("store", false, "run the deployment that keeps everything in the platform's store; with -for it runs after the other in any case")
@@ -63,7 +63,7 @@
 	broken := 0
 	if !inStore {
 		n, err := demo.Run(ctx, o)
-		if err != nil || o.For == 0 {
+		if err != nil || o.LoadDuration == 0 {
 			return n, err
 		}
 		broken = n
--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -98,7 +98,7 @@
 			targets = append(targets, vm.Listen())
 		}
 	}
-	classes := demo.Mix(settings, docs, f.rate)
+	classes := demo.MixedLoad(settings, docs, f.rate)
 	for i := range classes {
 		classes[i].Burst, classes[i].BurstFrom, classes[i].BurstTo = f.burst, f.length/3, 2*f.length/3
 	}
--- a/cmd/hibiscuscart/standin.go
+++ b/cmd/hibiscuscart/standin.go
@@ -92,7 +92,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Handler())
-	mux.Handle("POST /weights", demo.NewWeights(s).Handler())
+	mux.Handle("POST /weights", demo.NewWeightStore(s).Handler())
 	return listen(ctx, map[string]http.Handler{s.Text("platform", "address"): mux})
 }
 
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -68,7 +68,7 @@
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		return false
 	}
-	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, For: length})
+	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, Duration: length})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", seed, err)
 		return false
@@ -79,7 +79,7 @@
 		return false
 	}
 	fmt.Println(string(line))
-	if len(res.Broken) > 0 {
+	if len(res.Violations) > 0 {
 		return false
 	}
 	// The logs of a successful run are not kept.
--- a/dedup/shard_test.go
+++ b/dedup/shard_test.go
@@ -90,7 +90,7 @@
 		store := newObjects()
 		s := &dedup.Shard{HeadClaims: 6}
 		store.load(start, s)
-		var plain naive.Keys
+		var plain naive.MemoryClaims
 		now, grants := start, 0
 		held := make(map[int]dedup.Request)
 		write := func() []dedup.Reply {
@@ -134,7 +134,7 @@
 				} else {
 					s.Settle(now, r, state, "")
 				}
-				plain.End(r, state)
+				plain.Finish(r, state)
 				if s.Work() {
 					write()
 				}
--- a/demo/backends.go
+++ b/demo/backends.go
@@ -15,7 +15,7 @@
 	b := &stand.Backend{
 		ID: fmt.Sprintf("%s-%d", service, index), Service: service, Domain: fmt.Sprintf("domain-%d", index%siteDefaultCount), Slots: 8, Work: siteWorkTime, Runs: s.Runs,
 	}
-	if service == SiteModel {
+	if service == SiteModelService {
 		b.MemoryMB, b.AdapterSlots, b.LoadTime, b.Events = siteMemoryMB, 4, siteLoadTime, siteStreamEvents
 		b.SizeMB = make(map[string]float64)
 		for _, m := range SiteModels {
@@ -41,9 +41,9 @@
 	if err != nil {
 		return fmt.Errorf("start backend server: %w", err)
 	}
-	if s.options.Front != nil {
-		if address, err = s.options.Front(b.ID, address); err != nil {
-			return fmt.Errorf("get address of backend server from Front: %w", err)
+	if s.options.RegisteredAddress != nil {
+		if address, err = s.options.RegisteredAddress(b.ID, address); err != nil {
+			return fmt.Errorf("get registered address of backend server: %w", err)
 		}
 	}
 	s.mu.Lock()
--- a/demo/check.go
+++ b/demo/check.go
@@ -13,54 +13,54 @@
 	"github.com/hibiscuscart/hibiscuscart/stand"
 )
 
-// Kind is a kind of request that callers send to a Site.
-type Kind struct {
+// RequestKind is a kind of request that callers send to a Site.
+type RequestKind struct {
 	Name, Method, Path string
-	// Once is set for requests that must run at most once, Stream for requests whose response is an
-	// event stream.
-	Once, Stream bool
+	// AtMostOnce is set for requests that must run at most once, Stream for requests whose response
+	// is an event stream.
+	AtMostOnce, Stream bool
 	// Models lists the models that the request may name, each optionally followed by a slash and an
 	// adapter.
 	Models []string
 }
 
-// SiteKinds lists one request kind for each route of SiteRoutes.
-var SiteKinds = []Kind{
+// SiteRequestKinds lists one request kind for each route of SiteRoutes.
+var SiteRequestKinds = []RequestKind{
 	{Name: "look", Method: http.MethodGet, Path: "/look/x"},
-	{Name: "book", Method: http.MethodPost, Path: "/book/x", Once: true},
+	{Name: "book", Method: http.MethodPost, Path: "/book/x", AtMostOnce: true},
 	{Name: "draft", Method: http.MethodPost, Path: "/draft/x", Stream: true, Models: []string{"m1", "m2/a1", "m3", "m4/a2", "m1/a3"}},
-	{Name: "batch", Method: http.MethodPost, Path: "/batch/x", Once: true, Stream: true, Models: []string{"m2", "m4"}},
+	{Name: "batch", Method: http.MethodPost, Path: "/batch/x", AtMostOnce: true, Stream: true, Models: []string{"m2", "m4"}},
 }
 
 // Outcome is the result of one request as its caller observed it.
 type Outcome struct {
-	ID     string
-	Kind   Kind
-	Status int
-	Body   string
-	Stamp  string
-	// Broken is set if the connection failed before the response was complete.
-	Broken bool
+	ID          string
+	Kind        RequestKind
+	Status      int
+	Body        string
+	ServerStamp string
+	// Incomplete is set if the connection failed before the response was complete.
+	Incomplete bool
 }
 
-// Good reports whether the caller received a complete successful response.
-func (o Outcome) Good() bool { return o.Status == http.StatusOK && !o.Broken }
+// Succeeded reports whether the caller received a complete successful response.
+func (o Outcome) Succeeded() bool { return o.Status == http.StatusOK && !o.Incomplete }
 
-// Ask sends one request of a kind to a VM, with a model chosen at random by rng.
-func (s *Site) Ask(ctx context.Context, client *http.Client, address, id string, k Kind, rng *rand.Rand) Outcome {
+// SendRequest sends one request of a kind to a VM, with a model chosen at random by rng.
+func (s *Site) SendRequest(ctx context.Context, client *http.Client, address, id string, kind RequestKind, rng *rand.Rand) Outcome {
 	model := ""
-	if len(k.Models) > 0 {
-		model = k.Models[rng.IntN(len(k.Models))]
+	if len(kind.Models) > 0 {
+		model = kind.Models[rng.IntN(len(kind.Models))]
 	}
-	o := Outcome{ID: id, Kind: k}
-	resp, err := s.Call(ctx, client, address, id, k.Method, k.Path, model, "body of "+id)
+	o := Outcome{ID: id, Kind: kind}
+	resp, err := s.Call(ctx, client, address, id, kind.Method, kind.Path, model, "body of "+id)
 	if err != nil {
-		o.Broken = true
+		o.Incomplete = true
 		return o
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	o.Status, o.Stamp, o.Body, o.Broken = resp.StatusCode, StampOf(resp), string(body), err != nil
+	o.Status, o.ServerStamp, o.Body, o.Incomplete = resp.StatusCode, ServerStamp(resp), string(body), err != nil
 	return o
 }
 
@@ -71,51 +71,52 @@
 	violations []string
 }
 
-// Add records a violation.
-func (c *Checks) Add(format string, args ...any) {
+// AddViolation records a violation.
+func (c *Checks) AddViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Broken returns the recorded violations.
-func (c *Checks) Broken() []string {
+// Violations returns the recorded violations.
+func (c *Checks) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.violations
 }
 
-// Answer checks a successful response: it carries the server stamp and the expected complete body.
-func (c *Checks) Answer(o Outcome) {
-	if o.Status != http.StatusOK || o.Broken {
+// CheckOutcome checks a successful response: it carries the server stamp and the expected complete
+// body.
+func (c *Checks) CheckOutcome(o Outcome) {
+	if o.Status != http.StatusOK || o.Incomplete {
 		return
 	}
-	if o.Stamp == "" {
-		c.Add("%s %s: successful response without a server stamp", o.Kind.Name, o.ID)
+	if o.ServerStamp == "" {
+		c.AddViolation("%s %s: successful response without a server stamp", o.Kind.Name, o.ID)
 	}
 	want := "answer to " + o.ID
 	if o.Kind.Stream {
 		want = completeStream(o.ID)
 	}
 	if o.Body != want {
-		c.Add("%s %s: successful response with an unexpected body: %.80q", o.Kind.Name, o.ID, o.Body)
+		c.AddViolation("%s %s: successful response with an unexpected body: %.80q", o.Kind.Name, o.ID, o.Body)
 	}
 }
 
-// Runs checks outcomes against the executions that the servers recorded, once all requests have
-// ended. A violation is an at-most-once request that ran twice, an at-most-once request that ran
-// although its caller got status 503 (not run), or a success that no server ran.
-func (c *Checks) Runs(outcomes []Outcome, ledger *stand.Ledger) {
+// CheckExecutions checks outcomes against the executions that the servers recorded, once all
+// requests have ended. A violation is an at-most-once request that ran twice, an at-most-once
+// request that ran although its caller got status 503 (not run), or a success that no server ran.
+func (c *Checks) CheckExecutions(outcomes []Outcome, ledger *stand.Ledger) {
 	for _, o := range outcomes {
 		executions := len(ledger.Of(o.ID))
-		if o.Kind.Once && executions > 1 {
-			c.Add("%s %s: ran %d times", o.Kind.Name, o.ID, executions)
+		if o.Kind.AtMostOnce && executions > 1 {
+			c.AddViolation("%s %s: ran %d times", o.Kind.Name, o.ID, executions)
 		}
-		if o.Kind.Once && o.Status == http.StatusServiceUnavailable && executions > 0 {
-			c.Add("%s %s: reported to the caller as not run, but a server ran it", o.Kind.Name, o.ID)
+		if o.Kind.AtMostOnce && o.Status == http.StatusServiceUnavailable && executions > 0 {
+			c.AddViolation("%s %s: reported to the caller as not run, but a server ran it", o.Kind.Name, o.ID)
 		}
 		if o.Status == http.StatusOK && executions == 0 {
-			c.Add("%s %s: reported as a success, but no server ran it", o.Kind.Name, o.ID)
+			c.AddViolation("%s %s: reported as a success, but no server ran it", o.Kind.Name, o.ID)
 		}
 	}
 }
@@ -138,9 +139,10 @@
 	limitSlack       = 5
 )
 
-// Limit checks that the requests to a backend server stay within its rate limit once limitGracePeriod
-// has passed since limitedAt, when the limit was announced. It reports only the first violation.
-func (c *Checks) Limit(backend *stand.Backend, limitedAt time.Time) {
+// CheckRateLimit checks that the requests to a backend server stay within its rate limit once
+// limitGracePeriod has passed since limitedAt, when the limit was announced. It reports only the
+// first violation.
+func (c *Checks) CheckRateLimit(backend *stand.Backend, limitedAt time.Time) {
 	rate, _ := backend.Limit()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
 	arrivals := backend.Arrivals()
@@ -155,7 +157,7 @@
 			}
 		}
 		if float64(count) > allowed {
-			c.Add("server %s: rate limit of %v requests per second exceeded: %d requests in %v, starting %v after the announcement; at most %v allowed",
+			c.AddViolation("server %s: rate limit of %v requests per second exceeded: %d requests in %v, starting %v after the announcement; at most %v allowed",
 				backend.ID, rate, count, limitWindow, first.Sub(limitedAt), allowed)
 			return
 		}
--- a/demo/drive.go
+++ b/demo/drive.go
@@ -30,10 +30,10 @@
 		return 0, err
 	}
 	fmt.Fprintf(o.Out, "%d VMs with a store, %d model servers and %d plain backend servers; addresses for callers:\n", len(s.vms), siteDefaultCount, siteDefaultCount)
-	for _, address := range s.Addresses() {
+	for _, address := range s.VMAddresses() {
 		fmt.Fprintf(o.Out, "  http://%s  (Host: %s, paths /look/ /book/ /draft/ /batch/)\n", address, SiteHost)
 	}
-	if o.For == 0 {
+	if o.LoadDuration == 0 {
 		<-ctx.Done()
 		return 0, nil
 	}
@@ -42,7 +42,7 @@
 
 // runLoad sends a mixed load, checks the guarantees and prints a summary.
 func (s *Site) runLoad(ctx context.Context, o RunOptions) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, o.For)
+	ctx, cancel := context.WithTimeout(ctx, o.LoadDuration)
 	defer cancel()
 	var mu sync.Mutex
 	var outcomes []Outcome
@@ -54,10 +54,10 @@
 			client := &http.Client{Timeout: callerTimeout}
 			defer client.CloseIdleConnections()
 			for i := 0; ctx.Err() == nil; i++ {
-				kind := SiteKinds[rng.IntN(len(SiteKinds))]
-				address := s.Addresses()[rng.IntN(len(s.vms))]
-				outcome := s.Ask(context.WithoutCancel(ctx), client, address, fmt.Sprintf("%d-%d", n, i), kind, rng)
-				checks.Answer(outcome)
+				kind := SiteRequestKinds[rng.IntN(len(SiteRequestKinds))]
+				address := s.VMAddresses()[rng.IntN(len(s.vms))]
+				outcome := s.SendRequest(context.WithoutCancel(ctx), client, address, fmt.Sprintf("%d-%d", n, i), kind, rng)
+				checks.CheckOutcome(outcome)
 				mu.Lock()
 				outcomes = append(outcomes, outcome)
 				mu.Unlock()
@@ -66,14 +66,14 @@
 		})
 	}
 	wait.Wait()
-	checks.Runs(outcomes, s.Runs)
-	for _, b := range s.Backends(SiteModel) {
+	checks.CheckExecutions(outcomes, s.Runs)
+	for _, b := range s.Backends(SiteModelService) {
 		if b.Crashed() {
-			checks.Add("server %s was ordered to exceed its memory or adapter slots", b.ID)
+			checks.AddViolation("server %s was ordered to exceed its memory or adapter slots", b.ID)
 		}
 	}
-	summarize(o.Out, outcomes, checks.Broken())
-	return len(checks.Broken()), nil
+	summarize(o.Out, outcomes, checks.Violations())
+	return len(checks.Violations()), nil
 }
 
 // summarize prints the requests sent and served of each kind, and the violations.
@@ -81,12 +81,12 @@
 	sent, served := map[string]int{}, map[string]int{}
 	for _, o := range outcomes {
 		sent[o.Kind.Name]++
-		if o.Good() {
+		if o.Succeeded() {
 			served[o.Kind.Name]++
 		}
 	}
 	fmt.Fprintf(out, "%-8s %8s %8s\n", "kind", "sent", "served")
-	for _, k := range SiteKinds {
+	for _, k := range SiteRequestKinds {
 		fmt.Fprintf(out, "%-8s %8d %8d\n", k.Name, sent[k.Name], served[k.Name])
 	}
 	fmt.Fprintf(out, "violated guarantees: %d\n", len(violations))
--- a/demo/limit_test.go
+++ b/demo/limit_test.go
@@ -28,7 +28,7 @@
 	var wait sync.WaitGroup
 	var answers []callResult
 	end := time.Now().Add(loadDuration)
-	for v, address := range s.Addresses() {
+	for v, address := range s.VMAddresses() {
 		wait.Go(func() {
 			for i := 0; time.Now().Before(end); i++ {
 				wait.Go(func() {
@@ -49,8 +49,8 @@
 // requests at all.
 func TestServerRateLimit(t *testing.T) {
 	tests := map[string]struct{ method, path, model, service string }{
-		"plain service": {http.MethodGet, "/look/x", "", demo.SitePlain},
-		"model server":  {http.MethodPost, "/draft/x", "m1", demo.SiteModel},
+		"plain service": {http.MethodGet, "/look/x", "", demo.SitePlainService},
+		"model server":  {http.MethodPost, "/draft/x", "m1", demo.SiteModelService},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -65,8 +65,8 @@
 				}
 			}
 			var checks demo.Checks
-			checks.Limit(b, limitedAt)
-			require.Empty(t, checks.Broken())
+			checks.CheckRateLimit(b, limitedAt)
+			require.Empty(t, checks.Violations())
 			require.NotEmpty(t, b.Arrivals())
 			require.Positive(t, served)
 		})
@@ -83,7 +83,7 @@
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	require.NoError(t, s.WaitReady(ctx))
-	for _, b := range s.Backends(demo.SitePlain) {
+	for _, b := range s.Backends(demo.SitePlainService) {
 		b.SetLimit(1.5, true)
 	}
 	before := log.count("link to the controller lost")
@@ -92,7 +92,7 @@
 		wait.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, time.Duration(i%40)*time.Millisecond)
 			defer cancel()
-			call(callCtx, s, s.Addresses()[i%3], fmt.Sprint("disconnect", i), http.MethodGet, "/look/x", "")
+			call(callCtx, s, s.VMAddresses()[i%3], fmt.Sprint("disconnect", i), http.MethodGet, "/look/x", "")
 		})
 		time.Sleep(loadInterval / 10)
 	}
--- a/demo/mix.go
+++ b/demo/mix.go
@@ -11,9 +11,9 @@
 // repeatedShare is the fraction of at-most-once requests that the mix sends twice.
 const repeatedShare = 0.05
 
-// Mix returns load classes for the profiles with a total of rate requests per second: streams,
+// MixedLoad returns load classes for the profiles with a total of rate requests per second: streams,
 // non-streaming completions and calls to plain services.
-func Mix(s *conf.Settings, profiles []wire.Profile, rate float64) []load.Class {
+func MixedLoad(s *conf.Settings, profiles []wire.Profile, rate float64) []load.Class {
 	var keys []string
 	for key := range s.Callers() {
 		keys = append(keys, key)
--- a/demo/poison_test.go
+++ b/demo/poison_test.go
@@ -30,7 +30,7 @@
 // crashCount returns how often the request has crashed a server.
 func crashCount(s *demo.Site) int {
 	n := 0
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		n += b.Crashes()
 	}
 	return n
@@ -60,7 +60,7 @@
 	t.Helper()
 	for i := 0; crashCount(s) < crashLimit; i++ {
 		require.NoError(t, ctx.Err(), "the request crashed too few servers within the test limit")
-		sendCrashingRequest(ctx, s, s.Addresses()[i%len(s.Addresses())])
+		sendCrashingRequest(ctx, s, s.VMAddresses()[i%len(s.VMAddresses())])
 	}
 	time.Sleep(blockTimeout)
 }
@@ -71,10 +71,10 @@
 	s, ctx := startSite(t, demo.SiteOptions{CrashBody: crashingBody})
 	crashServers(ctx, t, s)
 	before := crashCount(s)
-	for i := range 8 * len(s.Addresses()) {
-		sendCrashingRequest(ctx, s, s.Addresses()[i%len(s.Addresses())])
+	for i := range 8 * len(s.VMAddresses()) {
+		sendCrashingRequest(ctx, s, s.VMAddresses()[i%len(s.VMAddresses())])
 		require.LessOrEqual(t, crashCount(s)-before, maxLaterCrashes)
-		got := callUntilAccepted(ctx, t, s, s.Addresses()[i%len(s.Addresses())], fmt.Sprint("other", i), http.MethodPost, "/draft/other", "m1")
+		got := callUntilAccepted(ctx, t, s, s.VMAddresses()[i%len(s.VMAddresses())], fmt.Sprint("other", i), http.MethodPost, "/draft/other", "m1")
 		require.Equal(t, http.StatusOK, got.status, "a different request for the same model: "+got.body)
 	}
 }
@@ -91,10 +91,10 @@
 			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testTimeout, 5*time.Millisecond)
 		},
 		"all VMs are restarted": func(ctx context.Context, t *testing.T, s *demo.Site) {
-			for i := range s.Addresses() {
+			for i := range s.VMAddresses() {
 				s.KillNode(i)
 			}
-			for i := range s.Addresses() {
+			for i := range s.VMAddresses() {
 				require.NoError(t, s.StartNode(ctx, i))
 			}
 			require.NoError(t, s.WaitReady(ctx))
@@ -110,8 +110,8 @@
 			before := crashCount(s)
 			event(ctx, t, s)
 			refused := 0
-			for i := range 6 * len(s.Addresses()) {
-				status, retryAfter := sendCrashingRequest(ctx, s, s.Addresses()[i%len(s.Addresses())])
+			for i := range 6 * len(s.VMAddresses()) {
+				status, retryAfter := sendCrashingRequest(ctx, s, s.VMAddresses()[i%len(s.VMAddresses())])
 				if status == 0 {
 					continue // The VM is down.
 				}
@@ -133,18 +133,18 @@
 	s, ctx := startSite(t, demo.SiteOptions{CrashBody: crashingBody})
 	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
 	for range 3 {
-		sendCrashingRequest(ctx, s, s.Addresses()[0])
+		sendCrashingRequest(ctx, s, s.VMAddresses()[0])
 	}
 	s.Objects.SetFaults(stand.ObjectFaults{})
 	crashServers(ctx, t, s)
 	before := crashCount(s)
-	for i := range s.Addresses() {
+	for i := range s.VMAddresses() {
 		s.KillNode(i)
 		require.NoError(t, s.StartNode(ctx, i))
 		require.NoError(t, s.WaitReady(ctx))
 	}
-	for i := range 6 * len(s.Addresses()) {
-		sendCrashingRequest(ctx, s, s.Addresses()[i%len(s.Addresses())])
+	for i := range 6 * len(s.VMAddresses()) {
+		sendCrashingRequest(ctx, s, s.VMAddresses()[i%len(s.VMAddresses())])
 	}
 	require.LessOrEqual(t, crashCount(s)-before, maxLaterCrashes)
 }
@@ -152,7 +152,7 @@
 // controllerIndex returns the index of the VM that acts as the controller.
 func controllerIndex(t *testing.T, s *demo.Site) int {
 	t.Helper()
-	for i := range s.Addresses() {
+	for i := range s.VMAddresses() {
 		if s.Node(i).Leading() {
 			return i
 		}
--- a/demo/run.go
+++ b/demo/run.go
@@ -21,8 +21,8 @@
 type RunOptions struct {
 	// Deployment is the name of an example deployment.
 	Deployment string
-	// For is the duration of the load; 0 sends no load and waits until the context ends.
-	For time.Duration
+	// LoadDuration is the duration of the load; 0 sends no load and waits until the context ends.
+	LoadDuration time.Duration
 	// Rate is the load in requests per second.
 	Rate float64
 	Seed uint64
@@ -41,7 +41,7 @@
 	if err != nil {
 		return 0, err
 	}
-	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
+	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
 	if err != nil {
 		return 0, fmt.Errorf("start deployment: %w", err)
 	}
@@ -52,33 +52,33 @@
 		return 0, err
 	}
 	w.printUsage(o.Out, settings, profiles)
-	if o.For == 0 {
+	if o.LoadDuration == 0 {
 		<-ctx.Done()
 		return 0, nil
 	}
-	summary := w.Load(ctx, Mix(settings, profiles, o.Rate), o.For, o.Seed, o.Out)
+	summary := w.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
 	if err := summary.WriteTable(o.Out); err != nil {
 		return 0, err
 	}
 	return summary.Promises.Broken(), nil
 }
 
-// Load sends load to the deployment and returns a summary of the results.
-func (w *World) Load(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) load.Summary {
-	return w.Sum(classes, w.Send(ctx, classes, length, seed, out))
+// RunLoad sends load to the deployment and returns a summary of the results.
+func (d *Deployment) RunLoad(ctx context.Context, classes []load.Class, duration time.Duration, seed uint64, out io.Writer) load.Summary {
+	return d.Summarize(classes, d.SendLoad(ctx, classes, duration, seed, out))
 }
 
-// Send sends load to the deployment and returns the result of each request.
-func (w *World) Send(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) []load.Result {
-	r := &load.Runner{Classes: classes, Targets: w.Ready, Progress: progressPrinter(out)}
-	return r.Run(ctx, load.Schedule(seed, length, classes))
+// SendLoad sends load to the deployment and returns the result of each request.
+func (d *Deployment) SendLoad(ctx context.Context, classes []load.Class, duration time.Duration, seed uint64, out io.Writer) []load.Result {
+	r := &load.Runner{Classes: classes, Targets: d.ReadyAddresses, Progress: progressPrinter(out)}
+	return r.Run(ctx, load.Schedule(seed, duration, classes))
 }
 
-// Sum summarizes the results together with the counters and recorded executions of the stand-ins.
-func (w *World) Sum(classes []load.Class, results []load.Result) load.Summary {
-	s := load.Summarise(classes, results, w.Runs.All())
-	s.Promises.Overcommits = w.Overcommits()
-	s.Promises.UnreachableModels = len(w.UnreachableModels())
+// Summarize summarizes the results together with the counters and recorded executions of the stand-ins.
+func (d *Deployment) Summarize(classes []load.Class, results []load.Result) load.Summary {
+	s := load.Summarise(classes, results, d.Runs.All())
+	s.Promises.Overcommits = d.Overcommits()
+	s.Promises.UnreachableModels = len(d.UnreachableModels())
 	return s
 }
 
@@ -92,10 +92,10 @@
 }
 
 // printUsage prints the addresses of the VMs and an example request.
-func (w *World) printUsage(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
-	addresses := w.Ready()
+func (d *Deployment) printUsage(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
+	addresses := d.ReadyAddresses()
 	slices.Sort(addresses)
-	fmt.Fprintf(out, "%s: %d entry VMs, %d backend servers, %d profiles\n", s.Text("deployment", "name"), len(addresses), len(w.servers), len(profiles))
+	fmt.Fprintf(out, "%s: %d entry VMs, %d backend servers, %d profiles\n", s.Text("deployment", "name"), len(addresses), len(d.servers), len(profiles))
 	for _, a := range addresses {
 		fmt.Fprintf(out, "  callers: http://%s\n", a)
 	}
--- a/demo/site.go
+++ b/demo/site.go
@@ -23,9 +23,9 @@
 
 // Host and service names of a Site.
 const (
-	SiteHost  = "site.example"
-	SiteModel = "model-servers"
-	SitePlain = "ledger"
+	SiteHost         = "site.example"
+	SiteModelService = "model-servers"
+	SitePlainService = "ledger"
 )
 
 // SiteOptions configures a Site.
@@ -35,10 +35,10 @@
 	VMs, Backends int
 	// NoVMs starts only the store and the backend servers; the test or tool runs the VMs itself.
 	NoVMs bool
-	// Front returns the address to register for a backend server, such as that of a proxy in front
-	// of it. If Front is nil, the server's own address is registered. Front is called again with the
-	// same ID after the server has restarted on a different address.
-	Front func(id, address string) (string, error)
+	// RegisteredAddress returns the address to register for a backend server, such as that of a proxy.
+	// If it is nil, the server's own address is registered. It is called again with the same ID after
+	// the server has restarted on a different address.
+	RegisteredAddress func(id, address string) (string, error)
 	// CrashBody is the body of requests that crash the backend server executing them; empty for
 	// none. The server restarts without models and on a different address.
 	CrashBody string
@@ -47,8 +47,9 @@
 	Log    zerolog.Logger
 }
 
-// Site is a deployment on loopback in one process: stand-ins for the platform's store and for backend
-// servers, which use the platform's wire format, and VMs that keep configuration and state in that store.
+// Site is a deployment on loopback in one process: stand-ins for the platform's store and for
+// backend servers, which use the platform's wire format, and VMs that keep configuration and state
+// in that store.
 type Site struct {
 	Objects *stand.Objects
 	Runs    *stand.Ledger
@@ -74,7 +75,7 @@
 
 // SiteRoutes returns the default routes of a Site, which cover all kinds of routes.
 func SiteRoutes() []routes.Route {
-	plain, models := []routes.Target{{Service: SitePlain, Weight: 1}}, []routes.Target{{Service: SiteModel, Weight: 1}}
+	plain, models := []routes.Target{{Service: SitePlainService, Weight: 1}}, []routes.Target{{Service: SiteModelService, Weight: 1}}
 	return []routes.Route{
 		{Name: "look", Host: SiteHost, PathPrefix: "/look/", Kind: routes.Idempotent, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, MaxServers: 3, Targets: plain},
 		{Name: "book", Host: SiteHost, PathPrefix: "/book/", Kind: routes.AtMostOnce, Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, MaxServers: 3, Targets: plain},
@@ -105,8 +106,8 @@
 		models[m] = routes.Model{Name: m, SizeMB: siteModelMB, LoadTime: siteLoadTime, MemoryLoadTime: siteLoadTime, DiskLoadTime: siteLoadTime, AdapterCount: 4}
 	}
 	return []routes.Service{
-		{Name: SitePlain, MaxConns: 100},
-		{Name: SiteModel, MaxConns: 100, Engine: &routes.Engine{
+		{Name: SitePlainService, MaxConns: 100},
+		{Name: SiteModelService, MaxConns: 100, Engine: &routes.Engine{
 			Slots: 8, KVCacheTokens: 100_000, WeightMemoryMB: siteMemoryMB, AdapterSlots: 4, StoreLoadsPerSecond: 20, Models: models,
 		}},
 	}
@@ -140,10 +141,10 @@
 		return err
 	}
 	for i := range s.options.Backends {
-		if _, err := s.AddBackend(SitePlain, i); err != nil {
+		if _, err := s.AddBackend(SitePlainService, i); err != nil {
 			return err
 		}
-		if _, err := s.AddBackend(SiteModel, i); err != nil {
+		if _, err := s.AddBackend(SiteModelService, i); err != nil {
 			return err
 		}
 	}
@@ -316,8 +317,8 @@
 // KillNode kills the i-th VM without a graceful shutdown.
 func (s *Site) KillNode(i int) { s.vms[i].node.Kill() }
 
-// Addresses returns the caller-facing addresses of the VMs.
-func (s *Site) Addresses() []string {
+// VMAddresses returns the caller-facing addresses of the VMs.
+func (s *Site) VMAddresses() []string {
 	var list []string
 	for _, n := range s.vms {
 		list = append(list, n.settings.Text("vm", "listen"))
@@ -381,5 +382,5 @@
 	return client.Do(req)
 }
 
-// StampOf returns the header value by which a server proves that a response is its own, or "".
-func StampOf(resp *http.Response) string { return resp.Header.Get(platform.Names.ServerStamp) }
+// ServerStamp returns the header value by which a server proves that a response is its own, or "".
+func ServerStamp(resp *http.Response) string { return resp.Header.Get(platform.Names.ServerStamp) }
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -56,7 +56,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return callResult{status: resp.StatusCode, stamp: demo.StampOf(resp), body: string(body), err: err}
+	return callResult{status: resp.StatusCode, stamp: demo.ServerStamp(resp), body: string(body), err: err}
 }
 
 // callUntilAccepted sends a call and repeats it while it is refused with status 503, as callers do.
@@ -86,7 +86,7 @@
 // exceeds the memory or adapter slots of a model server.
 func TestAllRoutes(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	for i, address := range s.Addresses() {
+	for i, address := range s.VMAddresses() {
 		id := fmt.Sprintf("%02d", i)
 		got := call(ctx, s, address, "a"+id, "GET", "/look/x?y=1", "")
 		require.Equal(t, http.StatusOK, got.status, got.body)
@@ -102,7 +102,7 @@
 		got = call(ctx, s, address, "e"+id, "GET", "/nowhere/", "")
 		require.Equal(t, http.StatusNotFound, got.status)
 	}
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		require.False(t, b.Crashed())
 	}
 }
@@ -136,16 +136,16 @@
 		t.Run(name, func(t *testing.T) {
 			n++
 			id := fmt.Sprintf("f%03d", n)
-			method, model, service := "GET", "", demo.SitePlain
+			method, model, service := "GET", "", demo.SitePlainService
 			if tc.path == "/draft/" || tc.path == "/batch/" {
-				method, model, service = "POST", "m1", demo.SiteModel
+				method, model, service = "POST", "m1", demo.SiteModelService
 				require.Eventually(t, func() bool { return loadedOnBothServers(ctx, s, n) }, testTimeout, 10*time.Millisecond)
 			}
 			sharedFaults := stand.NewStrikes(tc.faults)
 			for _, b := range s.Backends(service) {
 				b.SetStrikes(sharedFaults)
 			}
-			got := call(ctx, s, s.Addresses()[0], id, method, tc.path, model)
+			got := call(ctx, s, s.VMAddresses()[0], id, method, tc.path, model)
 			require.Equal(t, tc.status, got.status, got.body)
 			require.Len(t, s.Runs.Of(id), tc.runs)
 			switch {
@@ -164,7 +164,7 @@
 // loadedServerCount returns the number of servers that hold a model.
 func loadedServerCount(s *demo.Site, model string) int {
 	n := 0
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		if b.Entry().HasModel(model, "") {
 			n++
 		}
@@ -174,7 +174,7 @@
 
 // loadedOnBothServers sends a request for model m1 and reports whether two servers hold the model.
 func loadedOnBothServers(ctx context.Context, s *demo.Site, n int) bool {
-	call(ctx, s, s.Addresses()[0], fmt.Sprintf("w%03d", n), "POST", "/draft/", "m1")
+	call(ctx, s, s.VMAddresses()[0], fmt.Sprintf("w%03d", n), "POST", "/draft/", "m1")
 	return loadedServerCount(s, "m1") == 2
 }
 
@@ -185,7 +185,7 @@
 	changedRoutes := demo.SiteRoutes()
 	changedRoutes[0].PathPrefix = "/seen/"
 	require.NoError(t, s.Configure(5, changedRoutes))
-	for i, address := range s.Addresses() {
+	for i, address := range s.VMAddresses() {
 		require.Eventually(t, func() bool {
 			return call(ctx, s, address, fmt.Sprintf("n%d", i), "GET", "/seen/", "").status == 200
 		}, testTimeout, 10*time.Millisecond)
@@ -202,14 +202,14 @@
 	s.Objects.Compact()
 	s.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}})
 	for i := range 20 {
-		got := call(ctx, s, s.Addresses()[i%3], fmt.Sprintf("s%d", i), "GET", "/look/", "")
+		got := call(ctx, s, s.VMAddresses()[i%3], fmt.Sprintf("s%d", i), "GET", "/look/", "")
 		require.Equal(t, 200, got.status, got.body)
 	}
 	s.Objects.SetFaults(stand.ObjectFaults{})
 	changedRoutes := demo.SiteRoutes()
 	changedRoutes[0].PathPrefix = "/seen/"
 	require.NoError(t, s.Configure(9, changedRoutes))
-	for i, address := range s.Addresses() {
+	for i, address := range s.VMAddresses() {
 		require.Eventually(t, func() bool {
 			return call(ctx, s, address, fmt.Sprintf("t%d", i), "GET", "/seen/", "").status == 200
 		}, testTimeout, 10*time.Millisecond)
@@ -226,12 +226,12 @@
 			s.KillNode(i)
 			require.Eventually(t, func() bool { return s.Node((i+1)%3).Leading() || s.Node((i+2)%3).Leading() }, testTimeout, 5*time.Millisecond)
 			require.Eventually(t, func() bool {
-				return call(ctx, s, s.Addresses()[(i+1)%3], fmt.Sprintf("k%d", time.Now().UnixNano()), "POST", "/draft/", "m4/a1").status == 200
+				return call(ctx, s, s.VMAddresses()[(i+1)%3], fmt.Sprintf("k%d", time.Now().UnixNano()), "POST", "/draft/", "m4/a1").status == 200
 			}, testTimeout, 20*time.Millisecond)
 			break
 		}
 	}
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		require.False(t, b.Crashed())
 	}
 }
@@ -244,7 +244,7 @@
 	answers := make([]callResult, 40)
 	for i := range answers {
 		wait.Go(func() {
-			answers[i] = call(ctx, s, s.Addresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
+			answers[i] = call(ctx, s, s.VMAddresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
 		})
 	}
 	require.Eventually(t, func() bool { return len(s.Runs.Of("p0")) > 0 }, testTimeout, time.Millisecond)
@@ -266,15 +266,15 @@
 func TestLostOrderResponses(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	sharedFaults := stand.NewStrikes(stand.BackendFaults{LoseOrders: 6})
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		b.SetStrikes(sharedFaults)
 	}
 	for i, model := range []string{"m1/a1", "m2/a2", "m3/a3", "m4/a4", "m4/a1", "m2"} {
 		require.Eventually(t, func() bool {
-			return call(ctx, s, s.Addresses()[i%3], fmt.Sprintf("l%d-%d", i, time.Now().UnixNano()), "POST", "/draft/", model).status == 200
+			return call(ctx, s, s.VMAddresses()[i%3], fmt.Sprintf("l%d-%d", i, time.Now().UnixNano()), "POST", "/draft/", model).status == 200
 		}, testTimeout, 20*time.Millisecond)
 	}
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		require.False(t, b.Crashed())
 	}
 }
@@ -296,7 +296,7 @@
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(trace.NewTracerProvider()) })
 	s, ctx := startSite(t, demo.SiteOptions{})
-	for i, address := range s.Addresses() {
+	for i, address := range s.VMAddresses() {
 		callUntilAccepted(ctx, t, s, address, fmt.Sprint("traced", i), "POST", "/draft/x", fmt.Sprint("m4/a", i+1))
 	}
 	require.Eventually(t, func() bool {
@@ -316,13 +316,13 @@
 	s, ctx := startSite(t, demo.SiteOptions{})
 	requireServed := func(name, model string) {
 		t.Helper()
-		for i, address := range s.Addresses() {
+		for i, address := range s.VMAddresses() {
 			got := callUntilAccepted(ctx, t, s, address, fmt.Sprint(name, i, model), "POST", "/draft/x", model)
 			require.Equal(t, http.StatusOK, got.status, got.body)
 		}
 	}
 	for round := range 3 {
-		for _, b := range s.Backends(demo.SiteModel) {
+		for _, b := range s.Backends(demo.SiteModelService) {
 			b.Restart(time.UnixMilli(int64(1_000_000 + round)))
 		}
 		for _, model := range demo.SiteModels {
@@ -330,7 +330,7 @@
 		}
 		requireServed(fmt.Sprint("adapter", round), "m2/a1")
 	}
-	for _, b := range s.Backends(demo.SiteModel) {
+	for _, b := range s.Backends(demo.SiteModelService) {
 		require.False(t, b.Crashed())
 	}
 }
@@ -341,14 +341,14 @@
 // and to the overwritten servers again after their next heartbeat.
 func TestInvalidServerEntries(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	invalidValues := []string{`{}`, `{"Service":5}`, `"ready"`, `{"Service":"` + demo.SitePlain + `","Address":"127.0.0.1:1","Zone":"d","Version":"v","Slots":8,"State":"resting","Sequence":1}`}
-	backends := s.Backends(demo.SitePlain)
+	invalidValues := []string{`{}`, `{"Service":5}`, `"ready"`, `{"Service":"` + demo.SitePlainService + `","Address":"127.0.0.1:1","Zone":"d","Version":"v","Slots":8,"State":"resting","Sequence":1}`}
+	backends := s.Backends(demo.SitePlainService)
 	for i, value := range invalidValues {
 		for _, name := range []string{fmt.Sprint("invalid", i), backends[i%len(backends)].ID} {
 			_, err := s.Objects.Put(platform.KindServers, name, -1, json.RawMessage(value))
 			require.NoError(t, err)
 		}
-		for k, address := range s.Addresses() {
+		for k, address := range s.VMAddresses() {
 			got := call(ctx, s, address, fmt.Sprint("bad", i, k), "GET", "/look/", "")
 			require.Equal(t, 200, got.status, got.body)
 		}
--- a/demo/state.go
+++ b/demo/state.go
@@ -14,40 +14,41 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Ready returns the caller-facing addresses of the VMs whose readiness check succeeds, as used by the
-// platform's load balancer.
-func (w *World) Ready() []string {
+// ReadyAddresses returns the caller-facing addresses of the VMs whose readiness check succeeds, as
+// used by the platform's load balancer.
+func (d *Deployment) ReadyAddresses() []string {
 	var addresses []string
-	for _, d := range w.VMs() {
-		if d.Ready() {
-			addresses = append(addresses, d.Address())
+	for _, vm := range d.VMs() {
+		if vm.Ready() {
+			addresses = append(addresses, vm.Address())
 		}
 	}
 	return addresses
 }
 
 // Engine returns the engine stand-in of a name, or nil.
-func (w *World) Engine(name string) *stand.Engine { return w.engines[name] }
+func (d *Deployment) Engine(name string) *stand.Engine { return d.engines[name] }
 
 // Service returns the service stand-in of a name, or nil.
-func (w *World) Service(name string) *stand.Service { return w.services[name] }
+func (d *Deployment) Service(name string) *stand.Service { return d.services[name] }
 
 // Servers returns the documents of the backend servers.
-func (w *World) Servers() []wire.Server { return w.servers }
+func (d *Deployment) Servers() []wire.Server { return d.servers }
 
 // Overcommits returns how often the memory of any engine was overcommitted.
-func (w *World) Overcommits() int {
+func (d *Deployment) Overcommits() int {
 	total := 0
-	for _, e := range w.engines {
+	for _, e := range d.engines {
 		total += int(e.Counts().Overcommits)
 	}
 	return total
 }
 
-// Moves returns the number of model and adapter loads and unloads that the engines have executed.
-func (w *World) Moves() int {
+// LoadsAndUnloads returns the number of model and adapter loads and unloads that the engines have
+// executed.
+func (d *Deployment) LoadsAndUnloads() int {
 	total := 0
-	for _, e := range w.engines {
+	for _, e := range d.engines {
 		c := e.Counts()
 		total += int(c.Loads + c.Unloads)
 	}
@@ -56,16 +57,16 @@
 
 // UnreachableModels returns the models and adapters of the active profiles that no running engine
 // holds.
-func (w *World) UnreachableModels() []ctrl.Artifact {
+func (d *Deployment) UnreachableModels() []ctrl.Artifact {
 	var missing []ctrl.Artifact
-	for _, obj := range w.Platform.List(profs.Kind).Items {
+	for _, obj := range d.Platform.List(profs.Kind).Items {
 		doc, err := profs.Parse(obj.Value)
 		if err != nil || doc.Retired {
 			continue
 		}
 		for _, m := range doc.Models {
-			for _, a := range (naive.Demand{Model: m}).Artifacts() {
-				if !w.isLoaded(a) {
+			for _, a := range (naive.PoolModel{Model: m}).Artifacts() {
+				if !d.isLoaded(a) {
 					missing = append(missing, a)
 				}
 			}
@@ -74,33 +75,33 @@
 	return missing
 }
 
-func (w *World) isLoaded(a ctrl.Artifact) bool {
-	for name, e := range w.engines {
-		if !w.isKilled(name) && e.Has(a.Model, a.Adapter) {
+func (d *Deployment) isLoaded(a ctrl.Artifact) bool {
+	for name, e := range d.engines {
+		if !d.isKilled(name) && e.Has(a.Model, a.Adapter) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *World) isKilled(server string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.killed[server]
+func (d *Deployment) isKilled(server string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.killed[server]
 }
 
-// OnlyCopies returns the number of models and adapters that no running engine except the named one
+// SoleCopies returns the number of models and adapters that no running engine except the named one
 // holds.
-func (w *World) OnlyCopies(server string) int {
-	e := w.engines[server]
+func (d *Deployment) SoleCopies(server string) int {
+	e := d.engines[server]
 	if e == nil {
 		return 0
 	}
 	count := 0
 	for _, r := range e.Report().Residents {
 		others := 0
-		for name, other := range w.engines {
-			if name != server && !w.isKilled(name) && other.Has(r.Model, r.Adapter) {
+		for name, other := range d.engines {
+			if name != server && !d.isKilled(name) && other.Has(r.Model, r.Adapter) {
 				others++
 			}
 		}
@@ -115,12 +116,12 @@
 
 // WaitReady waits until every VM is ready and has reports from all servers, and every model is
 // loaded on an engine.
-func (w *World) WaitReady(ctx context.Context) error {
+func (d *Deployment) WaitReady(ctx context.Context) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		vms := w.VMs()
-		if len(w.Ready()) == len(vms) && len(w.UnreachableModels()) == 0 && w.allServersReported(vms) {
+		vms := d.VMs()
+		if len(d.ReadyAddresses()) == len(vms) && len(d.UnreachableModels()) == 0 && d.allServersReported(vms) {
 			return nil
 		}
 		select {
@@ -132,9 +133,9 @@
 }
 
 // allServersReported reports whether every VM has received a report from every server.
-func (w *World) allServersReported(vms map[string]*entry.Daemon) bool {
-	for _, d := range vms {
-		if !d.SeesServers() {
+func (d *Deployment) allServersReported(vms map[string]*entry.Daemon) bool {
+	for _, vm := range vms {
+		if !vm.SeesServers() {
 			return false
 		}
 	}
@@ -142,18 +143,18 @@
 }
 
 // Close kills all VMs and closes all stand-ins immediately.
-func (w *World) Close() {
-	for _, d := range w.VMs() {
-		d.Kill()
+func (d *Deployment) Close() {
+	for _, vm := range d.VMs() {
+		vm.Kill()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.httpServers {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, s := range d.httpServers {
 		_ = s.Close()
 	}
 }
 
 // StoreClient returns a client of the platform store with the given client name.
-func (w *World) StoreClient(name string) *store.Client {
-	return store.New("http://"+w.platformAddress, w.options.Settings.Text("platform", "key"), name)
+func (d *Deployment) StoreClient(name string) *store.Client {
+	return store.New("http://"+d.platformAddress, d.options.Settings.Text("platform", "key"), name)
 }
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -19,7 +19,7 @@
 
 // tryCall sends a once-only call to a VM and returns its outcome, "" when the VM
 // did not answer.
-func tryCall(w *demo.World, vm, id string) string {
+func tryCall(w *demo.Deployment, vm, id string) string {
 	d := w.VMs()[vm]
 	if d == nil {
 		return ""
@@ -39,7 +39,7 @@
 
 // callers send each of many keys several times, through any VM, until it is
 // told done, and note what else they are told.
-func callers(w *demo.World, keys int, vms []string, told func(id, outcome string)) *sync.WaitGroup {
+func callers(w *demo.Deployment, keys int, vms []string, told func(id, outcome string)) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range keys {
 		wg.Go(func() {
--- a/entry/control.go
+++ b/entry/control.go
@@ -50,7 +50,7 @@
 	term *term
 	// demand and swap outlive a term: every VM follows the demand.
 	demand plan.Demand
-	swap   naive.Swap
+	swap   naive.LRUPlacer
 }
 
 // term is the state of one holding of the lease. A new one begins by reading
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -130,7 +130,7 @@
 		rng: rng,
 	}
 	if d.config.Baseline {
-		relay.choosePolicy = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.Choose(c) }
+		relay.choosePolicy = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.LeastLoaded(c) }
 		relay.budget = &retry.Budget{Reserve: math.MaxInt32}
 		relay.backoff = retry.Backoff{}
 		relay.resumes = 0
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -20,7 +20,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-func engines(w *demo.World) []*stand.Engine {
+func engines(w *demo.Deployment) []*stand.Engine {
 	var all []*stand.Engine
 	for _, s := range w.Servers() {
 		if e := w.Engine(s.Name); e != nil {
@@ -94,7 +94,7 @@
 	require.Equal(t, 2, w.Runs.Of("dies"))
 }
 
-func waitCopies(t *testing.T, w *demo.World, model string, copies int) {
+func waitCopies(t *testing.T, w *demo.Deployment, model string, copies int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		n := 0
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -46,7 +46,7 @@
 				names = append(names, m)
 			}
 		}
-		c.swap.Use(now, domain, names)
+		c.swap.RecordUse(now, domain, names)
 	}
 	c.demand.Observe(now, total)
 }
@@ -59,7 +59,7 @@
 	case "static":
 		p.Output = c.static(in)
 	case "swap":
-		p.Output = c.swap.Make(c.d.now(), in)
+		p.Output = c.swap.Place(c.d.now(), in)
 	default:
 		p.Output = plan.Make(in)
 	}
@@ -82,10 +82,10 @@
 }
 
 // demands returns the models of the profiles in force.
-func (d *Daemon) demands() []naive.Demand {
-	var demands []naive.Demand
+func (d *Daemon) demands() []naive.PoolModel {
+	var demands []naive.PoolModel
 	for _, m := range d.deployed() {
-		demands = append(demands, naive.Demand{Pool: m.pool, Model: m.model})
+		demands = append(demands, naive.PoolModel{Pool: m.pool, Model: m.model})
 	}
 	return demands
 }
@@ -121,7 +121,7 @@
 func (c *controller) planModels() []plan.Model {
 	var models []plan.Model
 	for _, m := range c.d.deployed() {
-		artifacts := naive.Demand{Model: m.model}.Artifacts()
+		artifacts := naive.PoolModel{Model: m.model}.Artifacts()
 		bytes := 0
 		for _, a := range artifacts {
 			bytes += a.Bytes
--- a/entry/testdata_test.go
+++ b/entry/testdata_test.go
@@ -64,14 +64,14 @@
 const longestTest = time.Minute
 
 // world runs the small deployment: a profile of each kind on two servers.
-func world(t *testing.T, adjust func(*entry.Config)) *demo.World {
+func world(t *testing.T, adjust func(*entry.Config)) *demo.Deployment {
 	t.Helper()
 	settings, err := conf.Parse([]byte(smallSettings))
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), longestTest)
 	t.Cleanup(cancel)
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), Adjust: adjust,
+		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), AdjustVM: adjust,
 	})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
@@ -106,12 +106,12 @@
 }
 
 // post sends a request to a VM; headers are given as name, value pairs.
-func post(t *testing.T, w *demo.World, vm, path, body string, headers ...string) reply {
+func post(t *testing.T, w *demo.Deployment, vm, path, body string, headers ...string) reply {
 	t.Helper()
 	return send(t, w, http.MethodPost, vm, path, body, headers...)
 }
 
-func send(t *testing.T, w *demo.World, method, vm, path, body string, headers ...string) reply {
+func send(t *testing.T, w *demo.Deployment, method, vm, path, body string, headers ...string) reply {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), longestTest)
 	defer cancel()
--- a/naive/claims.go
+++ b/naive/claims.go
@@ -50,8 +50,9 @@
 func (c *Claims) readBack(ctx context.Context, now time.Time, r dedup.Request) (dedup.Decision, error) {
 	obj, err := c.Get(ctx, ClaimKind, r.StoredKey())
 	if trace.IsNotFound(err) {
-		// The update with the lost response is not applied yet, but may be applied later. The request is
-		// not sent, so a claim that is stored later only leaves the outcome of the key unknown.
+		// The update with the lost response is not applied yet, but may be applied later. The
+		// request is not sent, so a claim that is stored later only leaves the outcome of the key
+		// unknown.
 		return unavailable(), nil
 	}
 	if err != nil {
--- a/naive/gate.go
+++ b/naive/gate.go
@@ -181,8 +181,8 @@
 	return started
 }
 
-// servedBefore reports whether a starts before b: by rank, then by the caller's virtual start time, then in
-// ticket order.
+// servedBefore reports whether a starts before b: by rank, then by the caller's virtual start time,
+// then in ticket order.
 func (g *Gate) servedBefore(a, b admit.Ticket) bool {
 	if a.Rank() != b.Rank() {
 		return a.Rank() > b.Rank()
--- a/naive/keys.go
+++ b/naive/keys.go
@@ -7,33 +7,33 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Keys implements the rules for claims on idempotency keys in the simplest form: a map, for one process
-// that never fails.
-type Keys struct{ claims map[string]wire.Claim }
+// MemoryClaims implements the rules for claims on idempotency keys in the simplest form: a map, for
+// one process that never fails.
+type MemoryClaims struct{ claims map[string]wire.Claim }
 
 // Claim grants a key that is unclaimed or whose claim has expired.
-func (k *Keys) Claim(now time.Time, r dedup.Request) dedup.Verdict {
-	if k.claims == nil {
-		k.claims = make(map[string]wire.Claim)
+func (m *MemoryClaims) Claim(now time.Time, r dedup.Request) dedup.Verdict {
+	if m.claims == nil {
+		m.claims = make(map[string]wire.Claim)
 	}
-	c, used := k.claims[r.StoredKey()]
+	c, used := m.claims[r.StoredKey()]
 	if used && !dedup.Expired(now, c) {
 		return dedup.Judge(now, r, c).Verdict
 	}
-	k.claims[r.StoredKey()] = dedup.NewClaim(now, r)
+	m.claims[r.StoredKey()] = dedup.NewClaim(now, r)
 	return dedup.Granted
 }
 
-// End records the final state of a granted claim. A released key can be claimed again.
-func (k *Keys) End(r dedup.Request, state wire.ClaimState) {
-	c, used := k.claims[r.StoredKey()]
+// Finish records the final state of a granted claim. A released key can be claimed again.
+func (m *MemoryClaims) Finish(r dedup.Request, state wire.ClaimState) {
+	c, used := m.claims[r.StoredKey()]
 	if !used || c.Grant != r.Grant || c.State != wire.ClaimStateGranted {
 		return
 	}
 	if state == wire.ClaimStateReleased {
-		delete(k.claims, r.StoredKey())
+		delete(m.claims, r.StoredKey())
 		return
 	}
 	c.State = state
-	k.claims[r.StoredKey()] = c
+	m.claims[r.StoredKey()] = c
 }
--- a/naive/lru.go
+++ b/naive/lru.go
@@ -8,38 +8,38 @@
 	"github.com/hibiscuscart/hibiscuscart/plan"
 )
 
-// Swap places models like an LRU cache per failure domain. If callers in a domain request a model that
-// none of its servers holds, one of the servers loads it and evicts the models that were least recently
-// requested in that domain. The last copy of a model is never evicted. The zero value is ready to use
-// and has no recorded requests.
-type Swap struct {
+// LRUPlacer places models like an LRU cache per failure domain. If callers in a domain request a
+// model that none of its servers holds, one of the servers loads it and evicts the models that were
+// least recently requested in that domain. The last copy of a model is never evicted. The zero
+// value is ready to use and has no recorded requests.
+type LRUPlacer struct {
 	lastUsed map[string]map[string]time.Time // by failure domain and model
 }
 
-// Use records that callers in a failure domain request models at time now.
-func (s *Swap) Use(now time.Time, domain string, models []string) {
-	if s.lastUsed == nil {
-		s.lastUsed = make(map[string]map[string]time.Time)
+// RecordUse records that callers in a failure domain request models at time now.
+func (p *LRUPlacer) RecordUse(now time.Time, domain string, models []string) {
+	if p.lastUsed == nil {
+		p.lastUsed = make(map[string]map[string]time.Time)
 	}
-	if s.lastUsed[domain] == nil {
-		s.lastUsed[domain] = make(map[string]time.Time)
+	if p.lastUsed[domain] == nil {
+		p.lastUsed[domain] = make(map[string]time.Time)
 	}
 	for _, m := range models {
-		s.lastUsed[domain][m] = now
+		p.lastUsed[domain][m] = now
 	}
 }
 
-// recentUseWindow is the maximum age of a request for a model that makes Make load it.
+// recentUseWindow is the maximum age of a request for a model that makes Place load it.
 const recentUseWindow = 2 * time.Second
 
-// Make returns the placement for the requests recorded by Use.
-func (s *Swap) Make(now time.Time, in plan.Input) plan.Output {
+// Place returns the placement for the requests recorded by RecordUse.
+func (p *LRUPlacer) Place(now time.Time, in plan.Input) plan.Output {
 	singleCopies := plan.Make(plan.Input{Servers: in.Servers, Models: withoutDemand(in.Models), Replicas: 1})
 	placement := singleCopies.Placement
 	for _, m := range in.Models {
-		for domain, used := range s.lastUsed {
+		for domain, used := range p.lastUsed {
 			if at, ok := used[m.Name]; ok && now.Sub(at) < recentUseWindow {
-				s.loadIntoDomain(m, domain, in, placement)
+				p.loadIntoDomain(m, domain, in, placement)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 
 // loadIntoDomain adds a model to the server of a failure domain that needs the fewest evictions for it.
 // It does nothing if a server in the domain already holds the model.
-func (s *Swap) loadIntoDomain(m plan.Model, domain string, in plan.Input, placement map[string][]string) {
+func (p *LRUPlacer) loadIntoDomain(m plan.Model, domain string, in plan.Input, placement map[string][]string) {
 	var best plan.Server
 	var evictions []string
 	for _, server := range in.Servers {
@@ -67,7 +67,7 @@
 		if slices.Contains(placement[server.Name], m.Name) {
 			return
 		}
-		serverEvictions, ok := s.selectEvictions(m, server, in, placement)
+		serverEvictions, ok := p.selectEvictions(m, server, in, placement)
 		if ok && (best.Name == "" || len(serverEvictions) < len(evictions)) {
 			best, evictions = server, serverEvictions
 		}
@@ -80,7 +80,7 @@
 
 // selectEvictions returns the models to evict from a server to free memory for m, least recently used
 // first. It reports false if the evictions do not free enough memory.
-func (s *Swap) selectEvictions(m plan.Model, server plan.Server, in plan.Input, placement map[string][]string) ([]string, bool) {
+func (p *LRUPlacer) selectEvictions(m plan.Model, server plan.Server, in plan.Input, placement map[string][]string) ([]string, bool) {
 	sizeBytes := make(map[string]int)
 	for _, other := range in.Models {
 		sizeBytes[other.Name] = other.Bytes
@@ -91,7 +91,7 @@
 	}
 	candidates := slices.Clone(placement[server.Name])
 	slices.SortFunc(candidates, func(a, b string) int {
-		return cmp.Or(s.lastUsed[server.Domain][a].Compare(s.lastUsed[server.Domain][b]), cmp.Compare(a, b))
+		return cmp.Or(p.lastUsed[server.Domain][a].Compare(p.lastUsed[server.Domain][b]), cmp.Compare(a, b))
 	})
 	var evictions []string
 	for _, name := range candidates {
--- a/naive/place.go
+++ b/naive/place.go
@@ -8,13 +8,13 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Demand is a model with its adapters, and the pool whose servers hold it.
-type Demand struct {
+// PoolModel is a model with its adapters, and the pool whose servers hold it.
+type PoolModel struct {
 	Pool  string
 	Model wire.Model
 }
 
-func (d Demand) totalBytes() int {
+func (d PoolModel) totalBytes() int {
 	total := d.Model.Bytes
 	for _, a := range d.Model.Adapters {
 		total += a.Bytes
@@ -23,7 +23,7 @@
 }
 
 // Artifacts returns the model and its adapters.
-func (d Demand) Artifacts() []ctrl.Artifact {
+func (d PoolModel) Artifacts() []ctrl.Artifact {
 	all := []ctrl.Artifact{{Model: d.Model.Name, Version: d.Model.Version, Bytes: d.Model.Bytes}}
 	for _, a := range d.Model.Adapters {
 		all = append(all, ctrl.Artifact{Model: d.Model.Name, Adapter: a.Name, Version: a.Version, Bytes: a.Bytes})
@@ -38,7 +38,7 @@
 // on the server with the most free memory. Further rounds add copies up to the given number, and prefer
 // failure domains with fewer copies of the model. The second result lists the models that fit on no
 // server.
-func Place(servers []wire.Server, demands []Demand, copies int) (Placement, []Demand) {
+func Place(servers []wire.Server, demands []PoolModel, copies int) (Placement, []PoolModel) {
 	p := &placer{placement: make(Placement), freeBytes: make(map[string]int), domainCopies: make(map[string]map[string]int)}
 	for _, s := range servers {
 		p.freeBytes[s.Name] = s.MemoryBytes
@@ -46,10 +46,10 @@
 	p.servers = slices.Clone(servers)
 	slices.SortFunc(p.servers, func(a, b wire.Server) int { return cmp.Compare(a.Name, b.Name) })
 	ordered := slices.Clone(demands)
-	slices.SortFunc(ordered, func(a, b Demand) int {
+	slices.SortFunc(ordered, func(a, b PoolModel) int {
 		return cmp.Or(cmp.Compare(b.totalBytes(), a.totalBytes()), cmp.Compare(a.Model.Name, b.Model.Name))
 	})
-	var unplaced []Demand
+	var unplaced []PoolModel
 	for round := range copies {
 		for _, d := range ordered {
 			if !p.placeCopy(d) && round == 0 {
@@ -69,7 +69,7 @@
 }
 
 // placeCopy places one more copy of a model. It reports false if no server has capacity for it.
-func (p *placer) placeCopy(d Demand) bool {
+func (p *placer) placeCopy(d PoolModel) bool {
 	best := -1
 	for i, s := range p.servers {
 		if s.Pool != d.Pool || p.freeBytes[s.Name] < d.totalBytes() || p.holds(s.Name, d.Model.Name) {
@@ -94,7 +94,7 @@
 
 // preferred reports whether server a is preferred to b: its failure domain has fewer copies of the
 // model, or the same number and a has more free memory.
-func (p *placer) preferred(d Demand, a, b wire.Server) bool {
+func (p *placer) preferred(d PoolModel, a, b wire.Server) bool {
 	copies := p.domainCopies[d.Model.Name]
 	if copies[a.FailureDomain] != copies[b.FailureDomain] {
 		return copies[a.FailureDomain] < copies[b.FailureDomain]
--- a/naive/route.go
+++ b/naive/route.go
@@ -2,9 +2,9 @@
 
 import "github.com/hibiscuscart/hibiscuscart/fleet"
 
-// Choose returns the candidate with the lowest reported load. It ignores failure domains, cached
+// LeastLoaded returns the candidate with the lowest reported load. It ignores failure domains, cached
 // prefixes and the age of the reports. It reports false if there are no candidates.
-func Choose(candidates []fleet.Candidate) (fleet.Candidate, bool) {
+func LeastLoaded(candidates []fleet.Candidate) (fleet.Candidate, bool) {
 	if len(candidates) == 0 {
 		return fleet.Candidate{}, false
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -110,7 +110,7 @@
 			all[i].ReportedLoad = all[i].Load
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		want, _ := naive.Choose(all)
+		want, _ := naive.LeastLoaded(all)
 		// With 400 samples, no candidate is missed.
 		got, ok := route.Policy{Domain: "local", Samples: 400}.Choose(rng, all, 0, nil)
 		require.True(t, ok)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -101,10 +101,10 @@
 	}
 	for _, c := range toBlock {
 		if graceCrashes := crashesBeforeResend[c] - crashesDuringFaults[c]; graceCrashes > crashLimit+maxLaterCrashes {
-			r.checks.Add("request %s crashed %d servers, and %d more within %v after the last fault", c.path, crashesDuringFaults[c], graceCrashes, blockTimeout)
+			r.checks.AddViolation("request %s crashed %d servers, and %d more within %v after the last fault", c.path, crashesDuringFaults[c], graceCrashes, blockTimeout)
 		}
 		if later := r.crashCount(c) - crashesBeforeResend[c]; later > maxLaterCrashes {
-			r.checks.Add("request %s crashed %d servers, and %d more later than %v after the last fault", c.path, crashesBeforeResend[c], later, blockTimeout)
+			r.checks.AddViolation("request %s crashed %d servers, and %d more later than %v after the last fault", c.path, crashesBeforeResend[c], later, blockTimeout)
 		}
 	}
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -65,11 +65,11 @@
 			v.signal(syscall.SIGCONT)
 		}, "pause"
 	case 3:
-		return proxyFault(v.store, Silence), "store_silent"
+		return proxyFault(v.store, Stall), "store_silent"
 	case 4:
-		return proxyFault(v.store, OneWay), "store_one_way"
+		return proxyFault(v.store, StallResponses), "store_one_way"
 	case 5:
-		return proxyFault(front, Silence), "server_silent"
+		return proxyFault(front, Stall), "server_silent"
 	case 6:
 		return proxyFault(front, Delay), "server_delayed"
 	case 7:
@@ -85,23 +85,23 @@
 	case 10:
 		return func(context.Context, time.Duration) { r.site.Objects.Compact() }, "store_compacted"
 	case 11:
-		return r.injectServerFaults(demo.SitePlain, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
+		return r.injectServerFaults(demo.SitePlainService, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
 	case 12:
-		return r.injectServerFaults(demo.SiteModel, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
+		return r.injectServerFaults(demo.SiteModelService, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
 	}
 	return func(context.Context, time.Duration) {
 		if err := r.site.Configure(version, demo.SiteRoutes()); err != nil {
-			r.checks.Add("configuration not written: %v", err)
+			r.checks.AddViolation("configuration not written: %v", err)
 		}
 	}, "configuration"
 }
 
 // proxyFault returns a fault that sets the mode of a proxy for its duration.
-func proxyFault(p *Proxy, m Mode) fault {
+func proxyFault(p *Proxy, m ProxyMode) fault {
 	return func(ctx context.Context, d time.Duration) {
-		p.Set(m)
+		p.SetMode(m)
 		pause.For(ctx, d)
-		p.Set(Pass)
+		p.SetMode(Forward)
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // restart returns a fault that ends a process with a signal and restarts it.
 func (r *run) restart(v *vm, s syscall.Signal) fault {
-	return func(_ context.Context, d time.Duration) {
+	return func(_ context.Context, delay time.Duration) {
 		if !v.reserve() {
 			return
 		}
@@ -127,11 +127,11 @@
 		// A paused process handles SIGTERM only after SIGCONT.
 		v.signal(syscall.SIGCONT)
 		if !v.waitExit() {
-			r.checks.Add("a VM did not exit after signal %v", s)
+			r.checks.AddViolation("a VM did not exit after signal %v", s)
 		}
-		time.Sleep(min(d, maxRestartDelay))
+		time.Sleep(min(delay, maxRestartDelay))
 		if err := v.start(r.options.Program); err != nil {
-			r.checks.Add("a VM did not restart: %v", err)
+			r.checks.AddViolation("a VM did not restart: %v", err)
 		}
 	}
 }
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -24,7 +24,7 @@
 // VMs, and checks the requests that the server receives. It guards against all VMs together sending
 // the server more requests than its rate limit allows.
 func (r *run) checkLimit(ctx context.Context) {
-	backend := r.site.Backends(demo.SitePlain)[0]
+	backend := r.site.Backends(demo.SitePlainService)[0]
 	limitedAt := time.Now()
 	backend.SetLimit(limitRate, true)
 	ctx, cancel := context.WithTimeout(ctx, limitLoadDuration)
@@ -34,7 +34,7 @@
 		wait.Go(func() { r.sendLoad(ctx, v) })
 	}
 	wait.Wait()
-	r.checks.Limit(backend, limitedAt)
+	r.checks.CheckRateLimit(backend, limitedAt)
 	backend.SetLimit(0, false)
 }
 
@@ -47,7 +47,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		wait.Go(func() {
 			rng := rand.New(rand.NewPCG(r.options.Seed, uint64(i)))
-			r.checks.Answer(r.site.Ask(context.Background(), client, r.vms[v].listen, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteKinds[0], rng))
+			r.checks.CheckOutcome(r.site.SendRequest(context.Background(), client, r.vms[v].listen, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteRequestKinds[0], rng))
 		})
 		time.Sleep(limitLoadInterval)
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Mode selects how a Proxy handles the bytes that it receives.
-type Mode int
+// ProxyMode selects how a Proxy handles the bytes that it receives.
+type ProxyMode int
 
 // Modes of a Proxy.
 const (
-	// Pass forwards all bytes.
-	Pass Mode = iota
+	// Forward forwards all bytes.
+	Forward ProxyMode = iota
 	// Delay forwards all bytes after a delay.
 	Delay
-	// Silence keeps connections open but forwards no bytes in either direction.
-	Silence
-	// OneWay forwards bytes to the target but no bytes from it.
-	OneWay
+	// Stall keeps connections open but forwards no bytes in either direction.
+	Stall
+	// StallResponses forwards bytes to the target but no bytes from it.
+	StallResponses
 )
 
 const (
@@ -34,7 +34,7 @@
 
 	mu     sync.Mutex
 	target string
-	mode   Mode
+	mode   ProxyMode
 	conns  map[net.Conn]bool
 }
 
@@ -60,8 +60,8 @@
 	p.target = address
 }
 
-// Set changes the mode for all connections.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode for all connections.
+func (p *Proxy) SetMode(m ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -144,7 +144,7 @@
 		p.mu.Lock()
 		mode, open := p.mode, len(p.conns) > 0
 		p.mu.Unlock()
-		held := mode == Silence || mode == OneWay && back || mode == Delay && waited < addedDelay
+		held := mode == Stall || mode == StallResponses && back || mode == Delay && waited < addedDelay
 		if !held {
 			return true
 		}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -28,8 +28,8 @@
 	// Program is the path of the hibiscuscart program, and Dir the folder for settings and logs.
 	Program, Dir string
 	Seed         uint64
-	// For is the duration of the faults and the load.
-	For time.Duration
+	// Duration is the duration of the faults and the load.
+	Duration time.Duration
 	// VMs is the number of VMs; 0 means three. Callers is the number of callers; 0 means twelve.
 	VMs, Callers int
 }
@@ -43,8 +43,8 @@
 	// response.
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
-	// Broken describes the violated guarantees.
-	Broken []string `json:"broken"`
+	// Violations describes the violated guarantees.
+	Violations []string `json:"broken"`
 }
 
 const (
@@ -119,7 +119,7 @@
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
-	load, cancel := context.WithTimeout(ctx, o.For)
+	load, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	var wait sync.WaitGroup
 	for i := range o.Callers {
@@ -129,19 +129,19 @@
 	r.injectFaults(load)
 	wait.Wait()
 	r.checkRecovery(ctx)
-	r.checks.Runs(r.outcomes, r.site.Runs)
-	for _, b := range r.site.Backends(demo.SiteModel) {
+	r.checks.CheckExecutions(r.outcomes, r.site.Runs)
+	for _, b := range r.site.Backends(demo.SiteModelService) {
 		if b.Crashed() {
-			r.checks.Add("server %s was ordered to exceed its memory or adapter slots", b.ID)
+			r.checks.AddViolation("server %s was ordered to exceed its memory or adapter slots", b.ID)
 		}
 	}
 	return r.result(), nil
 }
 
 func (r *run) result() Result {
-	res := Result{Seed: r.options.Seed, Faults: r.faults, Requests: len(r.outcomes), Broken: r.checks.Broken()}
+	res := Result{Seed: r.options.Seed, Faults: r.faults, Requests: len(r.outcomes), Violations: r.checks.Violations()}
 	for _, o := range r.outcomes {
-		if o.Good() {
+		if o.Succeeded() {
 			res.Served++
 		}
 	}
@@ -150,7 +150,7 @@
 
 func (r *run) start(ctx context.Context) error {
 	var err error
-	r.site, err = demo.StartSite(ctx, demo.SiteOptions{NoVMs: true, Front: r.proxyAddress, CrashBody: crashBody, Log: zerolog.Nop()})
+	r.site, err = demo.StartSite(ctx, demo.SiteOptions{NoVMs: true, RegisteredAddress: r.proxyAddress, CrashBody: crashBody, Log: zerolog.Nop()})
 	if err != nil {
 		return fmt.Errorf("start stand-ins: %w", err)
 	}
@@ -265,9 +265,9 @@
 	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
-		k := demo.SiteKinds[rng.IntN(len(demo.SiteKinds))]
-		o := r.site.Ask(context.Background(), client, r.vms[rng.IntN(len(r.vms))].listen, fmt.Sprintf("%d-%d-%d", r.options.Seed, n, i), k, rng)
-		r.checks.Answer(o)
+		k := demo.SiteRequestKinds[rng.IntN(len(demo.SiteRequestKinds))]
+		o := r.site.SendRequest(context.Background(), client, r.vms[rng.IntN(len(r.vms))].listen, fmt.Sprintf("%d-%d-%d", r.options.Seed, n, i), k, rng)
+		r.checks.CheckOutcome(o)
 		r.mu.Lock()
 		r.outcomes = append(r.outcomes, o)
 		r.mu.Unlock()
@@ -282,8 +282,8 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i, v := range r.vms {
 		for n := 0; ; n++ {
-			o := r.site.Ask(context.Background(), client, v.listen, fmt.Sprintf("await-%d-%d-%d", i, time.Now().UnixNano(), n), demo.SiteKinds[0], rng)
-			if o.Good() {
+			o := r.site.SendRequest(context.Background(), client, v.listen, fmt.Sprintf("await-%d-%d-%d", i, time.Now().UnixNano(), n), demo.SiteRequestKinds[0], rng)
+			if o.Succeeded() {
 				break
 			}
 			if time.Now().After(deadline) || ctx.Err() != nil {
@@ -301,21 +301,21 @@
 func (r *run) checkRecovery(ctx context.Context) {
 	r.clearFaults()
 	if err := r.waitServing(ctx, recoveryTimeout); err != nil {
-		r.checks.Add("no recovery after the last fault: %v", err)
+		r.checks.AddViolation("no recovery after the last fault: %v", err)
 		return
 	}
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	deadline := time.Now().Add(recoveryTimeout)
 	for _, model := range demo.SiteModels {
-		k := demo.Kind{Name: "draft", Method: http.MethodPost, Path: "/draft/x", Stream: true, Models: []string{model}}
+		k := demo.RequestKind{Name: "draft", Method: http.MethodPost, Path: "/draft/x", Stream: true, Models: []string{model}}
 		for n := 0; ; n++ {
-			o := r.site.Ask(context.Background(), client, r.vms[0].listen, fmt.Sprintf("reach-%s-%d-%d", model, r.options.Seed, n), k, rand.New(rand.NewPCG(1, 1)))
-			r.checks.Answer(o)
-			if o.Good() {
+			o := r.site.SendRequest(context.Background(), client, r.vms[0].listen, fmt.Sprintf("reach-%s-%d-%d", model, r.options.Seed, n), k, rand.New(rand.NewPCG(1, 1)))
+			r.checks.CheckOutcome(o)
+			if o.Succeeded() {
 				break
 			}
 			if time.Now().After(deadline) {
-				r.checks.Add("model %s is not reachable", model)
+				r.checks.AddViolation("model %s is not reachable", model)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -328,7 +328,7 @@
 	for i, v := range r.vms {
 		v.signal(syscall.SIGTERM)
 		if !v.waitExit() {
-			r.checks.Add("VM %d did not exit after SIGTERM", i)
+			r.checks.AddViolation("VM %d did not exit after SIGTERM", i)
 		}
 	}
 }
@@ -336,14 +336,14 @@
 // clearFaults clears all injected faults and resumes paused processes.
 func (r *run) clearFaults() {
 	r.site.Objects.SetFaults(stand.ObjectFaults{})
-	for _, b := range append(r.site.Backends(demo.SiteModel), r.site.Backends(demo.SitePlain)...) {
+	for _, b := range append(r.site.Backends(demo.SiteModelService), r.site.Backends(demo.SitePlainService)...) {
 		b.SetStrikes(nil)
 	}
 	for _, p := range r.serverProxies {
-		p.Set(Pass)
+		p.SetMode(Forward)
 	}
 	for _, v := range r.vms {
-		v.store.Set(Pass)
+		v.store.SetMode(Forward)
 		v.signal(syscall.SIGCONT)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,9 +26,9 @@
 	for _, seed := range append([]uint64{7}, failedSeeds(t)...) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: t.TempDir(), Seed: seed, For: testDuration})
+			res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: t.TempDir(), Seed: seed, Duration: testDuration})
 			require.NoError(t, err)
-			require.Empty(t, res.Broken)
+			require.Empty(t, res.Violations)
 			require.NotZero(t, res.Served)
 			require.NotEmpty(t, res.Faults)
 		})
