--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -19,18 +19,18 @@
 func main() {
 	program := flag.String("program", "target/hibiscuscart", "`PATH` of the built program")
 	dir := flag.String("dir", "", "`FOLDER` for settings and logs, kept only for failed seeds (default a temporary folder)")
-	from := flag.Uint64("from", uint64(time.Now().UnixNano()), "first `SEED`")
-	seeds := flag.Int("seeds", 1, "number of seeds to run")
-	length := flag.Duration("for", 6*time.Second, "duration of faults and load for each seed")
-	jobs := flag.Int("jobs", 2, "number of seeds to run concurrently")
+	firstSeed := flag.Uint64("from", uint64(time.Now().UnixNano()), "first `SEED`")
+	seedCount := flag.Int("seeds", 1, "number of seeds to run")
+	duration := flag.Duration("for", 6*time.Second, "duration of faults and load for each seed")
+	concurrency := flag.Int("jobs", 2, "number of seeds to run concurrently")
 	flag.Parse()
-	if err := run(*program, *dir, *from, *seeds, *jobs, *length); err != nil {
+	if err := run(*program, *dir, *firstSeed, *seedCount, *concurrency, *duration); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(1)
 	}
 }
 
-func run(program, dir string, from uint64, seeds, jobs int, length time.Duration) error {
+func run(program, dir string, firstSeed uint64, seedCount, concurrency int, duration time.Duration) error {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return fmt.Errorf("resolve path of program: %w", err)
@@ -40,14 +40,14 @@
 			return fmt.Errorf("create folder for settings and logs: %w", err)
 		}
 	}
-	slots, failed := make(chan struct{}, max(jobs, 1)), 0
+	slots, failed := make(chan struct{}, max(concurrency, 1)), 0
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	for i := range seeds {
+	for i := range seedCount {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			ok := runSeed(program, filepath.Join(dir, fmt.Sprint(from+uint64(i))), from+uint64(i), length)
+			ok := runSeed(program, filepath.Join(dir, fmt.Sprint(firstSeed+uint64(i))), firstSeed+uint64(i), duration)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -57,18 +57,18 @@
 	}
 	wait.Wait()
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds failed; logs under %s", failed, seeds, dir)
+		return fmt.Errorf("%d of %d seeds failed; logs under %s", failed, seedCount, dir)
 	}
 	return nil
 }
 
 // runSeed runs one seed and reports whether the run succeeded without a violated guarantee.
-func runSeed(program, dir string, seed uint64, length time.Duration) bool {
+func runSeed(program, dir string, seed uint64, duration time.Duration) bool {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		return false
 	}
-	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, Duration: length})
+	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, Duration: duration})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", seed, err)
 		return false
--- a/demo/check.go
+++ b/demo/check.go
@@ -52,16 +52,16 @@
 	if len(kind.Models) > 0 {
 		model = kind.Models[rng.IntN(len(kind.Models))]
 	}
-	o := Outcome{ID: id, Kind: kind}
+	outcome := Outcome{ID: id, Kind: kind}
 	resp, err := s.Call(ctx, client, address, id, kind.Method, kind.Path, model, "body of "+id)
 	if err != nil {
-		o.Incomplete = true
-		return o
+		outcome.Incomplete = true
+		return outcome
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	o.Status, o.ServerStamp, o.Body, o.Incomplete = resp.StatusCode, ServerStamp(resp), string(body), err != nil
-	return o
+	outcome.Status, outcome.ServerStamp, outcome.Body, outcome.Incomplete = resp.StatusCode, ServerStamp(resp), string(body), err != nil
+	return outcome
 }
 
 // Checks collects descriptions of violated guarantees. The zero value is ready to use. It is safe
--- a/naive/gate.go
+++ b/naive/gate.go
@@ -128,24 +128,24 @@
 	if g.running < g.Limits.Concurrency && len(g.waiting) == 0 {
 		return 0
 	}
-	own, total := 0.0, 0.0
-	others, weights := make(map[string]float64), make(map[string]float64)
+	ownCount, ahead := 0.0, 0.0
+	countByCaller, weights := make(map[string]float64), make(map[string]float64)
 	for _, w := range g.waiting {
 		switch {
 		case w.Rank() > t.Rank():
-			total++
+			ahead++
 		case w.Rank() < t.Rank():
 		case w.Caller == t.Caller:
-			own++
+			ownCount++
 		default:
-			others[w.Caller]++
+			countByCaller[w.Caller]++
 			weights[w.Caller] = float64(w.Weight)
 		}
 	}
-	for caller, n := range others {
-		total += min(n, (own+1)*weights[caller]/float64(max(t.Weight, 1)))
+	for caller, n := range countByCaller {
+		ahead += min(n, (ownCount+1)*weights[caller]/float64(max(t.Weight, 1)))
 	}
-	return time.Duration(float64(g.serviceTime) * (total + own + 1) / float64(max(g.Limits.Concurrency, 1)))
+	return time.Duration(float64(g.serviceTime) * (ahead + ownCount + 1) / float64(max(g.Limits.Concurrency, 1)))
 }
 
 func (g *Gate) start(t admit.Ticket) {
@@ -187,9 +187,9 @@
 	if a.Rank() != b.Rank() {
 		return a.Rank() > b.Rank()
 	}
-	ta, tb := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
-	if a.Caller != b.Caller && ta != tb {
-		return ta < tb
+	startA, startB := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
+	if a.Caller != b.Caller && startA != startB {
+		return startA < startB
 	}
 	return a.Compare(b) < 0
 }
--- a/naive/keys.go
+++ b/naive/keys.go
@@ -16,9 +16,9 @@
 	if m.claims == nil {
 		m.claims = make(map[string]wire.Claim)
 	}
-	c, used := m.claims[r.StoredKey()]
-	if used && !dedup.Expired(now, c) {
-		return dedup.Judge(now, r, c).Verdict
+	claim, exists := m.claims[r.StoredKey()]
+	if exists && !dedup.Expired(now, claim) {
+		return dedup.Judge(now, r, claim).Verdict
 	}
 	m.claims[r.StoredKey()] = dedup.NewClaim(now, r)
 	return dedup.Granted
@@ -26,14 +26,14 @@
 
 // Finish records the final state of a granted claim. A released key can be claimed again.
 func (m *MemoryClaims) Finish(r dedup.Request, state wire.ClaimState) {
-	c, used := m.claims[r.StoredKey()]
-	if !used || c.Grant != r.Grant || c.State != wire.ClaimStateGranted {
+	claim, exists := m.claims[r.StoredKey()]
+	if !exists || claim.Grant != r.Grant || claim.State != wire.ClaimStateGranted {
 		return
 	}
 	if state == wire.ClaimStateReleased {
 		delete(m.claims, r.StoredKey())
 		return
 	}
-	c.State = state
-	m.claims[r.StoredKey()] = c
+	claim.State = state
+	m.claims[r.StoredKey()] = claim
 }
--- a/naive/lru.go
+++ b/naive/lru.go
@@ -37,8 +37,8 @@
 	singleCopies := plan.Make(plan.Input{Servers: in.Servers, Models: withoutDemand(in.Models), Replicas: 1})
 	placement := singleCopies.Placement
 	for _, m := range in.Models {
-		for domain, used := range p.lastUsed {
-			if at, ok := used[m.Name]; ok && now.Sub(at) < recentUseWindow {
+		for domain, models := range p.lastUsed {
+			if lastUse, ok := models[m.Name]; ok && now.Sub(lastUse) < recentUseWindow {
 				p.loadIntoDomain(m, domain, in, placement)
 			}
 		}
--- a/naive/place.go
+++ b/naive/place.go
@@ -51,9 +51,9 @@
 	})
 	var unplaced []PoolModel
 	for round := range copies {
-		for _, d := range ordered {
-			if !p.placeCopy(d) && round == 0 {
-				unplaced = append(unplaced, d)
+		for _, poolModel := range ordered {
+			if !p.placeCopy(poolModel) && round == 0 {
+				unplaced = append(unplaced, poolModel)
 			}
 		}
 	}
@@ -69,13 +69,13 @@
 }
 
 // placeCopy places one more copy of a model. It reports false if no server has capacity for it.
-func (p *placer) placeCopy(d PoolModel) bool {
+func (p *placer) placeCopy(poolModel PoolModel) bool {
 	best := -1
 	for i, s := range p.servers {
-		if s.Pool != d.Pool || p.freeBytes[s.Name] < d.totalBytes() || p.holds(s.Name, d.Model.Name) {
+		if s.Pool != poolModel.Pool || p.freeBytes[s.Name] < poolModel.totalBytes() || p.holds(s.Name, poolModel.Model.Name) {
 			continue
 		}
-		if best < 0 || p.preferred(d, s, p.servers[best]) {
+		if best < 0 || p.preferred(poolModel, s, p.servers[best]) {
 			best = i
 		}
 	}
@@ -83,19 +83,19 @@
 		return false
 	}
 	s := p.servers[best]
-	p.placement[s.Name] = append(p.placement[s.Name], d.Artifacts()...)
-	p.freeBytes[s.Name] -= d.totalBytes()
-	if p.domainCopies[d.Model.Name] == nil {
-		p.domainCopies[d.Model.Name] = make(map[string]int)
+	p.placement[s.Name] = append(p.placement[s.Name], poolModel.Artifacts()...)
+	p.freeBytes[s.Name] -= poolModel.totalBytes()
+	if p.domainCopies[poolModel.Model.Name] == nil {
+		p.domainCopies[poolModel.Model.Name] = make(map[string]int)
 	}
-	p.domainCopies[d.Model.Name][s.FailureDomain]++
+	p.domainCopies[poolModel.Model.Name][s.FailureDomain]++
 	return true
 }
 
 // preferred reports whether server a is preferred to b: its failure domain has fewer copies of the
 // model, or the same number and a has more free memory.
-func (p *placer) preferred(d PoolModel, a, b wire.Server) bool {
-	copies := p.domainCopies[d.Model.Name]
+func (p *placer) preferred(poolModel PoolModel, a, b wire.Server) bool {
+	copies := p.domainCopies[poolModel.Model.Name]
 	if copies[a.FailureDomain] != copies[b.FailureDomain] {
 		return copies[a.FailureDomain] < copies[b.FailureDomain]
 	}
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -57,7 +57,7 @@
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	id := fmt.Sprintf("%s-%d-%d", c.path, r.options.Seed, len(c.ids))
 	c.ids = append(c.ids, id)
-	resp, err := r.site.Call(context.Background(), client, v.listen, id, http.MethodPost, c.path, demo.SiteModels[0], crashBody)
+	resp, err := r.site.Call(context.Background(), client, v.listenAddress, id, http.MethodPost, c.path, demo.SiteModels[0], crashBody)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -30,13 +30,13 @@
 	version := 1
 	for ctx.Err() == nil {
 		pause.For(ctx, time.Duration(rng.Int64N(int64(maxFaultInterval))))
-		length := maxFaultDuration/9 + time.Duration(rng.Int64N(int64(maxFaultDuration)))
-		v, front := r.vms[rng.IntN(len(r.vms))], r.serverProxies[rng.IntN(len(r.serverProxies))]
-		n := 1 + rng.IntN(maxFaultsPerKind)
+		duration := maxFaultDuration/9 + time.Duration(rng.Int64N(int64(maxFaultDuration)))
+		v, serverProxy := r.vms[rng.IntN(len(r.vms))], r.serverProxies[rng.IntN(len(r.serverProxies))]
+		failureCount := 1 + rng.IntN(maxFaultsPerKind)
 		version++
-		fault, name := r.selectFault(rng.IntN(14), v, front, n, version)
+		fault, name := r.selectFault(rng.IntN(14), v, serverProxy, failureCount, version)
 		r.countFault(name)
-		wait.Go(func() { fault(ctx, length) })
+		wait.Go(func() { fault(ctx, duration) })
 	}
 	wait.Wait()
 }
@@ -49,11 +49,11 @@
 }
 
 // fault injects one fault for a duration.
-type fault func(ctx context.Context, length time.Duration)
+type fault func(ctx context.Context, duration time.Duration)
 
 // selectFault returns the fault with an index, and its name in the result.
-func (r *run) selectFault(which int, v *vm, front *Proxy, n, version int) (fault, string) {
-	switch which {
+func (r *run) selectFault(index int, v *vm, serverProxy *Proxy, failureCount, version int) (fault, string) {
+	switch index {
 	case 0:
 		return r.restart(v, syscall.SIGKILL), "kill"
 	case 1:
@@ -65,29 +65,29 @@
 			v.signal(syscall.SIGCONT)
 		}, "pause"
 	case 3:
-		return proxyFault(v.store, Stall), "store_silent"
+		return proxyFault(v.storeProxy, Stall), "store_silent"
 	case 4:
-		return proxyFault(v.store, StallResponses), "store_one_way"
+		return proxyFault(v.storeProxy, StallResponses), "store_one_way"
 	case 5:
-		return proxyFault(front, Stall), "server_silent"
+		return proxyFault(serverProxy, Stall), "server_silent"
 	case 6:
-		return proxyFault(front, Delay), "server_delayed"
+		return proxyFault(serverProxy, Delay), "server_delayed"
 	case 7:
-		return func(context.Context, time.Duration) { front.Reset() }, "server_reset"
+		return func(context.Context, time.Duration) { serverProxy.Reset() }, "server_reset"
 	case 8:
-		return func(context.Context, time.Duration) { v.store.Reset() }, "store_reset"
+		return func(context.Context, time.Duration) { v.storeProxy.Reset() }, "store_reset"
 	case 9:
 		return func(ctx context.Context, d time.Duration) {
-			r.site.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}, LoseAnswers: n})
+			r.site.Objects.SetFaults(stand.ObjectFaults{Away: []string{"*"}, LoseAnswers: failureCount})
 			pause.For(ctx, d)
 			r.site.Objects.SetFaults(stand.ObjectFaults{})
 		}, "store_away"
 	case 10:
 		return func(context.Context, time.Duration) { r.site.Objects.Compact() }, "store_compacted"
 	case 11:
-		return r.injectServerFaults(demo.SitePlainService, stand.BackendFaults{Fail: n, Lose: n, Stray: n, Refuse: n, Forge: n}), "plain_servers"
+		return r.injectServerFaults(demo.SitePlainService, stand.BackendFaults{Fail: failureCount, Lose: failureCount, Stray: failureCount, Refuse: failureCount, Forge: failureCount}), "plain_servers"
 	case 12:
-		return r.injectServerFaults(demo.SiteModelService, stand.BackendFaults{Lose: n, Cut: n, Refuse: n, LoseOrders: n}), "model_servers"
+		return r.injectServerFaults(demo.SiteModelService, stand.BackendFaults{Lose: failureCount, Cut: failureCount, Refuse: failureCount, LoseOrders: failureCount}), "model_servers"
 	}
 	return func(context.Context, time.Duration) {
 		if err := r.site.Configure(version, demo.SiteRoutes()); err != nil {
@@ -97,21 +97,21 @@
 }
 
 // proxyFault returns a fault that sets the mode of a proxy for its duration.
-func proxyFault(p *Proxy, m ProxyMode) fault {
-	return func(ctx context.Context, d time.Duration) {
-		p.SetMode(m)
-		pause.For(ctx, d)
+func proxyFault(p *Proxy, mode ProxyMode) fault {
+	return func(ctx context.Context, duration time.Duration) {
+		p.SetMode(mode)
+		pause.For(ctx, duration)
 		p.SetMode(Forward)
 	}
 }
 
-// injectServerFaults returns a fault that makes the backend servers of a service inject f. The counts
-// in f apply to all servers together.
-func (r *run) injectServerFaults(service string, f stand.BackendFaults) fault {
+// injectServerFaults returns a fault that makes the backend servers of a service inject the given
+// faults. The counts apply to all servers together.
+func (r *run) injectServerFaults(service string, faults stand.BackendFaults) fault {
 	return func(context.Context, time.Duration) {
-		s := stand.NewStrikes(f)
+		sharedFaults := stand.NewStrikes(faults)
 		for _, b := range r.site.Backends(service) {
-			b.SetStrikes(s)
+			b.SetStrikes(sharedFaults)
 		}
 	}
 }
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -47,7 +47,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		wait.Go(func() {
 			rng := rand.New(rand.NewPCG(r.options.Seed, uint64(i)))
-			r.checks.CheckOutcome(r.site.SendRequest(context.Background(), client, r.vms[v].listen, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteRequestKinds[0], rng))
+			r.checks.CheckOutcome(r.site.SendRequest(context.Background(), client, r.vms[v].listenAddress, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteRequestKinds[0], rng))
 		})
 		time.Sleep(limitLoadInterval)
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -61,10 +61,10 @@
 }
 
 // SetMode changes the mode for all connections.
-func (p *Proxy) SetMode(m ProxyMode) {
+func (p *Proxy) SetMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mode = m
+	p.mode = mode
 }
 
 // Reset closes all connections with a TCP reset.
@@ -88,42 +88,42 @@
 
 func (p *Proxy) accept() {
 	for {
-		in, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(in)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(in net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	out, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = in.Close()
+		_ = client.Close()
 		return
 	}
 	p.mu.Lock()
-	p.conns[in], p.conns[out] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	go p.copy(out, in, false)
-	p.copy(in, out, true)
+	go p.copy(server, client, false)
+	p.copy(client, server, true)
 	p.mu.Lock()
-	delete(p.conns, in)
-	delete(p.conns, out)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
 // copy forwards the bytes of one direction until either connection is closed.
-func (p *Proxy) copy(to, from net.Conn, back bool) {
+func (p *Proxy) copy(to, from net.Conn, response bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if !p.waitUntilForwarded(back) {
+		if !p.waitUntilForwarded(response) {
 			return
 		}
 		if n > 0 {
@@ -139,12 +139,12 @@
 
 // waitUntilForwarded waits until the mode allows forwarding. It reports false if all connections
 // were reset while it waited.
-func (p *Proxy) waitUntilForwarded(back bool) bool {
+func (p *Proxy) waitUntilForwarded(response bool) bool {
 	for waited := time.Duration(0); ; waited += modePollInterval {
 		p.mu.Lock()
 		mode, open := p.mode, len(p.conns) > 0
 		p.mu.Unlock()
-		held := mode == Stall || mode == StallResponses && back || mode == Delay && waited < addedDelay
+		held := mode == Stall || mode == StallResponses && response || mode == Delay && waited < addedDelay
 		if !held {
 			return true
 		}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -79,9 +79,9 @@
 
 // vm is one VM process with the proxy between it and the store.
 type vm struct {
-	settings, listen string
-	store            *Proxy
-	log              *os.File
+	settingsPath, listenAddress string
+	storeProxy                  *Proxy
+	logFile                     *os.File
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -119,14 +119,14 @@
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
-	load, cancel := context.WithTimeout(ctx, o.Duration)
+	loadCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	var wait sync.WaitGroup
 	for i := range o.Callers {
-		wait.Go(func() { r.sendRequests(load, i) })
+		wait.Go(func() { r.sendRequests(loadCtx, i) })
 	}
-	wait.Go(func() { r.crashServers(load) })
-	r.injectFaults(load)
+	wait.Go(func() { r.crashServers(loadCtx) })
+	r.injectFaults(loadCtx)
 	wait.Wait()
 	r.checkRecovery(ctx)
 	r.checks.CheckExecutions(r.outcomes, r.site.Runs)
@@ -188,19 +188,19 @@
 	if err != nil {
 		return fmt.Errorf("start proxy for the store: %w", err)
 	}
-	v := &vm{store: store, settings: filepath.Join(r.options.Dir, fmt.Sprintf("vm-%d.ini", i))}
+	v := &vm{storeProxy: store, settingsPath: filepath.Join(r.options.Dir, fmt.Sprintf("vm-%d.ini", i))}
 	r.vms = append(r.vms, v)
 	text, err := demo.VMSettings(i, store.Address())
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(v.settings, text, 0o600); err != nil {
+	if err := os.WriteFile(v.settingsPath, text, 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
-	if v.listen, err = demo.ListenAddress(text); err != nil {
+	if v.listenAddress, err = demo.ListenAddress(text); err != nil {
 		return err
 	}
-	if v.log, err = os.Create(filepath.Join(r.options.Dir, fmt.Sprintf("vm-%d.log", i))); err != nil {
+	if v.logFile, err = os.Create(filepath.Join(r.options.Dir, fmt.Sprintf("vm-%d.log", i))); err != nil {
 		return fmt.Errorf("create log: %w", err)
 	}
 	return v.start(r.options.Program)
@@ -210,8 +210,8 @@
 func (v *vm) start(program string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	c := exec.Command(program, "node", "-settings", v.settings)
-	c.Stdout, c.Stderr = v.log, v.log
+	c := exec.Command(program, "node", "-settings", v.settingsPath)
+	c.Stdout, c.Stderr = v.logFile, v.logFile
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("start VM: %w", err)
 	}
@@ -266,7 +266,7 @@
 	defer client.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		k := demo.SiteRequestKinds[rng.IntN(len(demo.SiteRequestKinds))]
-		o := r.site.SendRequest(context.Background(), client, r.vms[rng.IntN(len(r.vms))].listen, fmt.Sprintf("%d-%d-%d", r.options.Seed, n, i), k, rng)
+		o := r.site.SendRequest(context.Background(), client, r.vms[rng.IntN(len(r.vms))].listenAddress, fmt.Sprintf("%d-%d-%d", r.options.Seed, n, i), k, rng)
 		r.checks.CheckOutcome(o)
 		r.mu.Lock()
 		r.outcomes = append(r.outcomes, o)
@@ -282,7 +282,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i, v := range r.vms {
 		for n := 0; ; n++ {
-			o := r.site.SendRequest(context.Background(), client, v.listen, fmt.Sprintf("await-%d-%d-%d", i, time.Now().UnixNano(), n), demo.SiteRequestKinds[0], rng)
+			o := r.site.SendRequest(context.Background(), client, v.listenAddress, fmt.Sprintf("await-%d-%d-%d", i, time.Now().UnixNano(), n), demo.SiteRequestKinds[0], rng)
 			if o.Succeeded() {
 				break
 			}
@@ -309,7 +309,7 @@
 	for _, model := range demo.SiteModels {
 		k := demo.RequestKind{Name: "draft", Method: http.MethodPost, Path: "/draft/x", Stream: true, Models: []string{model}}
 		for n := 0; ; n++ {
-			o := r.site.SendRequest(context.Background(), client, r.vms[0].listen, fmt.Sprintf("reach-%s-%d-%d", model, r.options.Seed, n), k, rand.New(rand.NewPCG(1, 1)))
+			o := r.site.SendRequest(context.Background(), client, r.vms[0].listenAddress, fmt.Sprintf("reach-%s-%d-%d", model, r.options.Seed, n), k, rand.New(rand.NewPCG(1, 1)))
 			r.checks.CheckOutcome(o)
 			if o.Succeeded() {
 				break
@@ -343,7 +343,7 @@
 		p.SetMode(Forward)
 	}
 	for _, v := range r.vms {
-		v.store.SetMode(Forward)
+		v.storeProxy.SetMode(Forward)
 		v.signal(syscall.SIGCONT)
 	}
 }
@@ -355,9 +355,9 @@
 			v.signal(syscall.SIGKILL)
 			v.waitFor(exitTimeout)
 		}
-		v.store.Close()
-		if v.log != nil {
-			_ = v.log.Close()
+		v.storeProxy.Close()
+		if v.logFile != nil {
+			_ = v.logFile.Close()
 		}
 	}
 	if r.site != nil {
