--- a/bench/availability.go
+++ b/bench/availability.go
@@ -38,7 +38,7 @@
 			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, RepeatShare: 0.1},
 		},
 		duration: duration,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				if e := w.Engine(doc.Name); e != nil {
 					e.SetResident("draft-1", "", 1, 1<<30)
@@ -63,7 +63,7 @@
 
 // countVersionDecreases samples the version of a profile on every VM. The returned
 // function stops sampling and returns how often a version decreased.
-func countVersionDecreases(w *demo.World, profile string) func() int {
+func countVersionDecreases(w *demo.Deployment, profile string) func() int {
 	lastVersions := make(map[*entry.Daemon]int)
 	return sampleSum(10*time.Millisecond, func() int {
 		decreases := 0
@@ -86,7 +86,7 @@
 	var report availabilityReport
 	var readyAfter time.Duration
 	var failure error
-	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
 		pause.For(ctx, duration/8)
 		w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 		pause.For(ctx, duration/4)
@@ -107,7 +107,7 @@
 
 // replaceVM stops a VM gracefully and starts a fresh one with the same name. It
 // returns the time until the new VM is ready.
-func replaceVM(ctx context.Context, w *demo.World, name string) (time.Duration, error) {
+func replaceVM(ctx context.Context, w *demo.Deployment, name string) (time.Duration, error) {
 	stop, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	if err := w.StopVM(stop, name); err != nil {
@@ -132,7 +132,7 @@
 	var worstReady time.Duration
 	var failure error
 	names := []string{"domain-1-1", "domain-2-1", "domain-3-1", "domain-1-2", "domain-2-2", "domain-3-2"}
-	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
 		for _, name := range names {
 			pause.For(ctx, duration/16)
 			ready, err := replaceVM(ctx, w, name)
@@ -164,15 +164,15 @@
 	var convergedAfter time.Duration
 	var failure error
 	reverts := 0
-	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
 		stop := countVersionDecreases(w, "draft")
 		defer func() { reverts = stop() }()
-		inside, outside := w.Split("domain-3")
+		inside, outside := w.SplitHosts("domain-3")
 		cut := func(on, both bool) {
 			for _, a := range inside {
 				for _, b := range outside {
-					w.SetCut(a, b, on)
-					w.SetCut(b, a, on && both)
+					w.SetPathBlocked(a, b, on)
+					w.SetPathBlocked(b, a, on && both)
 				}
 			}
 		}
--- a/bench/control.go
+++ b/bench/control.go
@@ -70,7 +70,7 @@
 }
 
 // leaseHolder returns the VM that holds the controller lease of the domain.
-func leaseHolder(w *demo.World) string {
+func leaseHolder(w *demo.Deployment) string {
 	obj, _ := w.Platform.Get(leaseKind, "controller-"+takeoverDomain)
 	var record lease.Record
 	_ = json.Unmarshal(obj.Value, &record)
@@ -79,7 +79,7 @@
 
 // killController kills the controller and returns the time until another VM holds
 // the lease, in milliseconds.
-func killController(ctx context.Context, w *demo.World) (float64, error) {
+func killController(ctx context.Context, w *demo.Deployment) (float64, error) {
 	if !waitUntil(ctx, func() bool { return leaseHolder(w) != "" }) {
 		return 0, errNoTakeover
 	}
@@ -94,11 +94,11 @@
 
 // killOnlyCopies kills the server that holds the only copies of the most models.
 // It returns the time until every model has a copy again, in milliseconds.
-func killOnlyCopies(ctx context.Context, w *demo.World) (float64, error) {
+func killOnlyCopies(ctx context.Context, w *demo.Deployment) (float64, error) {
 	time.Sleep(2 * time.Second) // until the second copies that fit in memory are loaded
 	victim, most := "", 0
 	for _, doc := range w.Servers() {
-		if n := w.OnlyCopies(doc.Name); n > most {
+		if n := w.SoleCopies(doc.Name); n > most {
 			victim, most = doc.Name, n
 		}
 	}
@@ -152,12 +152,12 @@
 	t := trial{
 		spec:     deploymentSpec{domains: 2, vmsPerDomain: 2, engines: 4, slots: placementSlots, firstToken: placementFirstToken, betweenTokens: placementBetweenTokens, orderLateness: 2 * time.Second},
 		profiles: []wire.Profile{profile}, classes: classes, duration: duration,
-		setUp: func(w *demo.World) {
+		setUp: func(w *demo.Deployment) {
 			for _, doc := range w.Servers() {
 				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LostOrderShare: 0.2, DelayedOrderShare: 0.3, OrderDelayMs: 900})
 			}
 		},
-		injectFaults: func(ctx context.Context, w *demo.World) int {
+		injectFaults: func(ctx context.Context, w *demo.Deployment) int {
 			pause.For(ctx, duration/2)
 			w.KillVM(leaseHolder(w))
 			return 1
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report := lateOrdersReport{CommonReport: t.commonReport("late_orders", o, result), Moves: result.world.Moves(), Attainment: result.summary.Total.Attainment}
+	report := lateOrdersReport{CommonReport: t.commonReport("late_orders", o, result), Moves: result.world.LoadsAndUnloads(), Attainment: result.summary.Total.Attainment}
 	// The crash of the killed VM cuts off the answers in progress, which does not
 	// violate the guarantee for a shutdown.
 	report.LostAnswers = 0
--- a/bench/deploy.go
+++ b/bench/deploy.go
@@ -66,13 +66,13 @@
 }
 
 // start starts the deployment with the profiles and waits until it is ready.
-func (s deploymentSpec) start(ctx context.Context, o Options, profiles []wire.Profile, adjustConfig func(*entry.Config)) (*demo.World, error) {
+func (s deploymentSpec) start(ctx context.Context, o Options, profiles []wire.Profile, adjustConfig func(*entry.Config)) (*demo.Deployment, error) {
 	settings, err := s.settings()
 	if err != nil {
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), Adjust: adjustConfig,
+		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), AdjustVM: adjustConfig,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start deployment: %w", err)
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -36,7 +36,7 @@
 		duration: duration,
 		setUp:    setResidentOnAllEngines("label-1"),
 	}
-	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
 		pause.For(ctx, duration/4)
 		doc := w.Servers()[0]
 		doc.Leaving = true
@@ -60,7 +60,7 @@
 	report.CutOffInShutdown = countCutOff(system.results, stopped)
 	report.NewWorkAfterLeaveMs = float64(system.world.Engine("llm-1").LastRunStart().Sub(leftAt)) / float64(time.Millisecond)
 	clear(stopped)
-	t.injectFaults = func(ctx context.Context, w *demo.World) int {
+	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
 		for _, name := range []string{"domain-1-1", "domain-2-1"} {
 			pause.For(ctx, duration/3)
 			stopped[w.VMs()[name].Address()] = true
@@ -76,8 +76,8 @@
 	return report, report.violationError()
 }
 
-func setResidentOnAllEngines(model string) func(*demo.World) {
-	return func(w *demo.World) {
+func setResidentOnAllEngines(model string) func(*demo.Deployment) {
+	return func(w *demo.Deployment) {
 		for _, doc := range w.Servers() {
 			if e := w.Engine(doc.Name); e != nil {
 				e.SetResident(model, "", 1, 1<<30)
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -56,24 +56,24 @@
 
 // startFleet starts n VMs with as many active profiles as are expected in two
 // years.
-func startFleet(ctx context.Context, o Options, n int) (*demo.World, error) {
+func startFleet(ctx context.Context, o Options, n int) (*demo.Deployment, error) {
 	settings, err := fleetSpec(n).settings()
 	if err != nil {
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: fleetProfiles(), Preload: true, Seed: o.Seed, MaxVMs: n,
-		Adjust: func(c *entry.Config) { c.SeedVMs = nil },
+		AdjustVM: func(c *entry.Config) { c.SeedVMs = nil },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("start fleet: %w", err)
 	}
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for len(w.Ready()) < n {
+	for len(w.ReadyAddresses()) < n {
 		if ready.Err() != nil {
 			w.Close()
-			return nil, fmt.Errorf("%d of %d VMs became ready", len(w.Ready()), n)
+			return nil, fmt.Errorf("%d of %d VMs became ready", len(w.ReadyAddresses()), n)
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
@@ -134,7 +134,7 @@
 	return cost, nil
 }
 
-func storeCalls(w *demo.World) int64 {
+func storeCalls(w *demo.Deployment) int64 {
 	c := w.Platform.Counts()
 	return c.Reads + c.Writes
 }
@@ -166,7 +166,7 @@
 
 // measurePropagation changes a profile repeatedly and returns the times until each
 // change is active on all n VMs.
-func measurePropagation(ctx context.Context, w *demo.World, n int) (*hdrhistogram.Histogram, error) {
+func measurePropagation(ctx context.Context, w *demo.Deployment, n int) (*hdrhistogram.Histogram, error) {
 	latencies := newMicrosecondHistogram()
 	doc := fleetProfiles()[0]
 	for i := range propagationChanges {
@@ -187,7 +187,7 @@
 	return latencies, nil
 }
 
-func countActive(w *demo.World, profile string, version int) int {
+func countActive(w *demo.Deployment, profile string, version int) int {
 	n := 0
 	for _, d := range w.VMs() {
 		if d.ProfileVersion(profile) >= version {
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -114,7 +114,7 @@
 
 // overheadClient makes direct calls and calls through the gateway.
 type overheadClient struct {
-	world     *demo.World
+	world     *demo.Deployment
 	engines   *engine.Client
 	callCount int
 }
@@ -153,7 +153,7 @@
 // callGateway makes a call through the VM and checks that the answer is complete.
 func (c *overheadClient) callGateway(ctx context.Context, prompt string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"draft/draft-1","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.world.Ready()[0]+"/v1/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.world.ReadyAddresses()[0]+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build request: %w", err)
 	}
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -103,8 +103,8 @@
 		return nil, err
 	}
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
-		Adjust: func(c *entry.Config) { c.Placement, c.CallersByKey = placement, nil },
+		Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
+		AdjustVM: func(c *entry.Config) { c.Placement, c.CallersByKey = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
 			e.Slots, e.FirstTokenDelay, e.TokenInterval = placementSlots, placementFirstToken, placementBetweenTokens
 		},
@@ -119,13 +119,13 @@
 		return nil, err
 	}
 	pause.For(ctx, placementSettleTime)
-	before := w.Moves()
+	before := w.LoadsAndUnloads()
 	stopSampling := countUnreachableModels(w)
 	classes := p.classes(profiles)
-	results := w.Send(ctx, classes, p.duration, o.Seed, nil)
-	result := &placementResult{results: results, moves: w.Moves() - before}
+	results := w.SendLoad(ctx, classes, p.duration, o.Seed, nil)
+	result := &placementResult{results: results, moves: w.LoadsAndUnloads() - before}
 	unreachable := stopSampling()
-	result.summary = w.Sum(classes, results)
+	result.summary = w.Summarize(classes, results)
 	result.summary.Violations.UnreachableModels += unreachable
 	if o.Out != nil {
 		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, result.summary.Total.Attainment, result.moves)
@@ -166,7 +166,7 @@
 
 // countUnreachableModels samples the number of models without a copy. The returned
 // function stops sampling and returns the sum.
-func countUnreachableModels(w *demo.World) func() int {
+func countUnreachableModels(w *demo.Deployment) func() int {
 	return sampleSum(50*time.Millisecond, func() int { return len(w.UnreachableModels()) })
 }
 
--- a/bench/trial.go
+++ b/bench/trial.go
@@ -52,10 +52,10 @@
 	// adjustConfig changes the configuration of the VMs before they start. setUp
 	// prepares the running deployment before the load.
 	adjustConfig func(*entry.Config)
-	setUp        func(*demo.World)
+	setUp        func(*demo.Deployment)
 	// injectFaults runs concurrently with the load and returns the number of
 	// injected faults.
-	injectFaults func(ctx context.Context, w *demo.World) int
+	injectFaults func(ctx context.Context, w *demo.Deployment) int
 }
 
 // trialResult is the result of a trial.
@@ -64,7 +64,7 @@
 	results  []load.Result
 	faults   int
 	attempts int64
-	world    *demo.World
+	world    *demo.Deployment
 }
 
 // run runs the trial. If baseline is set, the VMs run in the baseline mode.
@@ -93,9 +93,9 @@
 		faults <- t.injectFaults(ctx, w)
 	}()
 	result := &trialResult{world: w}
-	result.results = w.Send(ctx, t.classes, t.duration, o.Seed, nil)
+	result.results = w.SendLoad(ctx, t.classes, t.duration, o.Seed, nil)
 	result.faults = <-faults
-	result.summary = w.Sum(t.classes, result.results)
+	result.summary = w.Summarize(t.classes, result.results)
 	for _, d := range daemons {
 		result.attempts += d.Metrics().CounterValue("relay.attempts")
 	}
--- a/cmd/hibiscuscart/demo.go
+++ b/cmd/hibiscuscart/demo.go
@@ -28,7 +28,7 @@
 func runDemo(ctx context.Context, fs *flag.FlagSet, args []string) error {
 	opts := demo.RunOptions{Out: os.Stdout}
 	fs.StringVar(&opts.Deployment, "deployment", "vadodara", "`NAME` of the example deployment")
-	fs.DurationVar(&opts.For, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
+	fs.DurationVar(&opts.LoadDuration, "for", 0, "send a mixed load for this `DURATION`, print a summary and exit")
 	fs.Float64Var(&opts.Rate, "rate", 400, "requests per second of the load")
 	fs.Uint64Var(&opts.Seed, "seed", 1, "`SEED` of the load and the simulated servers")
 	storeOnly := fs.Bool("store", false, "run only the deployment that keeps all its state in the platform's store; with -for and without this flag, that deployment runs after the example deployment")
@@ -63,7 +63,7 @@
 	violations := 0
 	if !storeOnly {
 		n, err := demo.Run(ctx, opts)
-		if err != nil || opts.For == 0 {
+		if err != nil || opts.LoadDuration == 0 {
 			return n, err
 		}
 		violations = n
--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -98,7 +98,7 @@
 			targets = append(targets, vm.Listen())
 		}
 	}
-	classes := demo.Mix(settings, profiles, f.rate)
+	classes := demo.MixedLoad(settings, profiles, f.rate)
 	for i := range classes {
 		classes[i].BurstFactor, classes[i].BurstStart, classes[i].BurstEnd = f.burst, f.duration/3, 2*f.duration/3
 	}
--- a/cmd/hibiscuscart/standin.go
+++ b/cmd/hibiscuscart/standin.go
@@ -92,7 +92,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Handler())
-	mux.Handle("POST /weights", demo.NewWeights(s).Handler())
+	mux.Handle("POST /weights", demo.NewWeightStore(s).Handler())
 	return listenAndServe(ctx, map[string]http.Handler{s.Text("platform", "address"): mux})
 }
 
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs seeds of the fault soak against a built hibiscuscart and
-// prints one JSON object a seed. It exits with 1 when a promise was broken.
+// Command soak runs the soak test with fault injection against a built hibiscuscart program, once per
+// seed, and prints one JSON object per seed. It exits with status 1 if a guarantee was violated or a
+// run failed.
 package main
 
 import (
@@ -17,36 +18,36 @@
 
 func main() {
 	program := flag.String("program", "target/hibiscuscart", "`PATH` of the built program")
-	dir := flag.String("dir", "", "`FOLDER` for settings and logs; a seed that failed keeps its own there (default a temporary one)")
-	from := flag.Uint64("from", uint64(time.Now().UnixNano()), "first `SEED`")
-	seeds := flag.Int("seeds", 1, "how many seeds to run")
-	length := flag.Duration("for", 6*time.Second, "how long faults and load go on for each seed")
-	jobs := flag.Int("jobs", 2, "seeds at once")
+	dir := flag.String("dir", "", "`FOLDER` for settings and logs, kept only for failed seeds (default a temporary folder)")
+	firstSeed := flag.Uint64("from", uint64(time.Now().UnixNano()), "first `SEED`")
+	seedCount := flag.Int("seeds", 1, "number of seeds to run")
+	duration := flag.Duration("for", 6*time.Second, "duration of faults and load for each seed")
+	concurrency := flag.Int("jobs", 2, "number of seeds to run concurrently")
 	flag.Parse()
-	if err := run(*program, *dir, *from, *seeds, *jobs, *length); err != nil {
+	if err := run(*program, *dir, *firstSeed, *seedCount, *concurrency, *duration); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(1)
 	}
 }
 
-func run(program, dir string, from uint64, seeds, jobs int, length time.Duration) error {
+func run(program, dir string, firstSeed uint64, seedCount, concurrency int, duration time.Duration) error {
 	program, err := filepath.Abs(program)
 	if err != nil {
-		return fmt.Errorf("find program: %w", err)
+		return fmt.Errorf("resolve path of program: %w", err)
 	}
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "soak"); err != nil {
-			return fmt.Errorf("make folder: %w", err)
+			return fmt.Errorf("create folder for settings and logs: %w", err)
 		}
 	}
-	slots, failed := make(chan struct{}, max(jobs, 1)), 0
+	slots, failed := make(chan struct{}, max(concurrency, 1)), 0
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	for i := range seeds {
+	for i := range seedCount {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			ok := one(program, filepath.Join(dir, fmt.Sprint(from+uint64(i))), from+uint64(i), length)
+			ok := runSeed(program, filepath.Join(dir, fmt.Sprint(firstSeed+uint64(i))), firstSeed+uint64(i), duration)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -56,18 +57,18 @@
 	}
 	wait.Wait()
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise; logs under %s", failed, seeds, dir)
+		return fmt.Errorf("%d of %d seeds failed; logs under %s", failed, seedCount, dir)
 	}
 	return nil
 }
 
-// one runs a seed and reports whether all promises held.
-func one(program, dir string, seed uint64, length time.Duration) bool {
+// runSeed runs one seed and reports whether the run succeeded without a violated guarantee.
+func runSeed(program, dir string, seed uint64, duration time.Duration) bool {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		return false
 	}
-	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, For: length})
+	res, err := soak.Run(context.Background(), soak.Options{Program: program, Dir: dir, Seed: seed, Duration: duration})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", seed, err)
 		return false
@@ -78,10 +79,10 @@
 		return false
 	}
 	fmt.Println(string(line))
-	if len(res.Broken) > 0 {
+	if len(res.Violations) > 0 {
 		return false
 	}
-	// What held needs no logs.
+	// The logs of a successful run are not kept.
 	if err := os.RemoveAll(dir); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 	}
--- a/dedup/shard_test.go
+++ b/dedup/shard_test.go
@@ -90,7 +90,7 @@
 		store := newMemoryStore()
 		s := &dedup.Shard{MaxHeadClaims: 6}
 		store.load(start, s)
-		var reference naive.Keys
+		var reference naive.MemoryClaims
 		now, grants := start, 0
 		granted := make(map[int]dedup.Request)
 		write := func() []dedup.Reply {
@@ -134,7 +134,7 @@
 				} else {
 					s.RecordOutcome(now, r, state, "")
 				}
-				reference.End(r, state)
+				reference.Finish(r, state)
 				if s.CanWrite() {
 					write()
 				}
--- a/demo/limit_test.go
+++ b/demo/limit_test.go
@@ -22,13 +22,13 @@
 	loadInterval = 20 * time.Millisecond
 )
 
-// sendLoad sends requests to all VMs for loadDuration and returns the answers.
-func sendLoad(ctx context.Context, s *demo.Site, method, path, model string) []answer {
+// sendLoad sends requests to all VMs for loadDuration and returns the results.
+func sendLoad(ctx context.Context, s *demo.Site, method, path, model string) []callResult {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	var answers []answer
+	var answers []callResult
 	end := time.Now().Add(loadDuration)
-	for v, address := range s.Addresses() {
+	for v, address := range s.VMAddresses() {
 		wait.Go(func() {
 			for i := 0; time.Now().Before(end); i++ {
 				wait.Go(func() {
@@ -45,11 +45,12 @@
 	return answers
 }
 
-// Guards against all VMs together sending a server more requests than its rate limit allows, or none.
-func TestServerGetsMoreThanItsLimit(t *testing.T) {
+// Guards against all VMs together sending a server more requests than its rate limit allows, or no
+// requests at all.
+func TestServerRateLimit(t *testing.T) {
 	tests := map[string]struct{ method, path, model, service string }{
-		"plain service": {http.MethodGet, "/look/x", "", demo.SitePlain},
-		"model server":  {http.MethodPost, "/draft/x", "m1", demo.SiteModel},
+		"plain service": {http.MethodGet, "/look/x", "", demo.SitePlainService},
+		"model server":  {http.MethodPost, "/draft/x", "m1", demo.SiteModelService},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,25 +65,25 @@
 				}
 			}
 			var checks demo.Checks
-			checks.Limit(b, limitedAt)
-			require.Empty(t, checks.Broken())
+			checks.CheckRateLimit(b, limitedAt)
+			require.Empty(t, checks.Violations())
 			require.NotEmpty(t, b.Arrivals())
 			require.Positive(t, served)
 		})
 	}
 }
 
-// Guards against a permit call closing the VM's link to the controller, because its frame is rejected
-// or its caller disconnects.
+// Guards against a permit call closing the VM's link to the controller because the frame of the call
+// is rejected or the caller of the request disconnects.
 func TestPermitCallKeepsLink(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	var log logBuffer
 	s, err := demo.StartSite(ctx, demo.SiteOptions{Log: zerolog.New(&log)})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	require.NoError(t, s.WaitReady(ctx))
-	for _, b := range s.Backends(demo.SitePlain) {
+	for _, b := range s.Backends(demo.SitePlainService) {
 		b.SetRateLimit(1.5, true)
 	}
 	before := log.count("link to the controller lost")
@@ -91,7 +92,7 @@
 		wait.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, time.Duration(i%40)*time.Millisecond)
 			defer cancel()
-			call(callCtx, s, s.Addresses()[i%3], fmt.Sprint("leaves", i), http.MethodGet, "/look/x", "")
+			call(callCtx, s, s.VMAddresses()[i%3], fmt.Sprint("disconnect", i), http.MethodGet, "/look/x", "")
 		})
 		time.Sleep(loadInterval / 10)
 	}
@@ -99,7 +100,7 @@
 	require.Equal(t, before, log.count("link to the controller lost"))
 }
 
-// logBuffer collects the logs of the VMs.
+// logBuffer collects the log output of the VMs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/demo/run.go
+++ b/demo/run.go
@@ -17,19 +17,21 @@
 
 const readyTimeout = 30 * time.Second
 
-// RunOptions say what the demo runs.
+// RunOptions configures a demo run.
 type RunOptions struct {
+	// Deployment is the name of an example deployment.
 	Deployment string
-	// For is how long to send load; 0 waits until the context ends.
-	For  time.Duration
+	// LoadDuration is the duration of the load; 0 sends no load and waits until the context ends.
+	LoadDuration time.Duration
+	// Rate is the load in requests per second.
 	Rate float64
 	Seed uint64
 	Out  io.Writer
 	Log  zerolog.Logger
 }
 
-// Run runs an example deployment with one VM in each failure domain. It
-// returns how many promises were broken.
+// Run runs an example deployment with one VM in each failure domain. It returns the number of
+// violated guarantees.
 func Run(ctx context.Context, o RunOptions) (int, error) {
 	settings, err := sample.Settings(o.Deployment)
 	if err != nil {
@@ -39,48 +41,48 @@
 	if err != nil {
 		return 0, err
 	}
-	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, VMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
+	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
 	if err != nil {
 		return 0, fmt.Errorf("start deployment: %w", err)
 	}
 	defer w.Close()
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(ready); err != nil {
+	if err := w.WaitReady(readyCtx); err != nil {
 		return 0, err
 	}
-	w.describe(o.Out, settings, profiles)
-	if o.For == 0 {
+	w.printUsage(o.Out, settings, profiles)
+	if o.LoadDuration == 0 {
 		<-ctx.Done()
 		return 0, nil
 	}
-	summary := w.Load(ctx, Mix(settings, profiles, o.Rate), o.For, o.Seed, o.Out)
+	summary := w.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
 	if err := summary.WriteTable(o.Out); err != nil {
 		return 0, err
 	}
 	return summary.Violations.TotalViolations(), nil
 }
 
-// Load sends load to the deployment and sums up what came of it.
-func (w *World) Load(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) load.Summary {
-	return w.Sum(classes, w.Send(ctx, classes, length, seed, out))
+// RunLoad sends load to the deployment and returns a summary of the results.
+func (d *Deployment) RunLoad(ctx context.Context, classes []load.Class, duration time.Duration, seed uint64, out io.Writer) load.Summary {
+	return d.Summarize(classes, d.SendLoad(ctx, classes, duration, seed, out))
 }
 
-// Send sends load to the deployment.
-func (w *World) Send(ctx context.Context, classes []load.Class, length time.Duration, seed uint64, out io.Writer) []load.Result {
-	r := &load.Runner{Classes: classes, Targets: w.Ready, Progress: progress(out)}
-	return r.Run(ctx, load.Schedule(seed, length, classes))
+// SendLoad sends load to the deployment and returns the result of each request.
+func (d *Deployment) SendLoad(ctx context.Context, classes []load.Class, duration time.Duration, seed uint64, out io.Writer) []load.Result {
+	r := &load.Runner{Classes: classes, Targets: d.ReadyAddresses, Progress: progressPrinter(out)}
+	return r.Run(ctx, load.Schedule(seed, duration, classes))
 }
 
-// Sum sums up results with what the stand-ins saw.
-func (w *World) Sum(classes []load.Class, results []load.Result) load.Summary {
-	s := load.Summarize(classes, results, w.Runs.Counts())
-	s.Violations.Overcommits = w.Overcommits()
-	s.Violations.UnreachableModels = len(w.UnreachableModels())
+// Summarize summarizes the results together with the counters and recorded executions of the stand-ins.
+func (d *Deployment) Summarize(classes []load.Class, results []load.Result) load.Summary {
+	s := load.Summarize(classes, results, d.Runs.Counts())
+	s.Violations.Overcommits = d.Overcommits()
+	s.Violations.UnreachableModels = len(d.UnreachableModels())
 	return s
 }
 
-func progress(out io.Writer) func(time.Duration, int, int) {
+func progressPrinter(out io.Writer) func(time.Duration, int, int) {
 	if out == nil {
 		return nil
 	}
@@ -89,11 +91,11 @@
 	}
 }
 
-// describe tells how to send a request.
-func (w *World) describe(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
-	addresses := w.Ready()
+// printUsage prints the addresses of the VMs and an example request.
+func (d *Deployment) printUsage(out io.Writer, s *conf.Settings, profiles []wire.Profile) {
+	addresses := d.ReadyAddresses()
 	slices.Sort(addresses)
-	fmt.Fprintf(out, "%s: %d entry VMs, %d backend servers, %d profiles\n", s.Text("deployment", "name"), len(addresses), len(w.servers), len(profiles))
+	fmt.Fprintf(out, "%s: %d entry VMs, %d backend servers, %d profiles\n", s.Text("deployment", "name"), len(addresses), len(d.servers), len(profiles))
 	for _, a := range addresses {
 		fmt.Fprintf(out, "  callers: http://%s\n", a)
 	}
@@ -103,7 +105,7 @@
 	}
 	for _, p := range profiles {
 		if p.RunsAllowed > 1 && len(p.Models) > 0 {
-			fmt.Fprintf(out, "try:\n  curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":\"%s/%s\",\"stream\":true,\"max_tokens\":16,\"messages\":[{\"role\":\"user\",\"content\":\"Which allergens are in peanut chikki?\"}]}'\n",
+			fmt.Fprintf(out, "example request:\n  curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":\"%s/%s\",\"stream\":true,\"max_tokens\":16,\"messages\":[{\"role\":\"user\",\"content\":\"Which allergens are in peanut chikki?\"}]}'\n",
 				addresses[0], key, p.Name, p.Models[0].Name)
 			return
 		}
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -19,7 +19,7 @@
 
 // callOnce sends a once-only call to a VM and returns its outcome, or "" when
 // the VM did not answer.
-func callOnce(w *demo.World, vm, id string) string {
+func callOnce(w *demo.Deployment, vm, id string) string {
 	d := w.VMs()[vm]
 	if d == nil {
 		return ""
@@ -39,7 +39,7 @@
 
 // repeatCalls sends a call for each of many keys repeatedly, through random
 // VMs, until its outcome is "done", and records every outcome.
-func repeatCalls(w *demo.World, keys int, vms []string, record func(id, outcome string)) *sync.WaitGroup {
+func repeatCalls(w *demo.Deployment, keys int, vms []string, record func(id, outcome string)) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range keys {
 		wg.Go(func() {
--- a/entry/control.go
+++ b/entry/control.go
@@ -50,7 +50,7 @@
 	term *term
 	// demand and swapPlanner outlive a term: every VM tracks the demand.
 	demand      plan.Demand
-	swapPlanner naive.Swap
+	swapPlanner naive.LRUPlacer
 }
 
 // term is the state of one uninterrupted holding of the lease. A new term
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -131,7 +131,7 @@
 		rng: rng,
 	}
 	if d.config.Baseline {
-		relay.selectCandidate = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.Choose(c) }
+		relay.selectCandidate = func(c []fleet.Candidate, _ uint64, _ []string) (fleet.Candidate, bool) { return naive.LeastLoaded(c) }
 		relay.budget = &retry.Budget{Reserve: math.MaxInt32}
 		relay.backoff = retry.Backoff{}
 		relay.maxResumes = 0
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -20,7 +20,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-func engines(w *demo.World) []*stand.Engine {
+func engines(w *demo.Deployment) []*stand.Engine {
 	var all []*stand.Engine
 	for _, s := range w.Servers() {
 		if e := w.Engine(s.Name); e != nil {
@@ -94,7 +94,7 @@
 	require.Equal(t, 2, w.Runs.Count("dies"))
 }
 
-func waitReplicas(t *testing.T, w *demo.World, model string, replicas int) {
+func waitReplicas(t *testing.T, w *demo.Deployment, model string, replicas int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		n := 0
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -47,7 +47,7 @@
 				names = append(names, m)
 			}
 		}
-		c.swapPlanner.Use(now, domain, names)
+		c.swapPlanner.RecordUse(now, domain, names)
 	}
 	c.demand.Observe(now, total)
 }
@@ -60,7 +60,7 @@
 	case "static":
 		result.Output = c.staticPlacement(in)
 	case "swap":
-		result.Output = c.swapPlanner.Make(c.d.now(), in)
+		result.Output = c.swapPlanner.Place(c.d.now(), in)
 	default:
 		result.Output = plan.Make(in)
 	}
@@ -84,10 +84,10 @@
 
 // naiveDemands returns the models of the profiles in force, as demands of the
 // baselines.
-func (d *Daemon) naiveDemands() []naive.Demand {
-	var demands []naive.Demand
+func (d *Daemon) naiveDemands() []naive.PoolModel {
+	var demands []naive.PoolModel
 	for _, m := range d.deployedModels() {
-		demands = append(demands, naive.Demand{Pool: m.pool, Model: m.model})
+		demands = append(demands, naive.PoolModel{Pool: m.pool, Model: m.model})
 	}
 	return demands
 }
@@ -124,7 +124,7 @@
 func (c *controller) planModels() []plan.Model {
 	var models []plan.Model
 	for _, m := range c.d.deployedModels() {
-		artifacts := naive.Demand{Model: m.model}.Artifacts()
+		artifacts := naive.PoolModel{Model: m.model}.Artifacts()
 		bytes := 0
 		for _, a := range artifacts {
 			bytes += a.Bytes
--- a/entry/testdata_test.go
+++ b/entry/testdata_test.go
@@ -65,14 +65,14 @@
 
 // startDeployment starts the small deployment: one profile of each kind on two
 // servers for models and one plain service.
-func startDeployment(t *testing.T, adjust func(*entry.Config)) *demo.World {
+func startDeployment(t *testing.T, adjust func(*entry.Config)) *demo.Deployment {
 	t.Helper()
 	settings, err := conf.Parse([]byte(smallSettings))
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	w, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), Adjust: adjust,
+		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), AdjustVM: adjust,
 	})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
@@ -107,12 +107,12 @@
 }
 
 // post sends a request to a VM; headers are given as name, value pairs.
-func post(t *testing.T, w *demo.World, vm, path, body string, headers ...string) reply {
+func post(t *testing.T, w *demo.Deployment, vm, path, body string, headers ...string) reply {
 	t.Helper()
 	return send(t, w, http.MethodPost, vm, path, body, headers...)
 }
 
-func send(t *testing.T, w *demo.World, method, vm, path, body string, headers ...string) reply {
+func send(t *testing.T, w *demo.Deployment, method, vm, path, body string, headers ...string) reply {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
--- a/naive/keys.go
+++ b/naive/keys.go
@@ -7,33 +7,33 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Keys is the rule of claims written plainly, for one process that never fails:
-// a map.
-type Keys struct{ claims map[string]wire.Claim }
+// MemoryClaims implements the rules for claims on idempotency keys in the simplest form: a map, for
+// one process that never fails.
+type MemoryClaims struct{ claims map[string]wire.Claim }
 
-// Claim grants a key that is free.
-func (k *Keys) Claim(now time.Time, r dedup.Request) dedup.Verdict {
-	if k.claims == nil {
-		k.claims = make(map[string]wire.Claim)
+// Claim grants a key that is unclaimed or whose claim has expired.
+func (m *MemoryClaims) Claim(now time.Time, r dedup.Request) dedup.Verdict {
+	if m.claims == nil {
+		m.claims = make(map[string]wire.Claim)
 	}
-	c, used := k.claims[r.StoredKey()]
-	if used && !dedup.Expired(now, c) {
-		return dedup.Decide(now, r, c).Verdict
+	claim, exists := m.claims[r.StoredKey()]
+	if exists && !dedup.Expired(now, claim) {
+		return dedup.Decide(now, r, claim).Verdict
 	}
-	k.claims[r.StoredKey()] = dedup.NewClaim(now, r)
+	m.claims[r.StoredKey()] = dedup.NewClaim(now, r)
 	return dedup.Granted
 }
 
-// End records how a granted claim ended; a released one is free again.
-func (k *Keys) End(r dedup.Request, state wire.ClaimState) {
-	c, used := k.claims[r.StoredKey()]
-	if !used || c.Grant != r.GrantID || c.State != wire.ClaimStateGranted {
+// Finish records the final state of a granted claim. A released key can be claimed again.
+func (m *MemoryClaims) Finish(r dedup.Request, state wire.ClaimState) {
+	claim, exists := m.claims[r.StoredKey()]
+	if !exists || claim.Grant != r.GrantID || claim.State != wire.ClaimStateGranted {
 		return
 	}
 	if state == wire.ClaimStateReleased {
-		delete(k.claims, r.StoredKey())
+		delete(m.claims, r.StoredKey())
 		return
 	}
-	c.State = state
-	k.claims[r.StoredKey()] = c
+	claim.State = state
+	m.claims[r.StoredKey()] = claim
 }
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -24,7 +24,7 @@
 // VMs, and checks the requests that the server receives. It guards against all VMs together sending
 // the server more requests than its rate limit allows.
 func (r *run) checkLimit(ctx context.Context) {
-	backend := r.site.Backends(demo.SitePlain)[0]
+	backend := r.site.Backends(demo.SitePlainService)[0]
 	limitedAt := time.Now()
 	backend.SetRateLimit(limitRate, true)
 	ctx, cancel := context.WithTimeout(ctx, limitLoadDuration)
@@ -34,20 +34,20 @@
 		wait.Go(func() { r.sendLoad(ctx, v) })
 	}
 	wait.Wait()
-	r.checks.Limit(backend, limitedAt)
+	r.checks.CheckRateLimit(backend, limitedAt)
 	backend.SetRateLimit(0, false)
 }
 
 // sendLoad sends concurrent requests to a VM until ctx is done, then waits for the answers. Requests
 // in flight are not canceled.
 func (r *run) sendLoad(ctx context.Context, v int) {
-	client := &http.Client{Timeout: callLimit}
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
 	for i := 0; ctx.Err() == nil; i++ {
 		wait.Go(func() {
 			rng := rand.New(rand.NewPCG(r.options.Seed, uint64(i)))
-			r.checks.Answer(r.site.Ask(context.Background(), client, r.vms[v].listen, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteKinds[0], rng))
+			r.checks.CheckOutcome(r.site.SendRequest(context.Background(), client, r.vms[v].listenAddress, fmt.Sprintf("limit-%d-%d-%d", r.options.Seed, v, i), demo.SiteRequestKinds[0], rng))
 		})
 		time.Sleep(limitLoadInterval)
 	}
