--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -95,8 +95,8 @@
 	close(f.done)
 }
 
-// findOrLoad waits until a server is ready. It orders the adapter to be loaded if a server holds
-// the model but none holds the adapter.
+// findOrLoad waits until a server is ready. It orders the adapter to be loaded if a server has the
+// model but none has the adapter.
 func (c *Controller) findOrLoad(ctx context.Context, s routes.Service, model, adapter string) (string, error) {
 	for {
 		changed := c.Changed()
@@ -115,7 +115,7 @@
 }
 
 // TryFind returns a server that serves a model and adapter. If there is none, it returns "" and
-// orders the adapter to be loaded at a server that holds the model, if there is one.
+// orders the adapter to be loaded at a server that has the model, if there is one.
 func (c *Controller) TryFind(ctx context.Context, now time.Time, s routes.Service, model, adapter string) (string, error) {
 	if id := c.readyServer(now, s.Name, model, adapter); id != "" {
 		return id, nil
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// loadAdapter orders an adapter at the server with the lowest cost, unless a server already holds
-// or loads it.
+// loadAdapter orders an adapter at the server with the lowest cost, unless a server has it loaded
+// or is loading it.
 func (c *Controller) loadAdapter(ctx context.Context, now time.Time, service routes.Service, model, adapter string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,8 +170,8 @@
 }
 
 // reachable reports whether requests can be sent to a server. The entry of a crashed server stays
-// listed for some seconds. Its adapters must not count as present in that time, or they are not
-// loaded at any other server.
+// listed for some seconds. Its adapters must not count as present in that time, or no other server
+// would load them.
 func (c *Controller) reachable(now time.Time, s *Server) bool {
 	return !s.Down() && c.Servers.Usable(now, s.entry.ID)
 }
@@ -188,8 +188,8 @@
 	}
 }
 
-// adapterCost ranks the servers for an adapter: servers with a free slot first, then those with
-// the fewest requests, then by a hash that spreads a model's adapters over its copies.
+// adapterCost ranks the servers for an adapter: servers with a free slot first, then those with the
+// fewest requests, then by a hash that spreads a model's adapters over its replicas.
 func (c *Controller) adapterCost(s *Server, service routes.Service, model, adapter string) uint64 {
 	cost := xxhash.Sum64String(s.entry.ID+"/"+model+"/"+adapter) >> 32
 	if s.UsedAdapterSlots() >= service.Engine.AdapterSlots {
@@ -239,19 +239,18 @@
 // Load pattern: servers restart empty. Each loads a model from its disk within a second and then
 // the next one from the weight store, which takes six seconds. It accepts no other order in that
 // time, not even for adapters of the first model: of 380 requests a second that found no server,
-// nine in ten were for adapters of models that a dozen servers held.
+// nine in ten were for adapters of models that a dozen servers had loaded.
 //
-// The controller therefore first loads the requested adapters that no server holds, as far as
-// adapter slots allow, and then orders the server's next model. Sent one after the other, these
-// orders take some ten milliseconds each. Under that load on 112 servers two runs refused 523 and
-// 800 urgent requests for good, a run without this rule 1,266. With one order every 100 ms the
+// The controller therefore first loads the requested adapters that no server has, as far as adapter
+// slots allow, and then orders the server's next model. Sent one after the other, these orders take
+// some ten milliseconds each. Under that load on 112 servers, two runs with this rule finally
+// refused 523 and 800 urgent requests, and a run without it 1,266. With one order every 100 ms the
 // next models wait up to a second for the adapters.
 
 // recentRequestTime is how long after a request an adapter counts as requested.
 const recentRequestTime = time.Second
 
-// placeRequestedAdapters loads the recently requested adapters of busy models that no server
-// holds.
+// placeRequestedAdapters loads the recently requested adapters of busy models that no server has.
 func (c *Controller) placeRequestedAdapters(ctx context.Context, now time.Time, service routes.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/steer/balance.go
+++ b/steer/balance.go
@@ -9,18 +9,19 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Load pattern: a few models have nearly all of the demand, and each server can hold several of
-// them. A further copy on a server that is already busy adds no capacity, however much work its
-// model has. What matters is how the work of all models can be divided among the servers that hold
-// them. Requests go to the shortest queue, so the balance assumes the resulting division: each
-// model fills its servers to an equal level, which includes the work of other models.
+// Load pattern: a few models have nearly all of the demand, and each server has memory for several
+// of them. A further replica on a server that is already busy adds no capacity, however much work
+// its model has. What matters is how the work of all models can be divided among the servers that
+// have them loaded. Requests go to the shortest queue, so the balance assumes the resulting
+// division: each model fills its servers to an equal level, which includes the work of other
+// models.
 
 // balanceRounds is how often the work of each model is divided again, given the work of the
 // others. The levels converge from round to round.
 const balanceRounds = 6
 
-// modelCopy is a copy of a model, with the index of its server and its share of the model's work.
-type modelCopy struct {
+// replica is one replica of a model: the index of its server, and its share of the model's work.
+type replica struct {
 	server int
 	share  float64
 }
@@ -30,17 +31,17 @@
 type balance struct {
 	// util is the work of each server.
 	util []float64
-	// copies has the copies of each model, work the demand for it.
-	copies map[string][]modelCopy
-	work   map[string]float64
+	// replicas has the replicas of each model, work the demand for it.
+	replicas map[string][]replica
+	work     map[string]float64
 }
 
-// newBalance divides the work of the models among their copies.
-func newBalance(servers int, copies map[string][]modelCopy, work map[string]float64) *balance {
-	b := &balance{util: make([]float64, servers), copies: copies, work: work}
-	names := slices.Sorted(maps.Keys(copies))
+// newBalance divides the work of the models among their replicas.
+func newBalance(servers int, replicas map[string][]replica, work map[string]float64) *balance {
+	b := &balance{util: make([]float64, servers), replicas: replicas, work: work}
+	names := slices.Sorted(maps.Keys(replicas))
 	for _, name := range names {
-		list := copies[name]
+		list := replicas[name]
 		for i := range list {
 			list[i].share = work[name] / float64(len(list))
 			b.util[list[i].server] += list[i].share
@@ -48,7 +49,7 @@
 	}
 	for range balanceRounds {
 		for _, name := range names {
-			if len(copies[name]) > 1 && work[name] > 0 {
+			if len(replicas[name]) > 1 && work[name] > 0 {
 				b.divide(name)
 			}
 		}
@@ -58,11 +59,11 @@
 
 // divide fills the servers of a model to an equal level, given the work of other models there.
 func (b *balance) divide(name string) {
-	list, work := b.copies[name], b.work[name]
+	list, work := b.replicas[name], b.work[name]
 	for i := range list {
 		b.util[list[i].server] -= list[i].share
 	}
-	slices.SortFunc(list, func(x, y modelCopy) int {
+	slices.SortFunc(list, func(x, y replica) int {
 		return cmp.Or(cmp.Compare(b.util[x.server], b.util[y.server]), cmp.Compare(x.server, y.server))
 	})
 	sum, level := work, 0.0
@@ -81,7 +82,7 @@
 
 // level returns the utilization of the servers that get work of a model, and their number.
 func (b *balance) level(name string) (level float64, n int) {
-	for _, c := range b.copies[name] {
+	for _, c := range b.replicas[name] {
 		if c.share > 0 || n == 0 {
 			level = max(level, b.util[c.server])
 			n++
@@ -90,9 +91,9 @@
 	return level, n
 }
 
-// gain returns the benefit of one more copy at a server whose utilization is util without it: the
-// decrease of the sum over the servers of their squared utilization, as a request waits for the
-// others at its server.
+// gain returns the benefit of one more replica at a server whose utilization is util without it:
+// the decrease of the sum of the servers' squared utilization. The square reflects that a request
+// waits for the others at its server.
 func (b *balance) gain(name string, util float64) float64 {
 	level, n := b.level(name)
 	if n == 0 || util >= level {
@@ -103,71 +104,71 @@
 	return 2*moved*(level-util) - moved*moved/share
 }
 
-// loss returns the cost of removing a copy by the same measure, with its server relieved of the
-// work, and the server's utilization afterwards.
+// loss returns the cost of removing a replica by the same measure, and the utilization of its
+// server afterwards. The relief of that server reduces the cost.
 func (b *balance) loss(name string, server int) (loss, util float64) {
-	otherCopies, level, share := 0, 0.0, 0.0
-	for _, c := range b.copies[name] {
+	otherReplicas, level, share := 0, 0.0, 0.0
+	for _, c := range b.replicas[name] {
 		if c.server == server {
 			share = c.share
 			continue
 		}
-		otherCopies++
+		otherReplicas++
 		level = max(level, b.util[c.server])
 	}
 	util = b.util[server] - share
-	if share == 0 || otherCopies == 0 {
+	if share == 0 || otherReplicas == 0 {
 		return 0, util
 	}
 	relieved := b.util[server]*b.util[server] - util*util
-	return max(2*share*level+share*share/float64(otherCopies)-relieved, 0), util
+	return max(2*share*level+share*share/float64(otherReplicas)-relieved, 0), util
 }
 
-// add adds a copy and remove removes one. Both divide the model's work again.
+// add adds a replica and remove removes one. Both divide the model's work again.
 func (b *balance) add(name string, server int) {
-	b.copies[name] = append(b.copies[name], modelCopy{server: server})
+	b.replicas[name] = append(b.replicas[name], replica{server: server})
 	b.divide(name)
 }
 
 func (b *balance) remove(name string, server int) {
-	list := b.copies[name]
-	i := slices.IndexFunc(list, func(c modelCopy) bool { return c.server == server })
+	list := b.replicas[name]
+	i := slices.IndexFunc(list, func(c replica) bool { return c.server == server })
 	if i < 0 {
 		return
 	}
 	b.util[server] -= list[i].share
-	b.copies[name] = slices.Delete(list, i, i+1)
-	if len(b.copies[name]) > 0 {
+	b.replicas[name] = slices.Delete(list, i, i+1)
+	if len(b.replicas[name]) > 0 {
 		b.divide(name)
 	}
 }
 
-// plannedCopies returns the copies that are loaded, loading, or reserved for a load. It leaves out
-// those that are unloading.
-func plannedCopies(e *routes.Engine, servers []candidate, now time.Time) map[string][]modelCopy {
-	copies := make(map[string][]modelCopy, len(e.Models))
+// plannedReplicas returns the replicas that are loaded, loading, or reserved for a load. It leaves
+// out those that are unloading.
+func plannedReplicas(e *routes.Engine, servers []candidate, now time.Time) map[string][]replica {
+	replicas := make(map[string][]replica, len(e.Models))
 	for i, s := range servers {
 		if m := s.ReservedFor(now); m != "" {
-			copies[m] = append(copies[m], modelCopy{server: i})
+			replicas[m] = append(replicas[m], replica{server: i})
 		}
 		for name, r := range s.models {
 			if r.phase != unloading {
-				copies[name] = append(copies[name], modelCopy{server: i})
+				replicas[name] = append(replicas[name], replica{server: i})
 			}
 		}
 	}
-	return copies
+	return replicas
 }
 
-// loadedCopies returns the copies that are loaded.
-func loadedCopies(e *routes.Engine, servers []candidate) map[string][]modelCopy {
-	copies := make(map[string][]modelCopy, len(e.Models))
+// loadedReplicas returns the replicas that are loaded.
+func loadedReplicas(e *routes.Engine, servers []candidate) map[string][]replica {
+	replicas := make(map[string][]replica, len(e.Models))
 	for i, s := range servers {
 		for name, r := range s.models {
 			if r.phase == loaded {
-				copies[name] = append(copies[name], modelCopy{server: i})
+				replicas[name] = append(replicas[name], replica{server: i})
 			}
 		}
 	}
-	return copies
+	return replicas
 }
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -12,11 +12,11 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// copiesAt returns copies of a model at servers, given by index.
-func copiesAt(servers ...int) []modelCopy {
-	var list []modelCopy
+// replicasAt returns replicas of a model at servers, given by index.
+func replicasAt(servers ...int) []replica {
+	var list []replica
 	for _, s := range servers {
-		list = append(list, modelCopy{server: s})
+		list = append(list, replica{server: s})
 	}
 	return list
 }
@@ -31,14 +31,14 @@
 
 func TestBalanceDividesWork(t *testing.T) {
 	tests := map[string]struct {
-		copies map[string][]modelCopy
+		copies map[string][]replica
 		work   map[string]float64
 		want   []float64
 	}{
-		"even split":                {map[string][]modelCopy{"m": copiesAt(0, 1)}, map[string]float64{"m": 1}, []float64{0.5, 0.5, 0}},
-		"other model on one server": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 1, "n": 0.4}, []float64{0.7, 0.7, 0}},
-		"full server gets no share": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(0)}, map[string]float64{"m": 0.5, "n": 2}, []float64{2, 0.5, 0}},
-		"two models share a server": {map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(1, 2)}, map[string]float64{"m": 1.2, "n": 0.6}, []float64{0.6, 0.6, 0.6}},
+		"even split":                {map[string][]replica{"m": replicasAt(0, 1)}, map[string]float64{"m": 1}, []float64{0.5, 0.5, 0}},
+		"other model on one server": {map[string][]replica{"m": replicasAt(0, 1), "n": replicasAt(0)}, map[string]float64{"m": 1, "n": 0.4}, []float64{0.7, 0.7, 0}},
+		"full server gets no share": {map[string][]replica{"m": replicasAt(0, 1), "n": replicasAt(0)}, map[string]float64{"m": 0.5, "n": 2}, []float64{2, 0.5, 0}},
+		"two models share a server": {map[string][]replica{"m": replicasAt(0, 1), "n": replicasAt(1, 2)}, map[string]float64{"m": 1.2, "n": 0.6}, []float64{0.6, 0.6, 0.6}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	for range 200 {
 		work := map[string]float64{"m": rng.Float64() * 3, "n": rng.Float64()}
 		newTestBalance := func() *balance {
-			return newBalance(4, map[string][]modelCopy{"m": copiesAt(0, 1), "n": copiesAt(2)}, work)
+			return newBalance(4, map[string][]replica{"m": replicasAt(0, 1), "n": replicasAt(2)}, work)
 		}
 		b := newTestBalance()
 		gain := b.gain("m", b.util[2])
@@ -72,9 +72,9 @@
 }
 
 // simulateShift simulates a shift of demand at twelve servers with memory for three of 21 models.
-// Two models, with eight and four copies, have all of the demand, the work of six servers. Within
+// Two models, with eight and four replicas, have all of the demand, the work of six servers. Within
 // six seconds the demand for the first ends, the second gets the first one's share and a third
-// model the second one's. Loads from the weight store take 5.8 s; unloading a copy in use takes
+// model the second one's. Loads from the weight store take 5.8 s; unloading a replica in use takes
 // two seconds. It returns the work beyond the capacity of the servers, in server seconds, and the
 // number of loads.
 func simulateShift(t *testing.T, trend bool) (overload float64, loads int) {
@@ -169,31 +169,31 @@
 			step.Server.ApplyResult(now, now, engine, Order{Unload: step.Unload, Model: o.model}, Accepted, o.done.Sub(now))
 			inProgress = append(inProgress, o)
 		}
-		copies := make(map[string][]modelCopy)
+		replicas := make(map[string][]replica)
 		for i, s := range servers {
 			for m, r := range s.models {
 				if r.phase == loaded {
-					copies[m] = append(copies[m], modelCopy{server: i})
+					replicas[m] = append(replicas[m], replica{server: i})
 				}
 			}
 		}
 		for m := range engine.Models {
-			require.NotEmpty(t, copies[m], "%s has no loaded copy", m)
+			require.NotEmpty(t, replicas[m], "%s has no loaded replica", m)
 		}
 		for m := range requested {
 			requested[m] *= total
 		}
-		for _, u := range newBalance(len(servers), copies, requested).util {
+		for _, u := range newBalance(len(servers), replicas, requested).util {
 			overload += max(u-1, 0) * tick.Seconds()
 		}
 	}
 	return overload, loads
 }
 
-// Demand shifts to other models within six seconds. Placed by recent demand, the copies are ready
-// only when the shift is over, and until then the only copy of the model with rising demand is
+// Demand shifts to other models within six seconds. Placed by recent demand, the replicas are ready
+// only when the shift is over, and until then the only replica of the model with rising demand is
 // overloaded several times. Placed by trend, they are ready earlier.
-func TestCopiesFollowDemandTrend(t *testing.T) {
+func TestReplicasFollowDemandTrend(t *testing.T) {
 	before, _ := simulateShift(t, false)
 	after, loads := simulateShift(t, true)
 	require.Less(t, after, 0.9*before)
@@ -201,9 +201,10 @@
 	require.Less(t, loads, 25)
 }
 
-// Three servers crash and with them the only copies of some rare models. They are back within
-// seconds, with their weights on disk. A busy model's copy must not be replaced at once for a rare
-// model, which would affect all callers, but only when the rare model stays missing for longer.
+// Three servers crash and with them the only replicas of some rare models. They are back within
+// seconds, with their weights on disk. A busy model's replica must not be replaced at once for a
+// rare model, which would affect all callers, but only when the rare model stays missing for
+// longer.
 func TestRareModelsWaitAfterCrash(t *testing.T) {
 	engine := &routes.Engine{WeightMemoryMB: 20, Models: make(map[string]routes.Model)}
 	for _, m := range []string{"busy", "rare", "other"} {
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -22,7 +22,7 @@
 	// stepDutyDivisor limits placement steps to a twentieth of the VM's time, however many servers
 	// and models there are.
 	stepDutyDivisor = 20
-	// callTimeout bounds a call to a server, which answers in milliseconds.
+	// callTimeout bounds a call to a server, which responds in milliseconds.
 	callTimeout = 300 * time.Millisecond
 	// reportInterval is the time between two reports of a server in a known state. Entries in the
 	// platform announce models sooner; reports mainly verify adapters.
@@ -32,8 +32,8 @@
 	reportRetryInterval = 200 * time.Millisecond
 	// startupListingTime is how long the controller waits for the other servers of a service after
 	// the first one was listed: servers that start together write their entries within two
-	// heartbeats, some 2.5 s. Until then the models of unlisted servers seem to have no copy.
-	// Loading them at once replaced half the copies of the busiest model, moments before its
+	// heartbeats, some 2.5 s. Until then the models of unlisted servers seem to have no replica.
+	// Loading them at once replaced half the replicas of the busiest model, moments before its
 	// requests began.
 	startupListingTime = 4 * time.Second
 	// defaultWindow is the default window of the weight store's load limit.
@@ -48,11 +48,11 @@
 	Commands Commands
 	Servers  *backs.View
 	Table    func() *routes.Table
-	// Fence returns the lease's fencing number while orders may be sent.
+	// Fence returns the lease's fencing token, and whether orders may be sent.
 	Fence func(now time.Time) (int, bool)
-	// Term returns the lease's fencing number while the lease is held, even if orders may not be
-	// sent yet; nil uses Fence. In that time the controller requests reports to find out what the
-	// servers hold.
+	// Term returns the lease's fencing token, and whether the lease is held, even if orders may not
+	// be sent yet; nil uses Fence. Until they may, the controller requests reports to find out what
+	// the servers have loaded.
 	Term func(now time.Time) (int, bool)
 	// PredecessorEnd returns the latest time at which the previous controller may have sent an
 	// order; nil for the start of this VM's term.
@@ -70,9 +70,9 @@
 	Meter *meter.Registry
 
 	mu sync.Mutex
-	// fence is the fencing number of the current term. predecessorEnd is the latest time at which
-	// the previous controller may have sent an order.
-	fence             int
+	// fencingToken is the lease's fencing token in the current term. predecessorEnd is the latest
+	// time at which the previous controller may have sent an order.
+	fencingToken      int
 	predecessorEnd    time.Time
 	servers           map[string]*Server
 	sortedServers     map[string][]*Server
@@ -80,17 +80,17 @@
 	lastReportRequest map[string]time.Time
 	// firstListed is when the first server of each service was listed.
 	firstListed map[string]time.Time
-	// lastCopySeen is when each model last had a copy at a server that is up, not draining and not
-	// contended.
-	lastCopySeen  map[string]time.Time
-	modelDemand   map[string]*Demand
-	adapterDemand Demand
-	loadLimiters  map[string]*LoadLimiter
-	vmLoads       map[string]map[string]pick.Load
-	totalLoads    map[string]pick.Load
-	changed       chan struct{}
-	pendingFinds  map[string]*pendingFind
-	// lastNotified is the time of the latest change that waiters were notified of.
+	// lastReplicaSeen is when each model last had a replica at a server that is reachable, not
+	// draining and not contended.
+	lastReplicaSeen map[string]time.Time
+	modelDemand     map[string]*Demand
+	adapterDemand   Demand
+	loadLimiters    map[string]*LoadLimiter
+	vmLoads         map[string]map[string]pick.Load
+	totalLoads      map[string]pick.Load
+	changed         chan struct{}
+	pendingFinds    map[string]*pendingFind
+	// lastNotified is the time of the latest change that closed the channel of Changed.
 	lastNotified time.Time
 }
 
@@ -140,9 +140,9 @@
 		return
 	}
 	_, leading := c.Fence(now)
-	fence, held := c.currentTerm(now)
-	if held && fence != c.fence {
-		c.beginTerm(now, fence, table)
+	fencingToken, held := c.currentTerm(now)
+	if held && fencingToken != c.fencingToken {
+		c.beginTerm(now, fencingToken, table)
 	}
 	for _, service := range table.Services() {
 		if service.Engine == nil {
@@ -178,10 +178,10 @@
 
 // beginTerm starts a term. The last orders of the previous controller are unknown until each
 // server has sent its first report.
-func (c *Controller) beginTerm(now time.Time, fence int, table *routes.Table) {
+func (c *Controller) beginTerm(now time.Time, fencingToken int, table *routes.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence, c.predecessorEnd = fence, now
+	c.fencingToken, c.predecessorEnd = fencingToken, now
 	if c.PredecessorEnd != nil {
 		c.predecessorEnd = c.PredecessorEnd()
 	}
@@ -193,7 +193,7 @@
 	for _, s := range c.servers {
 		s.BeginTerm(c.predecessorEnd)
 	}
-	c.Log.Info().Dur("since_last_order", now.Sub(c.predecessorEnd)).Int("fence", fence).Msg("lease term started")
+	c.Log.Info().Dur("since_last_order", now.Sub(c.predecessorEnd)).Int("fence", fencingToken).Msg("lease term started")
 }
 
 // syncServers applies the entries of a service's servers and removes the servers that are no
@@ -205,7 +205,7 @@
 	if c.servers == nil {
 		c.sortedServers = make(map[string][]*Server)
 		c.servers, c.orderInFlight, c.lastReportRequest = make(map[string]*Server), make(map[string]bool), make(map[string]time.Time)
-		c.firstListed, c.lastCopySeen = make(map[string]time.Time), make(map[string]time.Time)
+		c.firstListed, c.lastReplicaSeen = make(map[string]time.Time), make(map[string]time.Time)
 	}
 	listedIDs, previous := make(map[string]bool), len(c.sortedServers[service])
 	added := 0
@@ -284,23 +284,23 @@
 	return loadLimiter
 }
 
-// recordCopies records which models have a copy now. c.mu is held.
-func (c *Controller) recordCopies(now time.Time, service string) {
+// recordReplicas records which models have a replica now. c.mu is held.
+func (c *Controller) recordReplicas(now time.Time, service string) {
 	for _, s := range c.serversOf(service) {
 		if s.entry.Draining || s.Down() || c.Contended != nil && c.Contended(s.entry.ID) {
 			continue
 		}
 		for name, r := range s.models {
 			if r.phase != unloading {
-				c.lastCopySeen[service+"/"+name] = now
+				c.lastReplicaSeen[service+"/"+name] = now
 			}
 		}
 	}
 }
 
-// timeWithoutCopy returns how long a model has been without a copy. c.mu is held.
-func (c *Controller) timeWithoutCopy(now time.Time, service, model string) time.Duration {
-	last, ok := c.lastCopySeen[service+"/"+model]
+// timeWithoutReplica returns how long a model has been without a replica. c.mu is held.
+func (c *Controller) timeWithoutReplica(now time.Time, service, model string) time.Duration {
+	last, ok := c.lastReplicaSeen[service+"/"+model]
 	if !ok {
 		last = c.firstListed[service]
 	}
@@ -312,7 +312,7 @@
 	defer c.mu.Unlock()
 	demand, limiter := c.demand(service.Name), c.loadLimiter(service)
 	limiter.Unanswered, limiter.Inherited = 0, 0
-	c.recordCopies(now, service.Name)
+	c.recordReplicas(now, service.Name)
 	for _, s := range c.serversOf(service.Name) {
 		if s.HasUnansweredLoad(now) {
 			limiter.Unanswered++
@@ -328,7 +328,7 @@
 			return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 		},
 		Contended:       c.Contended,
-		TimeWithoutCopy: func(model string) time.Duration { return c.timeWithoutCopy(now, service.Name, model) },
+		TimeWithoutCopy: func(model string) time.Duration { return c.timeWithoutReplica(now, service.Name, model) },
 		MayBeUnlisted: func(model string) bool {
 			return now.Sub(c.firstListed[service.Name]) < startupListingTime && demand.Last(model).IsZero()
 		},
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -16,7 +16,7 @@
 
 // testController returns a controller of one service "s" with a model "m1" at server "a". The
 // orders it sends arrive in the channel.
-func testController(fence func(time.Time) (int, bool)) (*Controller, chan Order) {
+func testController(fencingToken func(time.Time) (int, bool)) (*Controller, chan Order) {
 	now := time.Unix(1000, 0)
 	view := &backs.View{}
 	view.Replace(now, []backs.Entry{{ID: "a", Service: "s", Models: []backs.LoadedModel{{Model: "m1"}}}})
@@ -26,7 +26,7 @@
 	table := routes.NewTable(1, nil, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	orders := make(chan Order, 16)
 	return &Controller{
-		Name: "vm", Servers: view, Table: func() *routes.Table { return table }, Fence: fence,
+		Name: "vm", Servers: view, Table: func() *routes.Table { return table }, Fence: fencingToken,
 		Now: func() time.Time { return now }, Log: zerolog.Nop(), Meter: meter.New(),
 		Commands: Commands{
 			Send: func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
@@ -150,10 +150,10 @@
 	require.Equal(t, 2, placeAt(first.Add(defaultWindow+500*time.Millisecond)))
 }
 
-// At the start of a deployment the controller sees the entry of one server, which holds two
-// copies' worth of a busy model; the others follow within two seconds. Treating this server as the
-// whole fleet, the controller unloaded the busy model to load the models of the unlisted servers.
-// It must wait for their entries, except for models that callers request.
+// At the start of a deployment the controller receives the entry of one server, which holds two
+// replicas' worth of a busy model; the others follow within two seconds. Treating this server as
+// the whole fleet, the controller unloaded the busy model to load the models of the unlisted
+// servers. It must wait for their entries, except for models that callers request.
 func TestPlacementWaitsForUnlistedServers(t *testing.T) {
 	c, orders := testController(func(time.Time) (int, bool) { return 5, true })
 	table := c.Table()
@@ -174,13 +174,13 @@
 	c, orders = testController(func(time.Time) (int, bool) { return 5, true })
 	placeAt(now)
 	placeAt(now.Add(startupListingTime))
-	require.Equal(t, "m2", (<-orders).Model, "no listed server holds the model")
+	require.Equal(t, "m2", (<-orders).Model, "no listed server has the model")
 }
 
-// A restarted server holds one model and is about to load a second one, during which it accepts no
-// other order for six seconds. Requests for adapters of the first model that no server holds were
-// refused until the load had ended. The adapters must be loaded first, one after the other in the
-// same step, as many as there are slots for.
+// A restarted server has loaded one model and is about to load a second one, during which it
+// accepts no other order for six seconds. Requests for adapters of the first model that no server
+// has were refused until the load had ended. The adapters must be loaded first, one after the other
+// in the same step, as many as there are slots for.
 func TestRequestedAdaptersLoadBeforeNextModel(t *testing.T) {
 	c, orders := testController(func(time.Time) (int, bool) { return 5, true })
 	var calls []func()
@@ -209,7 +209,7 @@
 }
 
 // Three adapter orders are sent one after the other, and the second one fails: the server refuses
-// it or its answer is lost, a report shows a delayed order that has taken the last slot, or this
+// it or its response is lost, a report shows a delayed order that has taken the last slot, or this
 // VM paused and its lease expired. The third order is then based on an outdated state. It would
 // exceed the server's adapter slots and crash it, or come from a VM that has lost the lease, so it
 // must not be sent.
@@ -221,7 +221,7 @@
 	}{
 		"all accepted":  {Accepted, nil, []int{3, 4, 5}},
 		"conflict":      {Conflict, nil, []int{3, 4}},
-		"no answer":     {Unknown, nil, []int{3, 4}},
+		"no response":   {Unknown, nil, []int{3, 4}},
 		"refused":       {Refused, nil, []int{3, 4}},
 		"lease ended":   {Accepted, func(_ *Controller, leading *bool) { *leading = false }, []int{3, 4}},
 		"late order":    {Accepted, fillAdapterSlots, []int{3, 4}},
@@ -295,7 +295,7 @@
 			c.syncServers(now, "s")
 			c.servers["a"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1", Adapters: []string{"a1"}}}})
 			c.servers["b"].ApplyReport(now, now, Report{Models: []backs.LoadedModel{{Model: "m1"}}})
-			for range downThreshold {
+			for range unreachableThreshold {
 				c.servers["a"].ReportFailed()
 			}
 			c.RecordVMReport(now, "vm", nil, []ModelDemand{{Service: "s", Model: "m1", Adapter: "a1", Requests: 1, ServerTime: time.Millisecond}})
--- a/steer/demand.go
+++ b/steer/demand.go
@@ -105,8 +105,8 @@
 
 // Load pattern: demand shifts between the models within some seconds, and bursts of all models
 // begin and end in less time than a load takes. Both raise the requested work of a model steeply,
-// but only a shift raises its share of all work. Among hundreds of models some also seem to rise
-// by chance at any time. Copies loaded because of a burst or of chance replaced copies of models
+// but only a shift raises its share of all work. Among hundreds of models some also seem to rise by
+// chance at any time. Replicas loaded because of a burst or of chance replaced replicas of models
 // with ongoing demand, and were removed again as soon as they were ready.
 //
 // The trend is therefore that of a model's share of all work. It counts only by as much as it
--- a/steer/demand_test.go
+++ b/steer/demand_test.go
@@ -28,11 +28,11 @@
 	require.InDelta(t, 500, d.Work(at(0.9), "many"), 1e-9)
 }
 
-// Traffic begins, spread evenly over four models with two copies each. In the first tenths of a
-// second one of them has a few requests by chance and another has none. Copies moved for that
+// Traffic begins, spread evenly over four models with two replicas each. In the first tenths of a
+// second one of them has a few requests by chance and another has none. Replicas moved for that
 // reason cost loads and are moved back a second later. A model with ten times the requests of the
-// others must get its copies.
-func TestChanceMovesNoCopies(t *testing.T) {
+// others must get its replicas.
+func TestChanceMovesNoReplicas(t *testing.T) {
 	tests := map[string]struct {
 		requests map[string]int
 		moves    bool
@@ -61,9 +61,9 @@
 	}
 }
 
-// Copies must follow a shift of demand while the new demand is still growing: within a second of
-// its full strength a model has replaced copies of the models that lost theirs.
-func TestCopiesFollowDemandShift(t *testing.T) {
+// Replicas must follow a shift of demand while the new demand is still growing: within a second of
+// its full strength a model has replaced replicas of the models that lost theirs.
+func TestReplicasFollowDemandShift(t *testing.T) {
 	var d steer.Demand
 	add := func(now time.Time, m string, perSecond float64) { d.Add(now, m, 0.004*perSecond, int(perSecond/10)) }
 	for tick := range 30 {
@@ -110,7 +110,7 @@
 }
 
 // The requests for all models double at once for four seconds. Taken as a trend, this burst seems
-// to need several times the copies of each model by the time that they are loaded, when it is
+// to need several times the replicas of each model by the time that they are loaded, when it is
 // over. A shift of demand from one model to another lasts longer than a load and must show as a
 // trend of both. Among hundreds of models some seem to rise by chance at any time, and hardly any
 // of them may show a trend.
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -49,12 +49,12 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := c.Now()
-	fence, leading := c.Fence(now)
+	fencingToken, leading := c.Fence(now)
 	if !leading {
 		return Refused
 	}
 	c.mu.Lock()
-	o.Holder, o.Fence = c.Name, fence
+	o.Holder, o.Fence = c.Name, fencingToken
 	e := s.entry
 	c.mu.Unlock()
 	result, err := c.Commands.Send(ctx, e, o)
@@ -64,6 +64,6 @@
 	c.notifyChanged()
 	c.Meter.AddCounter("steer.orders", 1)
 	c.Log.Info().Str("server", e.ID).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
-		Int("expect", o.ExpectedSequence).Int("fence", fence).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
+		Int("expect", o.ExpectedSequence).Int("fence", fencingToken).Dur("within", expectedTime).Int("verdict", int(result)).Err(err).Msg("order")
 	return result
 }
--- a/steer/models.go
+++ b/steer/models.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Serves reports whether the server holds a model, and the adapter if one is named, ready for
-// requests.
+// Serves reports whether a model, and the adapter if one is named, is ready for requests at the
+// server.
 func (s *Server) Serves(now time.Time, model, adapter string) bool {
 	r := s.models[model]
 	if r == nil || r.phase != loaded {
@@ -31,13 +31,13 @@
 		if r.phase != loaded {
 			continue
 		}
-		h := backs.LoadedModel{Model: name}
+		m := backs.LoadedModel{Model: name}
 		for _, a := range slices.Sorted(maps.Keys(r.adapters)) {
 			if r.adapters[a].usable(now) {
-				h.Adapters = append(h.Adapters, a)
+				m.Adapters = append(m.Adapters, a)
 			}
 		}
-		list = append(list, h)
+		list = append(list, m)
 	}
 	return list
 }
--- a/steer/order.go
+++ b/steer/order.go
@@ -1,5 +1,5 @@
-// Package steer decides which models and adapters the backend servers hold and sends them load and
-// unload orders. One VM at a time does so under a lease; the others query it.
+// Package steer decides which models and adapters each backend server loads, and sends load and
+// unload orders to the servers. One VM at a time does so under a lease; the others query that VM.
 //
 // Server, Demand, LoadLimiter and Planner make decisions without I/O. Controller runs them and
 // calls the servers.
@@ -12,8 +12,8 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// Order is a command to a server to load or unload a model, or an adapter of a model that the
-// server holds.
+// Order requests a server to load or unload a model, or an adapter of a model that the server has
+// loaded.
 type Order struct {
 	Unload bool
 	Model  string
@@ -23,17 +23,17 @@
 	// The server checks it on execution, so a delayed order is invalid once the server has
 	// accepted a later one.
 	ExpectedSequence int
-	// Holder is the name of the VM that sends the order, Fence its lease's fencing number.
+	// Holder is the name of the VM that sends the order, Fence its lease's fencing token.
 	Holder string
 	Fence  int
 }
 
-// OrderResult is a server's answer to an order.
+// OrderResult is a server's response to an order.
 type OrderResult int
 
 // Results of an order.
 const (
-	// Unknown means that no answer arrived. The order may be executed now or later.
+	// Unknown means that no response arrived. The order may be executed now or later.
 	Unknown OrderResult = iota
 	// Accepted means that the server is executing the order.
 	Accepted
@@ -47,14 +47,14 @@
 
 // Report is the state that a server reports. It is some hundred milliseconds old.
 type Report struct {
-	// Born is when the server started, the zero time if the report does not contain it.
+	// Born is when the server instance started, the zero time if the report does not contain it.
 	Born   time.Time
 	Models []backs.LoadedModel
 	// Pending are the adapters that are loading, by model.
 	Pending []backs.LoadedModel
 	// Busy means that a model is being loaded or unloaded.
 	Busy bool
-	// Sequence is the number of orders accepted since the server's start.
+	// Sequence is the number of orders accepted by the server instance since it started.
 	Sequence int
 	// InMemory and OnDisk are the models whose weights the server caches there.
 	InMemory, OnDisk []string
--- a/steer/orderresult.go
+++ b/steer/orderresult.go
@@ -71,7 +71,7 @@
 	if !o.Unload {
 		s.lastLoad = now
 		s.cache.add(e, o.Model)
-		s.models[o.Model] = &resident{phase: loading, since: now, adapters: make(map[string]adapterSlot)}
+		s.models[o.Model] = &modelState{phase: loading, since: now, adapters: make(map[string]adapterSlot)}
 		return
 	}
 	if r := s.models[o.Model]; r != nil {
@@ -84,7 +84,7 @@
 const reservationTTL = 8 * time.Second
 
 // Reserve reserves memory for a model while another one is unloaded. Otherwise each placement step
-// until the load finds the model as short of copies as before and unloads another copy for it.
+// until the load finds the model as short of replicas as before and unloads another replica for it.
 func (s *Server) Reserve(now time.Time, model string) {
 	s.reservedModel, s.reservedUntil = model, now.Add(reservationTTL)
 }
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -25,13 +25,13 @@
 
 // Planner turns demand into the next model orders of a service. It keeps no state between plans.
 //
-// Each model keeps at least one copy. A further copy is loaded if it improves the balance of work
-// between the servers by more than it costs (see balance). It replaces another copy only if the
-// difference exceeds a margin and the uncertainty of the demand: the model that gets a copy counts
-// with the low estimate of its work, the model that loses one with the high estimate. Otherwise
-// dozens of models move in the first second of new demand, when each has had only a few requests.
-// Memory that no model needs stays free: a model whose demand rises is loaded there at once,
-// whereas a copy that is replaced must first finish its requests.
+// Each model keeps at least one replica. A further replica is loaded if it improves the balance of
+// work between the servers by more than it costs (see balance). It replaces another replica only if
+// the difference exceeds a margin and the uncertainty of the demand: the model that gets a replica
+// counts with the low estimate of its work, the model that loses one with the high estimate.
+// Otherwise dozens of models move in the first second of new demand, when each has had only a few
+// requests. Memory that no model needs stays free: a model whose demand rises is loaded there at
+// once, whereas a replica that is replaced must first finish its requests.
 type Planner struct {
 	Engine  *routes.Engine
 	Servers []*Server
@@ -44,72 +44,72 @@
 	// StartStoreLoad counts one more load from the weight store. It returns nil if none may begin
 	// now.
 	StartStoreLoad func() *LoadStart
-	// TimeWithoutCopy returns how long a model has been without a copy; nil if unknown.
+	// TimeWithoutCopy returns how long a model has been without a replica; nil if unknown.
 	TimeWithoutCopy func(model string) time.Duration
-	// MayBeUnlisted reports whether a model without a copy probably has one at a server that is
+	// MayBeUnlisted reports whether a model without a replica probably has one at a server that is
 	// not listed yet; nil for never.
 	MayBeUnlisted func(model string) bool
-	// Contended reports whether the requests for a server far exceed its rate limit; nil for
-	// never. The copies at such a server do not count, and no models are loaded there.
+	// Contended reports whether the requests for a server far exceed its rate limit; nil for never.
+	// The replicas at such a server do not count, and no models are loaded there.
 	Contended func(server string) bool
 	Now       time.Time
 
 	// The following fields are computed once for each plan: with a thousand models and as many
 	// servers, computing them for each choice would take seconds.
-	work           map[string]estimate
-	copiesInDomain map[domainModel]int
-	domains        int
-	candidates     []candidate
-	// planned includes the copies that are loading, current only the loaded ones.
+	work             map[string]estimate
+	replicasInDomain map[domainModel]int
+	domains          int
+	candidates       []candidate
+	// planned includes the replicas that are loading, current only the loaded ones.
 	planned, current *balance
 }
 
 // candidate is a server that models can be placed on.
 type candidate struct {
 	*Server
-	// heldMB is the memory in use. acceptsOrders is set if the server can be sent an order now.
-	heldMB        float64
+	// usedMemoryMB is the memory in use. acceptsOrders is set if the server can be sent an order now.
+	usedMemoryMB  float64
 	acceptsOrders bool
 }
 
-// estimate is the low, mean and high estimate of the work requested of a model until a copy loaded
-// now would be ready.
+// estimate is the low, mean and high estimate of the work requested of a model until a replica
+// loaded now would be ready.
 type estimate struct{ low, mean, high float64 }
 
 type domainModel struct{ domain, model string }
 
 const (
-	// moveMargin is the factor by which the gain of a copy must exceed the loss of the copy that
-	// it replaces.
+	// moveMargin is the factor by which the gain of a replica must exceed the loss of the replica
+	// that it replaces.
 	moveMargin = 1.5
-	// minGain is the least gain for which a copy is loaded, in squared servers: that of levelling
-	// two servers whose utilization differs by 0.3.
+	// minGain is the least gain for which a replica is loaded, in squared servers: the gain of
+	// levelling two servers whose utilization differs by 0.3.
 	minGain = 0.05
 	// maxForecast is the longest horizon of a forecast, about as long as the period that the trend
 	// is derived from.
 	maxForecast = 6 * time.Second
-	// urgencyDecay is the time constant of a copy's urgency: a load that takes this long has about
-	// a third of the urgency of an immediate one. Most surges and shifts of demand need the copy
-	// within some seconds.
+	// urgencyDecay is the time constant of a replica's urgency: a load that takes this long has
+	// about a third of the urgency of an immediate one. Most surges and shifts of demand need the
+	// replica within some seconds.
 	urgencyDecay = 4 * time.Second
 	// demandDuration is about how long demand stays with a model: the time between two shifts of
 	// demand.
 	demandDuration = 14 * time.Second
-	// drainTime is how long the unloading of a copy in use takes, idleDrainTime that of an idle
-	// copy. A model counts as idle if its work is below idleWork.
+	// drainTime is how long the unloading of a replica in use takes, idleDrainTime that of an idle
+	// replica. A model counts as idle if its work is below idleWork.
 	drainTime     = 2 * time.Second
 	idleDrainTime = 300 * time.Millisecond
 	idleWork      = 0.02
-	// domainWeight weighs a model's first copy in a failure domain against the work of the callers
-	// in that domain: they have no other copy when the domain is cut off.
+	// domainWeight weighs a model's first replica in a failure domain against the work of the
+	// callers in that domain: they have no other replica when the failure domain is partitioned.
 	domainWeight = 0.5
-	// firstCopyBaseWorth is the worth of a model's only copy in addition to its work. It grows by
-	// this amount for each second without a copy, as the model's requests wait or are refused.
-	// Initially it is too low to replace a copy of a busy model: a crashed server is usually back
-	// within two or three seconds, with its copies on its disk.
-	firstCopyBaseWorth = 0.04
-	// firstCopyWorkWeight weighs the model's work in the worth of its only copy.
-	firstCopyWorkWeight = 4.0
+	// firstReplicaBaseWorth is the worth of a model's only replica in addition to its work. It grows
+	// by this amount for each second without a replica, as the model's requests wait or are
+	// refused. Initially it is too low to replace a replica of a busy model: a crashed server is
+	// usually back within two or three seconds, with its models' weights on its disk.
+	firstReplicaBaseWorth = 0.04
+	// firstReplicaWorkWeight weighs the model's work in the worth of its only replica.
+	firstReplicaWorkWeight = 4.0
 )
 
 // Steps returns the next orders, at most one for each server.
@@ -120,7 +120,7 @@
 	for again := true; again; {
 		again = false
 		for _, o := range p.options(used) {
-			// Earlier steps of this plan may have lowered its worth.
+			// Earlier steps of this plan may have lowered the worth of the option.
 			o, ok := p.bestOption(o.step.Model, used)
 			if !ok {
 				continue
@@ -140,7 +140,7 @@
 	var steps []Step
 	for i, s := range p.candidates {
 		m, ok := p.Engine.Models[s.ReservedFor(p.Now)]
-		if !ok || !s.acceptsOrders || s.heldMB+m.SizeMB > p.Engine.WeightMemoryMB {
+		if !ok || !s.acceptsOrders || s.usedMemoryMB+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		loadTime, store := s.loadTime(m)
@@ -149,7 +149,7 @@
 			continue
 		}
 		used[s.Server] = true
-		p.copiesInDomain[domainModel{s.entry.Domain, m.Name}]++
+		p.replicasInDomain[domainModel{s.entry.Domain, m.Name}]++
 		steps = append(steps, step)
 	}
 	return steps
@@ -166,7 +166,7 @@
 }
 
 // prepare computes the work of each model, the candidates and the balances. Servers that are
-// draining, down or contended are left out.
+// draining, unreachable or contended are left out.
 func (p *Planner) prepare() {
 	p.work = make(map[string]estimate, len(p.Engine.Models))
 	work := make(map[string]float64, len(p.Engine.Models))
@@ -174,26 +174,26 @@
 		p.work[name] = p.estimate(m)
 		work[name] = p.work[name].mean
 	}
-	p.copiesInDomain, p.candidates = make(map[domainModel]int), nil
+	p.replicasInDomain, p.candidates = make(map[domainModel]int), nil
 	domains := make(map[string]bool)
 	for _, s := range p.Servers {
 		if s.entry.Draining || s.Down() || p.Contended != nil && p.Contended(s.entry.ID) {
 			continue
 		}
 		domains[s.entry.Domain] = true
-		p.candidates = append(p.candidates, candidate{Server: s, heldMB: s.usedMB(p.Engine), acceptsOrders: s.AcceptsOrders(p.Now)})
+		p.candidates = append(p.candidates, candidate{Server: s, usedMemoryMB: s.usedMB(p.Engine), acceptsOrders: s.AcceptsOrders(p.Now)})
 		for name, r := range s.models {
 			if r.phase != unloading {
-				p.copiesInDomain[domainModel{s.entry.Domain, name}]++
+				p.replicasInDomain[domainModel{s.entry.Domain, name}]++
 			}
 		}
 	}
 	p.domains = max(len(domains), 1)
-	p.planned = newBalance(len(p.candidates), plannedCopies(p.Engine, p.candidates, p.Now), work)
-	p.current = newBalance(len(p.candidates), loadedCopies(p.Engine, p.candidates), work)
+	p.planned = newBalance(len(p.candidates), plannedReplicas(p.Engine, p.candidates, p.Now), work)
+	p.current = newBalance(len(p.candidates), loadedReplicas(p.Engine, p.candidates), work)
 }
 
-// estimate returns the work requested of a model, recently or by the time that a copy loaded now
+// estimate returns the work requested of a model, recently or by the time that a replica loaded now
 // would be ready.
 func (p *Planner) estimate(m routes.Model) estimate {
 	work, stdErr := p.Work(m.Name), 0.0
@@ -214,30 +214,30 @@
 	return e
 }
 
-// option is a possible load of one more copy of a model.
+// option is a possible load of one more replica of a model.
 type option struct {
 	step Step
 	// candidate is the index of its server in Planner.candidates.
 	candidate int
 	// victim is the model to unload first, "" for none.
 	victim string
-	// worth is the worth of the copy less that of the victim's copy. urgency is the worth
-	// discounted by the time until the copy is ready.
+	// worth is the worth of the replica less that of the victim's replica. urgency is the worth
+	// discounted by the time until the replica is ready.
 	worth, urgency float64
 }
 
-// Load pattern: dozens of servers crash together and restart empty, with their copies on their
-// disks. The models with the most demand lack copies at that moment, and a server executes one
-// order at a time. If the copy with the highest worth goes first, these models occupy the servers
-// with loads from the weight store, and servers that could have loaded another model from disk
-// within a second are idle for six.
+// Load pattern: dozens of servers crash together and restart empty, with their models' weights on
+// their disks. The models with the most demand lack replicas at that moment, and a server executes
+// one order at a time. If the replica with the highest worth goes first, these models occupy the
+// servers with loads from the weight store, and servers that could have loaded another model from
+// disk within a second are idle for six.
 //
 // Options are therefore sorted by urgency, which favours short load times.
 
-// options returns the best option of each model that is worth one more copy, the most urgent
-// first. Sorted by urgency, the replays of the worst load earn 0.896 and 0.872 of all worth,
-// against 0.878 and 0.866 sorted by worth (112 and 156 servers, means of six and four seeds; 0.873
-// both ways with 12 servers).
+// options returns the best option of each model that is worth one more replica, the most urgent
+// first. In replays of the worst load, this order earns 0.896 and 0.872 of all worth, and an order
+// by worth 0.878 and 0.866 (112 and 156 servers, means of six and four seeds; 0.873 both ways with
+// 12 servers).
 func (p *Planner) options(used map[*Server]bool) []option {
 	var list []option
 	for _, m := range p.Engine.Models {
@@ -251,10 +251,10 @@
 	return list
 }
 
-// bestOption returns the most urgent option for one more copy of a model.
+// bestOption returns the most urgent option for one more replica of a model.
 func (p *Planner) bestOption(m routes.Model, used map[*Server]bool) (option, bool) {
-	w, copies := p.work[m.Name], len(p.planned.copies[m.Name])
-	if copies == 0 && p.MayBeUnlisted != nil && p.MayBeUnlisted(m.Name) || copies > 0 && w.low*w.low < minGain {
+	work, replicas := p.work[m.Name], len(p.planned.replicas[m.Name])
+	if replicas == 0 && p.MayBeUnlisted != nil && p.MayBeUnlisted(m.Name) || replicas > 0 && work.low*work.low < minGain {
 		return option{}, false
 	}
 	var best option
@@ -278,40 +278,41 @@
 	)
 }
 
-// Load pattern: demand begins, and models are short of copies. The busiest model gets a further
-// copy in free memory, which takes six seconds to load. A balance that includes the new copy shows
-// the existing copies of the model as spare, and they are replaced at once. Most of the model's
-// 200 requests a second then find no copy, and as many copies as were removed are loaded again.
+// Load pattern: demand begins, and models are short of replicas. The busiest model gets a further
+// replica in free memory, which takes six seconds to load. A balance that includes the new replica
+// shows the existing replicas of the model as spare, and they are replaced at once. Most of the
+// model's 200 requests a second then find no replica, and as many replicas as were removed are
+// loaded again.
 //
-// The loss of a copy is therefore also computed from the loaded copies only.
+// The loss of a replica is therefore also computed from the loaded replicas only.
 
-// optionAt returns the option for one more copy at a server, without a victim if there is enough
+// optionAt returns the option for one more replica at a server, without a victim if there is enough
 // free memory.
 func (p *Planner) optionAt(i int, m routes.Model) (option, bool) {
 	s := p.candidates[i]
 	loadTime, store := s.loadTime(m)
 	o := option{step: Step{Server: s.Server, Model: m, FromStore: store, LoadTime: loadTime}, candidate: i}
-	if s.heldMB+m.SizeMB <= p.Engine.WeightMemoryMB {
+	if s.usedMemoryMB+m.SizeMB <= p.Engine.WeightMemoryMB {
 		return p.evaluate(o, p.planned.util[i], 0, loadTime)
 	}
 	var best option
 	found := false
 	for victim, r := range s.models {
-		if r.phase != loaded || len(p.current.copies[victim]) < 2 || s.heldMB-p.Engine.Models[victim].SizeMB+m.SizeMB > p.Engine.WeightMemoryMB {
+		if r.phase != loaded || len(p.current.replicas[victim]) < 2 || s.usedMemoryMB-p.Engine.Models[victim].SizeMB+m.SizeMB > p.Engine.WeightMemoryMB {
 			continue
 		}
 		loss, util := p.planned.loss(victim, i)
 		currentLoss, _ := p.current.loss(victim, i)
 		loss = max(loss, currentLoss)
-		w, drain := p.work[victim], drainTime
-		if w.high < idleWork {
+		work, drain := p.work[victim], drainTime
+		if work.high < idleWork {
 			drain = idleDrainTime
 		}
-		if w.mean > 0 {
-			loss *= square(w.high / w.mean)
+		if work.mean > 0 {
+			loss *= square(work.high / work.mean)
 		}
-		if p.copiesInDomain[domainModel{s.entry.Domain, victim}] < 2 {
-			loss += p.domainWorth(w.high)
+		if p.replicasInDomain[domainModel{s.entry.Domain, victim}] < 2 {
+			loss += p.domainWorth(work.high)
 		}
 		replacing := o
 		replacing.victim = victim
@@ -327,15 +328,15 @@
 // it. It returns false if the worth is too low.
 func (p *Planner) evaluate(o option, util, loss float64, readyIn time.Duration) (option, bool) {
 	name := o.step.Model.Name
-	w := p.work[name]
+	work := p.work[name]
 	gain, required := 0.0, minGain
-	if len(p.planned.copies[name]) == 0 {
-		gain, required = p.firstCopyWorth(name), 0
-	} else if w.mean > 0 {
-		gain = p.planned.gain(name, util) * square(w.low/w.mean)
+	if len(p.planned.replicas[name]) == 0 {
+		gain, required = p.firstReplicaWorth(name), 0
+	} else if work.mean > 0 {
+		gain = p.planned.gain(name, util) * square(work.low/work.mean)
 	}
-	if p.copiesInDomain[domainModel{o.step.Server.entry.Domain, name}] == 0 {
-		gain += p.domainWorth(w.low)
+	if p.replicasInDomain[domainModel{o.step.Server.entry.Domain, name}] == 0 {
+		gain += p.domainWorth(work.low)
 	}
 	margin := 1.0
 	if o.victim != "" && required > 0 {
@@ -346,22 +347,22 @@
 	return o, o.worth > 0 && o.worth >= required && (o.victim == "" || recoupsLoss(gain, loss, readyIn))
 }
 
-// recoupsLoss reports whether the gain of a copy outweighs the loss of its victim. The loss
-// applies at once, the gain only when the copy is ready.
+// recoupsLoss reports whether the gain of a replica outweighs the loss of its victim. The loss
+// applies at once, the gain only when the replica is ready.
 func recoupsLoss(gain, loss float64, readyIn time.Duration) bool {
 	return gain*math.Exp(-readyIn.Seconds()/demandDuration.Seconds()) > loss
 }
 
-// firstCopyWorth returns the worth of a model's only copy.
-func (p *Planner) firstCopyWorth(model string) float64 {
-	worth := firstCopyBaseWorth + firstCopyWorkWeight*p.work[model].mean
+// firstReplicaWorth returns the worth of a model's only replica.
+func (p *Planner) firstReplicaWorth(model string) float64 {
+	worth := firstReplicaBaseWorth + firstReplicaWorkWeight*p.work[model].mean
 	if p.TimeWithoutCopy != nil {
 		worth *= 1 + p.TimeWithoutCopy(model).Seconds()
 	}
 	return worth
 }
 
-// domainWorth returns the worth of a model's first copy in a failure domain.
+// domainWorth returns the worth of a model's first replica in a failure domain.
 func (p *Planner) domainWorth(work float64) float64 {
 	if p.domains < 2 {
 		return 0
@@ -378,15 +379,15 @@
 	if o.victim != "" {
 		p.planned.remove(o.victim, o.candidate)
 		p.current.remove(o.victim, o.candidate)
-		p.copiesInDomain[domainModel{domain, o.victim}]--
+		p.replicasInDomain[domainModel{domain, o.victim}]--
 		p.planned.add(o.step.Model.Name, o.candidate)
-		p.copiesInDomain[domainModel{domain, o.step.Model.Name}]++
+		p.replicasInDomain[domainModel{domain, o.step.Model.Name}]++
 		return Step{Server: o.step.Server, Unload: true, Model: p.Engine.Models[o.victim], ReplacedBy: o.step.Model.Name}, true
 	}
 	if !p.startLoad(&o.step) {
 		return Step{}, false
 	}
 	p.planned.add(o.step.Model.Name, o.candidate)
-	p.copiesInDomain[domainModel{domain, o.step.Model.Name}]++
+	p.replicasInDomain[domainModel{domain, o.step.Model.Name}]++
 	return o.step, true
 }
--- a/steer/plan_test.go
+++ b/steer/plan_test.go
@@ -51,13 +51,13 @@
 		"missing model loads into free memory": {
 			20, nil, []*steer.Server{reportedServer(at(0), "a", 0, "m1")}, []string{"load m2 at a"},
 		},
-		"missing model replaces a spare copy": {
+		"missing model replaces a spare replica": {
 			10, nil, []*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0, "m1")}, []string{"unload m1 at a"},
 		},
-		"last copy stays": {
+		"last replica stays": {
 			10, map[string]float64{"m2": 100}, []*steer.Server{reportedServer(at(0), "a", 0, "m1")}, nil,
 		},
-		"demand adds a copy": {
+		"demand adds a replica": {
 			20, map[string]float64{"m2": 100, "m1": 1},
 			[]*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0, "m1", "m2")}, []string{"load m2 at a"},
 		},
@@ -76,9 +76,9 @@
 	}
 }
 
-// The copies at a draining server end with it. If they counted, their models would be unavailable
-// from its end until a new copy is loaded.
-func TestDrainingServersCopiesDoNotCount(t *testing.T) {
+// The replicas at a draining server end with it. If they counted, their models would be unavailable
+// from its end until a new replica is loaded.
+func TestDrainingServersReplicasDoNotCount(t *testing.T) {
 	e := entry("a", "m1", "m2")
 	e.Draining = true
 	draining := steer.NewServer(at(0), e)
@@ -86,15 +86,15 @@
 	require.Equal(t, []string{"load m2 at b"}, steps(p))
 }
 
-func TestCopiesAreSpreadOverDomains(t *testing.T) {
+func TestReplicasAreSpreadOverFailureDomains(t *testing.T) {
 	far := entry("z", "m1")
 	far.Domain = "other"
 	other := steer.NewServer(at(0), far)
 	other.ApplyReport(at(0), at(0), steer.Report{Models: []backs.LoadedModel{{Model: "m1"}}})
 	near := reportedServer(at(0), "b", 0, "m1")
-	holds := reportedServer(at(0), "a", 0, "m2")
-	p := planner(at(1), engine(20, "m1", "m2"), map[string]float64{"m2": 10}, holds, near, other)
-	require.Equal(t, []string{"load m2 at z", "load m2 at b"}, steps(p), "loads in the domain without a copy first")
+	withM2 := reportedServer(at(0), "a", 0, "m2")
+	p := planner(at(1), engine(20, "m1", "m2"), map[string]float64{"m2": 10}, withM2, near, other)
+	require.Equal(t, []string{"load m2 at z", "load m2 at b"}, steps(p), "loads in the failure domain without a replica first")
 }
 
 // A crashed server restarts empty, with the weights of one model on its disk. Requests for that
@@ -114,9 +114,9 @@
 	require.Equal(t, []string{"load kept at a"}, steps(p))
 }
 
-// Two further copies of a busy model take seconds to load. Counting them, the planner replaced the
-// loaded copies by another model meanwhile, and requests for the busy model found no copy.
-func TestLoadingCopiesDoNotReplaceLoadedOnes(t *testing.T) {
+// Two further replicas of a busy model take seconds to load. Counting them, the planner replaced
+// the loaded replicas by another model meanwhile, and requests for the busy model found no replica.
+func TestLoadingReplicasDoNotReplaceLoadedOnes(t *testing.T) {
 	e := engine(10, "busy", "other")
 	loading := func(id string) *steer.Server {
 		s := reportedServer(at(0), id, 0)
@@ -125,14 +125,15 @@
 	}
 	work := map[string]float64{"busy": 1.2, "other": 0.7}
 	servers := []*steer.Server{reportedServer(at(0), "a", 0, "busy"), reportedServer(at(0), "b", 0, "busy"), reportedServer(at(0), "c", 0, "other")}
-	require.Empty(t, steps(planner(at(1), e, work, servers...)), "no copy is replaced before the new ones load")
+	require.Empty(t, steps(planner(at(1), e, work, servers...)), "no replica is replaced before the new ones load")
 	servers = append(servers, loading("d"), loading("e"))
 	require.Empty(t, steps(planner(at(1), e, work, servers...)))
 }
 
-// A copy in use was replaced by one with a slightly higher worth that was ready eight seconds
-// later, when demand had mostly shifted to other models. A copy loaded from disk is ready in time.
-func TestCopyNotReplacedByLateOne(t *testing.T) {
+// A replica in use was replaced by one with a slightly higher worth that was ready eight seconds
+// later, when demand had mostly shifted to other models. A replica loaded from disk is ready in
+// time.
+func TestReplicaNotReplacedByLateOne(t *testing.T) {
 	work := map[string]float64{"low": 0.5, "high": 0.95}
 	servers := func() []*steer.Server {
 		disk := steer.NewServer(at(0), entry("a", "low"))
@@ -157,9 +158,9 @@
 	}
 }
 
-// Guards against leaving a model with no copy but one at a contended server, and against loading
-// models there.
-func TestCopyAtContendedServerDoesNotCount(t *testing.T) {
+// Guards against a model whose only replica is at a contended server, and against loading models
+// there.
+func TestReplicaAtContendedServerDoesNotCount(t *testing.T) {
 	servers := []*steer.Server{reportedServer(at(0), "a", 0, "m1"), reportedServer(at(0), "b", 0)}
 	p := planner(at(0), engine(10, "m1"), nil, servers...)
 	require.Empty(t, steps(p))
--- a/steer/reports.go
+++ b/steer/reports.go
@@ -56,7 +56,7 @@
 	c.notifyChanged()
 }
 
-// recordFailedReport records that a server did not answer a report request.
+// recordFailedReport records that a server did not respond to a report request.
 func (c *Controller) recordFailedReport(id string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // RequireReports makes the controller request reports from servers at once: a VM could not reach
-// them, or they refused a request for a model that they were expected to hold.
+// them, or they refused a request for a model that they were expected to have loaded.
 func (c *Controller) RequireReports(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/steer/server.go
+++ b/steer/server.go
@@ -16,9 +16,9 @@
 	unloading
 )
 
-// resident is a model at a server, with its adapters that take a slot: those loaded, loading and
+// modelState is a model at a server, with its adapters that take a slot: those loaded, loading and
 // unloading.
-type resident struct {
+type modelState struct {
 	phase    phase
 	since    time.Time
 	adapters map[string]adapterSlot
@@ -37,14 +37,14 @@
 // since.
 type Server struct {
 	entry  backs.Entry
-	models map[string]*resident
+	models map[string]*modelState
 	// sequence is the number of orders that the server has accepted. It is valid once
 	// sequenceKnown is set by a report.
 	sequence      int
 	sequenceKnown bool
-	// outcomeUnknownAt is when an order got no answer or a conflict, or a delayed order showed in
-	// a report; zero otherwise. No order is sent until a later report shows the sequence. The next
-	// accepted order then invalidates the unanswered one, delayed or not.
+	// outcomeUnknownAt is when an order got no response or a conflict, or a report showed that a
+	// delayed order was executed; zero otherwise. No order is sent until a later report shows the
+	// sequence. The next accepted order then invalidates the unanswered one, delayed or not.
 	outcomeUnknownAt time.Time
 	// busyUntil is the latest expected end of an accepted order. orderInProgress is set while
 	// reports show a model order in progress.
@@ -67,9 +67,9 @@
 	// reservedUntil.
 	reservedModel string
 	reservedUntil time.Time
-	// unansweredLoad is when a model load got no answer, and unansweredOrder when any order did.
-	// The next accepted order clears both. unansweredSequence is the sequence that the unanswered
-	// order expects.
+	// unansweredLoad is when a model load got no response, and unansweredOrder when any order got
+	// none. The next accepted order clears both. unansweredSequence is the sequence that the
+	// unanswered order expects.
 	unansweredLoad, unansweredOrder time.Time
 	unansweredSequence              int
 	// blockedUntil is the end of a period without orders, as an unanswered order that was decided
@@ -84,7 +84,7 @@
 
 // NewServer returns a server with the models of its entry.
 func NewServer(now time.Time, e backs.Entry) *Server {
-	s := &Server{entry: e, models: make(map[string]*resident)}
+	s := &Server{entry: e, models: make(map[string]*modelState)}
 	s.ApplyEntry(now, now, e)
 	return s
 }
@@ -107,28 +107,28 @@
 		return
 	}
 	s.entryAt = receivedAt
-	for _, h := range e.Models {
-		r := s.models[h.Model]
+	for _, m := range e.Models {
+		r := s.models[m.Model]
 		if r == nil && receivedAt.Sub(s.lastOrder) < settleTime {
 			continue
 		}
-		s.addModel(now, h)
+		s.addModel(now, m)
 	}
 }
 
 // addModel records that the server shows a model as loaded.
-func (s *Server) addModel(now time.Time, h backs.LoadedModel) {
-	r := s.models[h.Model]
+func (s *Server) addModel(now time.Time, m backs.LoadedModel) {
+	r := s.models[m.Model]
 	if r == nil {
-		r = &resident{since: now, adapters: make(map[string]adapterSlot)}
-		s.models[h.Model] = r
+		r = &modelState{since: now, adapters: make(map[string]adapterSlot)}
+		s.models[m.Model] = r
 		s.changedAt = now
 	}
 	if r.phase == loading {
 		r.phase, r.since, s.changedAt = loaded, now, now
 		s.clearOrder()
 	}
-	for _, a := range h.Adapters {
+	for _, a := range m.Adapters {
 		if _, ok := r.adapters[a]; !ok {
 			r.adapters[a] = adapterSlot{readyAt: now}
 			s.changedAt = now
@@ -195,9 +195,10 @@
 }
 
 // blockForUnanswered blocks orders to the server if its sequence is below the one that an
-// unanswered order expects: the controller's count was too high, because of an answer that the
-// server did not count. The unanswered order becomes valid only after further orders. It is then
-// executed in addition to them, and the server exceeds its memory or adapter slots.
+// unanswered order expects: the controller's count was too high, because the server reported
+// success for an order that it did not count. The unanswered order becomes valid only after further
+// orders. It is then executed in addition to them, and the server exceeds its memory or adapter
+// slots.
 func (s *Server) blockForUnanswered(sequence int) {
 	if !s.unansweredOrder.IsZero() && sequence < s.unansweredSequence {
 		s.blockedUntil = s.unansweredOrder.Add(maxOrderDelay)
@@ -218,16 +219,16 @@
 func (s *Server) clearOrder() { s.busyUntil, s.orderInProgress = time.Time{}, false }
 
 func pendingAdapters(r Report, model string) []string {
-	for _, h := range r.Pending {
-		if h.Model == model {
-			return h.Adapters
+	for _, m := range r.Pending {
+		if m.Model == model {
+			return m.Adapters
 		}
 	}
 	return nil
 }
 
 // removeAdapters removes the adapters that a report does not show and that were not just ordered.
-func (s *Server) removeAdapters(now time.Time, m *resident, reported []string) {
+func (s *Server) removeAdapters(now time.Time, m *modelState, reported []string) {
 	for a, slot := range m.adapters {
 		if !slices.Contains(reported, a) && (slot.unloading || now.Sub(slot.readyAt) > settleTime) {
 			delete(m.adapters, a)
@@ -236,7 +237,7 @@
 	}
 }
 
-// updateCache applies the report's cached weights. A load can evict other copies, so a report
+// updateCache applies the report's cached weights. A load can evict other weights, so a report
 // requested before or just after the last load is ignored.
 func (s *Server) updateCache(requestedAt time.Time, r Report) {
 	if requestedAt.Sub(s.lastLoad) < maxReportAge {
@@ -266,7 +267,7 @@
 func (s *Server) RequireReport() { s.reportRequired = true }
 
 // refusalBackoff is how long a server gets no orders after it refused one. Another server may have
-// taken over its address and answer its report requests; the old entry expires after three
+// taken over its address and respond to its report requests; the old entry expires after three
 // heartbeats.
 const refusalBackoff = 2 * time.Second
 
@@ -289,16 +290,16 @@
 	}
 }
 
-// downThreshold is how many reports in a row must fail for a server to count as down. A single one
-// is lost now and then.
-const downThreshold = 2
+// unreachableThreshold is how many reports in a row must fail for a server to count as unreachable.
+// A single one is lost now and then.
+const unreachableThreshold = 2
 
 // ReportFailed records that a report request failed.
 func (s *Server) ReportFailed() { s.failedReports++ }
 
 // Down reports whether the server is unreachable. It gets no orders, and its models count as
-// missing until it answers again; its entry expires only after three heartbeats.
-func (s *Server) Down() bool { return s.failedReports >= downThreshold }
+// missing until it responds again; its entry expires only after three heartbeats.
+func (s *Server) Down() bool { return s.failedReports >= unreachableThreshold }
 
 // OrderDue reports whether an order is expected to have ended by now, or has an unknown duration,
 // so that a report is needed to show its end.
--- a/steer/server_test.go
+++ b/steer/server_test.go
@@ -46,9 +46,9 @@
 	require.False(t, s.Serves(at(10), "m2", ""))
 }
 
-// An order gets no answer and is executed seconds later. If the next order were sent with the old
+// An order gets no response and is executed seconds later. If the next order were sent with the old
 // sequence and assumed contents, both could load and exceed the server's memory. No order may be
-// sent until a report requested after the lost answer shows the sequence; the next accepted order
+// sent until a report requested after the lost response shows the sequence; the next accepted order
 // then invalidates the delayed one.
 func TestUnansweredOrderBlocksOrders(t *testing.T) {
 	s := reportedServer(at(0), "a", 3, "m1")
@@ -138,7 +138,7 @@
 		"model loaded":     {steer.Order{Model: "m1"}, steer.Done, 0, true},
 		"conflict":         {steer.Order{Model: "m2"}, steer.Conflict, 0, false},
 		"refused":          {steer.Order{Model: "m2"}, steer.Refused, 0, false},
-		"no answer":        {steer.Order{Model: "m2"}, steer.Unknown, 0, false},
+		"no response":      {steer.Order{Model: "m2"}, steer.Unknown, 0, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -151,12 +151,12 @@
 }
 
 func TestLoadLimiterBoundsEveryWindow(t *testing.T) {
-	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.1}
+	limiter := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.1}
 	started := 0
 	for ms := range 20_000 {
 		now := at(float64(ms) / 1000)
-		if c.Allow(now) {
-			c.Start(now)
+		if limiter.Allow(now) {
+			limiter.Start(now)
 			started++
 		}
 	}
@@ -169,32 +169,32 @@
 // twice the limit. It may begin two in the first window: even after two short terms in a row these
 // stay within the three that the weight store has capacity for above the allowed rate.
 func TestLoadLimiterAfterTakeover(t *testing.T) {
-	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
-	c.BeginTerm(at(0))
+	limiter := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
+	limiter.BeginTerm(at(0))
 	started := 0
 	for ms := range 5000 {
-		if now := at(float64(ms) / 1000); c.Allow(now) {
-			c.Start(now)
+		if now := at(float64(ms) / 1000); limiter.Allow(now) {
+			limiter.Start(now)
 			started++
 		}
 	}
 	require.Equal(t, 2, started)
-	require.True(t, c.Allow(at(5)))
+	require.True(t, limiter.Allow(at(5)))
 }
 
 // A VM acquires the lease and sends its first order only after the handover. The previous
 // controller began its loads before that, so three of the window's five seconds have passed.
 // Counted from the first order, a model with new demand right after the takeover waited five
-// seconds more for its copies.
+// seconds more for its replicas.
 func TestInheritedWindowStartsAtLastOrder(t *testing.T) {
-	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
-	c.BeginTerm(at(0))
+	limiter := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Inherited: 9}
+	limiter.BeginTerm(at(0))
 	for range 2 {
-		require.True(t, c.Allow(at(3)))
-		c.Start(at(3))
+		require.True(t, limiter.Allow(at(3)))
+		limiter.Start(at(3))
 	}
-	require.False(t, c.Allow(at(3)))
-	require.True(t, c.Allow(at(5)))
+	require.False(t, limiter.Allow(at(3)))
+	require.True(t, limiter.Allow(at(5)))
 }
 
 // The servers show which loads the previous controller began: a server without a report counts, as
@@ -235,23 +235,23 @@
 	require.False(t, s.NeedsReport())
 }
 
-// A server crashes and a new instance answers at its address, while its old entry stays listed for
+// A server crashes and a new instance responds at its address, while its old entry stays listed for
 // some seconds. The new instance refuses each order for the old one. Orders repeated at once would
-// use up the load limit, and models in demand would wait for their copies.
+// use up the load limit, and models in demand would wait for their replicas.
 func TestRefusedOrders(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
 	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Refused, time.Second)
 	require.False(t, s.AcceptsOrders(at(1)))
 	require.True(t, s.NeedsReport())
-	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 0.2}
-	require.True(t, c.Allow(at(0)))
-	b := c.Start(at(0))
-	require.False(t, c.Allow(at(1)))
-	c.Release(b)
-	require.True(t, c.Allow(at(1)))
+	limiter := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 0.2}
+	require.True(t, limiter.Allow(at(0)))
+	load := limiter.Start(at(0))
+	require.False(t, limiter.Allow(at(1)))
+	limiter.Release(load)
+	require.True(t, limiter.Allow(at(1)))
 }
 
-// Several loads get no answer for some seconds and are executed up to twelve seconds later,
+// Several loads get no response for some seconds and are executed up to twelve seconds later,
 // together and in addition to newer ones. Unless they count, more loads begin in a window than the
 // weight store has capacity for. The next order that a server accepts invalidates its unanswered
 // one.
@@ -263,19 +263,19 @@
 	s.ApplyReport(at(2), at(2), steer.Report{Models: entry("", "m1").Models})
 	s.ApplyResult(at(3), at(3), &routes.Engine{}, steer.Order{Model: "m3"}, steer.Accepted, time.Second)
 	require.False(t, s.HasUnansweredLoad(at(4)))
-	c := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Unanswered: 6}
+	limiter := steer.LoadLimiter{Window: 5 * time.Second, PerSecond: 1.4, Unanswered: 6}
 	started := 0
-	for c.Allow(at(1)) {
-		c.Start(at(1))
+	for limiter.Allow(at(1)) {
+		limiter.Start(at(1))
 		started++
 	}
 	require.Equal(t, 3, started)
 }
 
-// An order gets no answer, and the server restarts with the same name. The order may still arrive,
-// and the server counts orders from zero again: when it reaches the order's sequence, it executes
-// the order in addition to those decided on without it and exceeds its memory. The new instance
-// must get no order until the unanswered one has expired.
+// An order gets no response, and the server restarts with the same name. The order may still
+// arrive, and the server counts orders from zero again: when it reaches the order's sequence, it
+// executes the order in addition to those decided on without it and exceeds its memory. The new
+// instance must get no order until the unanswered one has expired.
 func TestRestartedServerWaitsForUnansweredOrder(t *testing.T) {
 	previous, now := reportedServer(at(0), "a", 0, "m1"), at(4)
 	previous.ApplyResult(at(1), at(0.7), &routes.Engine{}, steer.Order{Model: "m2"}, steer.Unknown, time.Second)
@@ -309,11 +309,11 @@
 	require.True(t, s.Serves(at(61), "m3", ""))
 }
 
-// A server answers 200 to the unloading of an adapter that it had already unloaded and does not
-// count the order, but the controller does. The next order, with a sequence that is one too high,
-// gets no answer. A report corrects the sequence, and a further order makes the unanswered one
-// valid. It was executed late in addition to the other, exceeded the adapter slots, and the server
-// crashed. No order may be sent until the unanswered one has expired.
+// A server responds with 200 to the unloading of an adapter that it had already unloaded and does
+// not count the order, but the controller does. The next order, with a sequence that is one too
+// high, gets no response. A report corrects the sequence, and a further order makes the unanswered
+// one valid. It was executed late in addition to the other, exceeded the adapter slots, and the
+// server crashed. No order may be sent until the unanswered one has expired.
 func TestUnansweredOrderWithSequenceTooHigh(t *testing.T) {
 	s := reportedServer(at(0), "a", 15, "m1")
 	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Unload: true, Model: "m1", Adapter: "a17", ExpectedSequence: 15}, steer.Done, 0)
--- a/steer/vmreports.go
+++ b/steer/vmreports.go
@@ -26,10 +26,10 @@
 	}
 	c.replaceLoads(c.vmLoads[vm], loads)
 	c.vmLoads[vm] = loads
-	for _, w := range demands {
-		c.demand(w.Service).Add(now, w.Model, w.ServerTime.Seconds(), w.Requests)
-		if w.Adapter != "" {
-			c.adapterDemand.Add(now, adapterKey(w.Service, w.Model, w.Adapter), float64(w.Requests), w.Requests)
+	for _, d := range demands {
+		c.demand(d.Service).Add(now, d.Model, d.ServerTime.Seconds(), d.Requests)
+		if d.Adapter != "" {
+			c.adapterDemand.Add(now, adapterKey(d.Service, d.Model, d.Adapter), float64(d.Requests), d.Requests)
 		}
 	}
 }
@@ -80,8 +80,8 @@
 	return maps.Clone(c.totalLoads)
 }
 
-// ServerModels is the models and adapters that requests may be sent to a server for, and when they
-// last changed.
+// ServerModels lists the models and adapters of a server that requests may be sent for, and when
+// they last changed.
 type ServerModels struct {
 	Server    string
 	Models    []backs.LoadedModel
