--- a/peers/frames.go
+++ b/peers/frames.go
@@ -52,8 +52,8 @@
 			Server: s.ID, Name: s.Name, BornMs: toUnixMillis(s.StartedAt), Unreadable: s.Unreadable, Service: s.Service, Address: s.Address, Domain: s.Domain, Slots: s.Slots, Draining: s.Draining,
 			Gone: s.Removed, HoldMs: int(s.ReadmitAfter.Milliseconds()), ColdMs: int(s.WarmupRemaining.Milliseconds()), Models: []wire.HeldModel{},
 		}
-		for _, h := range s.Models {
-			state.Models = append(state.Models, wire.HeldModel{Name: h.Model, Adapters: append([]string{}, h.Adapters...)})
+		for _, m := range s.Models {
+			state.Models = append(state.Models, wire.HeldModel{Name: m.Model, Adapters: append([]string{}, m.Adapters...)})
 		}
 		list = append(list, state)
 	}
@@ -111,8 +111,8 @@
 // demandOf converts demand from its wire form.
 func demandOf(list []wire.ModelWant) []steer.ModelDemand {
 	demand := make([]steer.ModelDemand, 0, len(list))
-	for _, w := range list {
-		demand = append(demand, steer.ModelDemand{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, ServerTime: time.Duration(w.TimeUs) * time.Microsecond})
+	for _, d := range list {
+		demand = append(demand, steer.ModelDemand{Service: d.Service, Model: d.Model, Adapter: d.Adapter, Requests: d.Requests, ServerTime: time.Duration(d.TimeUs) * time.Microsecond})
 	}
 	return demand
 }
@@ -120,8 +120,8 @@
 // demandList converts demand to its wire form.
 func demandList(demand []steer.ModelDemand) []wire.ModelWant {
 	list := make([]wire.ModelWant, 0, len(demand))
-	for _, w := range demand {
-		list = append(list, wire.ModelWant{Service: w.Service, Model: w.Model, Adapter: w.Adapter, Requests: w.Requests, TimeUs: int(w.ServerTime.Microseconds())})
+	for _, d := range demand {
+		list = append(list, wire.ModelWant{Service: d.Service, Model: d.Model, Adapter: d.Adapter, Requests: d.Requests, TimeUs: int(d.ServerTime.Microseconds())})
 	}
 	return list
 }
--- a/peers/hub.go
+++ b/peers/hub.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// addLoadState adds the load, and what is sent along with it, to a frame. p.mu must be held.
+// addLoadState adds the load, suspect requests, rate limits and relays to a frame. p.mu must be held.
 func (p *Peers) addLoadState(state *wire.FleetState, loads []wire.ServerLoad) {
 	state.Loads, state.HasLoads = loads, true
 	state.PauseMs = int(loadInterval(len(p.links)).Milliseconds())
--- a/peers/lease.go
+++ b/peers/lease.go
@@ -41,11 +41,11 @@
 
 var errStaleNotFound = errors.New("stale read found no lease record")
 
-// commandTimeout covers a command that the previous holder sent right before its lease ended. It may
-// be in flight until its call times out.
-const commandTimeout = 400 * time.Millisecond
+// orderTimeout covers an order that the previous holder sent right before its lease ended. It may be in
+// flight until its call times out.
+const orderTimeout = 400 * time.Millisecond
 
-// Lease is the controller's lease, the right to send commands to servers. Its record is in the store.
+// Lease is the controller's lease, the right to send orders to servers. Its record is in the store.
 // Each write is conditional on the version that was read, so that only one of two concurrent writes
 // succeeds. The version written on acquisition is the fencing token of the term.
 type Lease struct {
@@ -54,8 +54,8 @@
 	Objects       store.Objects
 	// Duration is how long the lease lasts after a renewal.
 	Duration time.Duration
-	// Handover is the minimum time between the last command of one holder and the first command
-	// of the next.
+	// Handover is the minimum time between the last order of one holder and the first order of the
+	// next.
 	Handover time.Duration
 	// AcquireDelay is how long this VM waits before it acquires an expired lease, so that stronger VMs,
 	// which have a larger CPU share, acquire it first.
@@ -77,27 +77,27 @@
 	fencingToken int
 	// staleReads counts the stale reads made.
 	staleReads int
-	// previousTermEnd is the latest time at which the previous holder may have sent a command.
-	// commandsFrom is when this VM may send its first command.
-	previousTermEnd, commandsFrom time.Time
+	// previousTermEnd is the latest time at which the previous holder may have sent an order.
+	// ordersFrom is when this VM may send its first order.
+	previousTermEnd, ordersFrom time.Time
 }
 
-// FencingToken returns the fencing token, and whether this VM may send commands.
+// FencingToken returns the fencing token, and whether this VM may send orders.
 func (l *Lease) FencingToken(now time.Time) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fencingToken, l.keeper.Held(now) && !now.Before(l.commandsFrom)
+	return l.fencingToken, l.keeper.Held(now) && !now.Before(l.ordersFrom)
 }
 
-// Term returns the fencing token, and whether this VM holds the lease. It may hold the lease before
-// it may send commands.
+// Term returns the fencing token, and whether this VM holds the lease. It may hold the lease before it
+// may send orders.
 func (l *Lease) Term(now time.Time) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fencingToken, l.keeper.Held(now)
 }
 
-// PreviousTermEnd returns the latest time at which the previous holder may have sent a command.
+// PreviousTermEnd returns the latest time at which the previous holder may have sent an order.
 func (l *Lease) PreviousTermEnd() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,8 +255,8 @@
 func (l *Lease) ObserveAnnounced(version int, record wire.ControllerLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, _ := l.keeper.Version()
-	if version <= known || l.keeper.Held(l.Now()) {
+	observedVersion, _ := l.keeper.Version()
+	if version <= observedVersion || l.keeper.Held(l.Now()) {
 		return
 	}
 	l.observe(version, record)
@@ -304,15 +304,15 @@
 	return nil
 }
 
-// recordAcquisition records that this VM acquired the lease. The previous holder sent its last
-// command before its lease expired, which is one lease duration after this VM observed its last
-// renewal. This VM sends its first command one handover time later. l.mu must be held.
+// recordAcquisition records that this VM acquired the lease. The previous holder sent its last order
+// before its lease expired, which is one lease duration after this VM observed its last renewal. This
+// VM sends its first order one handover time later. l.mu must be held.
 func (l *Lease) recordAcquisition(startedAt time.Time, version int, previous wire.ControllerLease, previousChangedAt time.Time) {
 	l.fencingToken, l.previousTermEnd = version, startedAt
 	if previous.Address != "" && previous.Address != l.Address {
 		duration := time.Duration(previous.DurationMs) * time.Millisecond
-		l.previousTermEnd = previousChangedAt.Add(duration + commandTimeout)
-		l.commandsFrom = l.previousTermEnd.Add(l.Handover)
+		l.previousTermEnd = previousChangedAt.Add(duration + orderTimeout)
+		l.ordersFrom = l.previousTermEnd.Add(l.Handover)
 	}
 	l.Log.Info().Int("fence", version).Str("before", previous.Holder).Time("begun", startedAt).Msg("controller lease acquired")
 }
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -41,49 +41,49 @@
 	}
 }
 
-func mayCommand(l *peers.Lease, now time.Time) bool {
+func maySendOrders(l *peers.Lease, now time.Time) bool {
 	_, ok := l.FencingToken(now)
 	return ok
 }
 
-// The controller crashes. Servers that do not check fencing tokens must not receive commands from two
-// VMs within 3 s. The next VM acquires the lease after it expires, and sends its first command one
-// handover time later.
+// The controller crashes. Servers that do not check fencing tokens must not receive orders from two VMs
+// within 3 s. The next VM acquires the lease after it expires, and sends its first order one handover
+// time later.
 func TestHandover(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	ctx := t.Context()
 	a.Step(ctx)
-	require.True(t, mayCommand(a, clock.Now()), "the first holder need not wait for the handover time")
+	require.True(t, maySendOrders(a, clock.Now()), "the first holder need not wait for the handover time")
 	b.Step(ctx)
 	var endedAt, beganAt time.Time
 	for range 100 {
 		clock.advance(100 * time.Millisecond)
 		b.Step(ctx)
-		if endedAt.IsZero() && !mayCommand(a, clock.Now()) {
+		if endedAt.IsZero() && !maySendOrders(a, clock.Now()) {
 			endedAt = clock.Now()
 		}
-		if beganAt.IsZero() && mayCommand(b, clock.Now()) {
+		if beganAt.IsZero() && maySendOrders(b, clock.Now()) {
 			beganAt = clock.Now()
 		}
 	}
 	require.False(t, beganAt.IsZero())
 	require.GreaterOrEqual(t, beganAt.Sub(endedAt), 3*time.Second)
 	require.LessOrEqual(t, beganAt.Sub(endedAt), 5*time.Second)
-	fenceB, _ := b.FencingToken(clock.Now())
-	fenceA, _ := a.FencingToken(clock.Now())
-	require.Greater(t, fenceB, fenceA)
+	tokenB, _ := b.FencingToken(clock.Now())
+	tokenA, _ := a.FencingToken(clock.Now())
+	require.Greater(t, tokenB, tokenA)
 }
 
 // The holder's process is suspended for longer than its lease. When it resumes, it must not send
-// commands. Only its clock, which counts the pause, shows that time has passed.
+// orders. Only its clock, which counts the pause, shows that time has passed.
 func TestPausedHolderStops(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	a := newLease(clock, o, "1")
 	a.Step(t.Context())
-	require.True(t, mayCommand(a, clock.Now()))
+	require.True(t, maySendOrders(a, clock.Now()))
 	clock.advance(5 * time.Second)
-	require.False(t, mayCommand(a, clock.Now()))
+	require.False(t, maySendOrders(a, clock.Now()))
 	require.Empty(t, a.LinkKey(clock.Now()))
 }
 
@@ -102,18 +102,18 @@
 		b.Step(t.Context())
 		require.False(t, b.Held(clock.Now()))
 	}
-	require.True(t, mayCommand(a, clock.Now()))
+	require.True(t, maySendOrders(a, clock.Now()))
 }
 
-// A process that restarts at the same address may send commands at once. The previous process has
-// ended, so no handover time is needed.
+// A process that restarts at the same address may send orders at once. The previous process has ended,
+// so no handover time is needed.
 func TestRestartAtSameAddress(t *testing.T) {
 	clock, o := &testClock{now: time.Unix(1000, 0)}, &stand.ObjectStore{}
 	newLease(clock, o, "1").Step(t.Context())
 	clock.advance(100 * time.Millisecond)
 	restarted := newLease(clock, o, "1")
 	restarted.Step(t.Context())
-	require.True(t, mayCommand(restarted, clock.Now()))
+	require.True(t, maySendOrders(restarted, clock.Now()))
 }
 
 // The holder announces its renewals over the links. A VM that loses its link counts the lease duration
@@ -186,7 +186,7 @@
 		clock.advance(100 * time.Millisecond)
 		b.Step(t.Context())
 	}
-	require.True(t, mayCommand(b, clock.Now()))
+	require.True(t, maySendOrders(b, clock.Now()))
 	require.InDelta(t, time.Hour, b.Poison.BlockedFor(clock.Now(), request), float64(10*time.Second))
 	require.Zero(t, b.Poison.BlockedFor(clock.Now(), "bb"))
 	c.Step(t.Context())
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -54,7 +54,7 @@
 // Peers serves the controller's side of the links. All fields must be set unless noted.
 type Peers struct {
 	Name, Domain string
-	// Boot identifies the run of the process.
+	// Boot identifies the process run of this VM.
 	Boot string
 	// Address is where this VM accepts links. Cores is its CPU share.
 	Address    string
@@ -131,7 +131,7 @@
 }
 
 // RequestVerification asks the controller to verify the state of a server that could not be reached or
-// did not hold the expected model or adapter.
+// did not have the expected model or adapter loaded.
 func (p *Peers) RequestVerification(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,8 +150,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []steer.ModelDemand
-	for _, w := range p.demand {
-		list = append(list, *w)
+	for _, d := range p.demand {
+		list = append(list, *d)
 	}
 	p.demand = nil
 	return list
@@ -174,7 +174,7 @@
 
 var errNoController = errors.New("no link to a controller")
 
-// Find returns the ID of a server that holds a model and adapter, as found by the controller.
+// Find returns the ID of a server that has a model and adapter loaded, as found by the controller.
 func (p *Peers) Find(ctx context.Context, service, model, adapter string) (string, error) {
 	if p.Lease.Held(p.Now()) {
 		id, err := p.Controller.Find(ctx, service, model, adapter)
@@ -251,8 +251,8 @@
 }
 
 // runController serves the controller's side until another VM holds the lease. While the store is
-// unreachable, the lease expires and no commands are sent, but no other VM can acquire the lease
-// either. The links stay open and continue to carry load and server states.
+// unreachable, the lease expires and no orders are sent, but no other VM can acquire the lease either.
+// The links stay open and continue to carry load and server states.
 func (p *Peers) runController(ctx context.Context) {
 	p.Log.Info().Msg("controller term started")
 	p.endRelaying()
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -166,18 +166,18 @@
 // precedence, because a relay writes to all VMs of its domain. Among VMs with similar shares, one that
 // already relays is preferred, so that a change of controller moves no links.
 func (p *Peers) betterRelay(a, b *downlink) bool {
-	ha, hb := a.conn.PeerHello(), b.conn.PeerHello()
-	if ha.Millicores >= strongerFactor*hb.Millicores || hb.Millicores >= strongerFactor*ha.Millicores {
-		return ha.Millicores > hb.Millicores
+	helloA, helloB := a.conn.PeerHello(), b.conn.PeerHello()
+	if helloA.Millicores >= strongerFactor*helloB.Millicores || helloB.Millicores >= strongerFactor*helloA.Millicores {
+		return helloA.Millicores > helloB.Millicores
 	}
-	if ca, cb := p.chosenRelays[ha.FailureDomain] == a.vm, p.chosenRelays[hb.FailureDomain] == b.vm; ca != cb {
-		return ca
+	if chosenA, chosenB := p.chosenRelays[helloA.FailureDomain] == a.vm, p.chosenRelays[helloB.FailureDomain] == b.vm; chosenA != chosenB {
+		return chosenA
 	}
-	if ha.Relaying != hb.Relaying {
-		return ha.Relaying
+	if helloA.Relaying != helloB.Relaying {
+		return helloA.Relaying
 	}
-	if ha.Millicores != hb.Millicores {
-		return ha.Millicores > hb.Millicores
+	if helloA.Millicores != helloB.Millicores {
+		return helloA.Millicores > helloB.Millicores
 	}
 	return a.vm < b.vm
 }
@@ -227,8 +227,8 @@
 	sum := p.Book.LocalLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.subtrees {
-		sumLoads(sum, b.loads)
+	for _, s := range p.subtrees {
+		sumLoads(sum, s.loads)
 	}
 	return sum
 }
@@ -273,8 +273,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.setSubtree(vm, subtree{loads: loadsOf(r.Loads), vms: r.Vms, relaying: r.Relaying})
-	for _, w := range demandOf(r.Wants) {
-		p.addDemand(w)
+	for _, d := range demandOf(r.Wants) {
+		p.addDemand(d)
 	}
 	for _, id := range r.Doubts {
 		p.addUnverified(id)
@@ -282,25 +282,25 @@
 }
 
 // setSubtree replaces the last report of a linked VM. p.mu must be held.
-func (p *Peers) setSubtree(vm string, b subtree) {
+func (p *Peers) setSubtree(vm string, s subtree) {
 	if p.subtrees == nil {
 		p.subtrees = make(map[string]subtree)
 	}
-	p.subtrees[vm] = b
+	p.subtrees[vm] = s
 }
 
 // addDemand adds to the demand of the next report to the controller. p.mu must be held.
-func (p *Peers) addDemand(w steer.ModelDemand) {
+func (p *Peers) addDemand(d steer.ModelDemand) {
 	if p.demand == nil {
 		p.demand = make(map[demandKey]*steer.ModelDemand)
 	}
-	key := demandKey{w.Service, w.Model, w.Adapter}
+	key := demandKey{d.Service, d.Model, d.Adapter}
 	if sum := p.demand[key]; sum != nil {
-		sum.Requests += w.Requests
-		sum.ServerTime += w.ServerTime
+		sum.Requests += d.Requests
+		sum.ServerTime += d.ServerTime
 		return
 	}
-	p.demand[key] = &w
+	p.demand[key] = &d
 }
 
 // addUnverified adds a server to those that the next report asks the controller to verify. p.mu must
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -129,13 +129,13 @@
 	return vms
 }
 
-// topology returns the indices of the leader and the relays. settled reports whether there are a
-// leader and two relays, the relays are linked to the leader, and all other VMs to a relay.
-func topology(vms []*testVM) (leader int, relays []int, settled bool) {
-	leader, settled = -1, true
+// topology returns the indices of the controller and the relays. settled reports whether there are a
+// controller and two relays, the relays are linked to the controller, and all other VMs to a relay.
+func topology(vms []*testVM) (controller int, relays []int, settled bool) {
+	controller, settled = -1, true
 	for i, v := range vms {
 		if v.Leading() {
-			leader = i
+			controller = i
 		}
 		if v.isRelaying() {
 			relays = append(relays, i)
@@ -145,9 +145,9 @@
 		v.mu.Lock()
 		linked := v.uplink != nil && v.uplink.direct == slices.Contains(relays, i)
 		v.mu.Unlock()
-		settled = settled && (i == leader || linked)
+		settled = settled && (i == controller || linked)
 	}
-	return leader, relays, settled && leader >= 0 && len(relays) == 2
+	return controller, relays, settled && controller >= 0 && len(relays) == 2
 }
 
 // Dozens of VMs start and form a tree through the strongest VM of each domain. If each were linked to
@@ -157,7 +157,7 @@
 func TestLinkTree(t *testing.T) {
 	vms := startFleet(t, minTreeVMs+4)
 	require.Eventually(t, func() bool { _, _, settled := topology(vms); return settled }, testTimeout, 10*time.Millisecond)
-	leader, _, _ := topology(vms)
+	controller, _, _ := topology(vms)
 	require.Eventually(t, func() bool {
 		_, relays, settled := topology(vms)
 		return settled && !slices.ContainsFunc(relays, func(i int) bool { return i >= 4 })
@@ -170,20 +170,20 @@
 	}
 	loadsAgree := func() bool {
 		for i, v := range vms {
-			if i != leader && loadOf(v) != len(vms) {
+			if i != controller && loadOf(v) != len(vms) {
 				return false
 			}
 		}
-		return loadOf(vms[leader]) == len(vms)
+		return loadOf(vms[controller]) == len(vms)
 	}
 	require.Eventually(t, loadsAgree, testTimeout, 10*time.Millisecond)
-	require.Eventually(t, func() bool { return vms[leader].VMs() == len(vms) }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return vms[controller].VMs() == len(vms) }, testTimeout, 10*time.Millisecond)
 
-	vms[leader].crash()
-	vms = slices.Delete(vms, leader, leader+1)
+	vms[controller].crash()
+	vms = slices.Delete(vms, controller, controller+1)
 	require.Eventually(t, func() bool {
 		var settled bool
-		leader, _, settled = topology(vms)
+		controller, _, settled = topology(vms)
 		return settled && loadsAgree()
 	}, testTimeout, 10*time.Millisecond)
 }
@@ -241,10 +241,10 @@
 func TestRelayPartitionedWithController(t *testing.T) {
 	vms := startFleet(t, minTreeVMs+4)
 	require.Eventually(t, func() bool { _, _, settled := topology(vms); return settled }, testTimeout, 10*time.Millisecond)
-	leader, relays, _ := topology(vms)
-	partitioned := []*testVM{vms[leader]}
+	controller, relays, _ := topology(vms)
+	partitioned := []*testVM{vms[controller]}
 	for _, i := range relays {
-		if vms[i].Domain == vms[leader].Domain {
+		if vms[i].Domain == vms[controller].Domain {
 			partitioned = append(partitioned, vms[i])
 		}
 	}
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -95,9 +95,9 @@
 // monitorLease reads the lease while the hub's data is too old, and closes the link if the hub is
 // superseded. A controller that cannot reach the store may still send frames to this VM while another
 // VM holds the lease. So may a relay that is partitioned from the store together with its controller,
-// and that cannot find the new one. The VMs of its domain would stay linked to it, poll the store
-// themselves, and exchange no load with the rest of the fleet. They can reach the store, so they detect
-// the new holder themselves.
+// and that cannot find the new one. The VMs of its failure domain would stay linked to it, poll the
+// store themselves, and exchange no load with the rest of the fleet. They can reach the store, so they
+// detect the new holder themselves.
 func (p *Peers) monitorLease(ctx context.Context, up *uplink) {
 	var laggingSince, lastRead time.Time
 	for ctx.Err() == nil {
@@ -287,7 +287,7 @@
 
 var errLinkLost = errors.New("link to the hub lost")
 
-// find returns the ID of a server that holds a model and adapter, as found by the hub.
+// find returns the ID of a server that has a model and adapter loaded, as found by the hub.
 func (u *uplink) find(ctx context.Context, service, model, adapter string) (string, error) {
 	m, err := u.call(ctx, func(call int) *wire.Message {
 		return &wire.Message{FindCall: &wire.FindCall{Call: call, Service: service, Model: model, Adapter: adapter}}
