--- a/backs/entry.go
+++ b/backs/entry.go
@@ -16,8 +16,8 @@
 	Adapters []string
 }
 
-func (h LoadedModel) equal(o LoadedModel) bool {
-	return h.Model == o.Model && h.Version == o.Version && slices.Equal(h.Adapters, o.Adapters)
+func (m LoadedModel) equal(other LoadedModel) bool {
+	return m.Model == other.Model && m.Version == other.Version && slices.Equal(m.Adapters, other.Adapters)
 }
 
 // Entry describes a server as the platform lists it.
@@ -58,9 +58,9 @@
 
 // HasModel reports whether the entry lists the model, and the adapter when one is named.
 func (e Entry) HasModel(model, adapter string) bool {
-	for _, h := range e.Models {
-		if h.Model == model {
-			return adapter == "" || slices.Contains(h.Adapters, adapter)
+	for _, m := range e.Models {
+		if m.Model == model {
+			return adapter == "" || slices.Contains(m.Adapters, adapter)
 		}
 	}
 	return false
--- a/backs/instance_test.go
+++ b/backs/instance_test.go
@@ -37,8 +37,8 @@
 	require.Empty(t, v.Serving(at(6), "s"))
 }
 
-// The controller learns from a report that a server has restarted before the new entry
-// arrives. Other VMs must receive both the end of the old instance and the new entry.
+// A report shows the controller that a server has restarted before the new entry arrives.
+// Other VMs must receive both the end of the old instance and the new entry.
 func TestEndedInstanceReachesOtherVMs(t *testing.T) {
 	var v, other backs.View
 	before, after := started("a", at(-10)), started("a", at(3))
@@ -58,7 +58,7 @@
 	require.Equal(t, []backs.Entry{after}, other.Serving(at(6), "s"), "a late update about the previous instance")
 }
 
-// A foreign write replaces a server's entry with invalid data. Requests that follow it
+// Another program overwrites a server's entry with invalid data. Requests that follow it
 // would reach no server or another service. The server must get no requests until its next
 // heartbeat rewrites the entry, and then at once. Other servers are unaffected.
 func TestUnreadableEntry(t *testing.T) {
--- a/backs/models.go
+++ b/backs/models.go
@@ -54,14 +54,14 @@
 		return
 	}
 	var kept []LoadedModel
-	for _, h := range r.entry.Models {
-		if h.Model == model {
+	for _, m := range r.entry.Models {
+		if m.Model == model {
 			if adapter == "" {
 				continue
 			}
-			h.Adapters = slices.DeleteFunc(slices.Clone(h.Adapters), func(a string) bool { return a == adapter })
+			m.Adapters = slices.DeleteFunc(slices.Clone(m.Adapters), func(a string) bool { return a == adapter })
 		}
-		kept = append(kept, h)
+		kept = append(kept, m)
 	}
 	r.entry.Models = kept
 	v.notify()
@@ -69,12 +69,12 @@
 
 // mergeControllerModels returns the models of an entry that the controller recently
 // reported too, with the adapters of both lists. A server lists a model that it is
-// unloading until the model's last run has ended. Without this filter, an entry written
+// unloading until the model's last request has ended. Without this filter, an entry written
 // meanwhile made all VMs send requests for that model again, and the server refused them
 // for two to four seconds.
 func mergeControllerModels(listed, reported []LoadedModel) []LoadedModel {
 	isReported := func(l LoadedModel) bool {
-		return slices.ContainsFunc(reported, func(t LoadedModel) bool { return t.Model == l.Model })
+		return slices.ContainsFunc(reported, func(r LoadedModel) bool { return r.Model == l.Model })
 	}
 	return slices.DeleteFunc(mergeAdapters(listed, reported), func(l LoadedModel) bool { return !isReported(l) })
 }
@@ -84,11 +84,11 @@
 	merged := make([]LoadedModel, 0, len(listed))
 	for _, l := range listed {
 		l.Adapters = slices.Clone(l.Adapters)
-		for _, t := range reported {
-			if t.Model != l.Model {
+		for _, r := range reported {
+			if r.Model != l.Model {
 				continue
 			}
-			for _, a := range t.Adapters {
+			for _, a := range r.Adapters {
 				if !slices.Contains(l.Adapters, a) {
 					l.Adapters = append(l.Adapters, a)
 				}
--- a/backs/view.go
+++ b/backs/view.go
@@ -23,7 +23,7 @@
 	// controllerPrecedence is how long models and adapters reported by the controller take
 	// precedence over an entry. An entry can be a heartbeat old, while adapters load in
 	// milliseconds, and a server lists a model that it is unloading until the model's last
-	// run has ended.
+	// request has ended.
 	controllerPrecedence = 2 * time.Second
 	// expiryScanInterval is the minimum interval between scans of all entries for expired
 	// ones. With a scan at each query, a placement step over 1,500 servers takes 95 ms
@@ -80,10 +80,10 @@
 	records map[string]*record
 	// instanceIDs maps a server's platform name to the ID of its newest instance.
 	instanceIDs map[string]string
-	// storeDown is set while the store is unreachable. recoveredAt is when the last outage
+	// storeUnreachable is set while the store is unreachable. recoveredAt is when the last outage
 	// ended that was long enough for entries to expire.
-	storeDown   bool
-	recoveredAt time.Time
+	storeUnreachable bool
+	recoveredAt      time.Time
 	// currentAt is when the view was last confirmed as current, syncedAt when the first
 	// full list arrived.
 	currentAt, syncedAt time.Time
@@ -119,7 +119,7 @@
 func (v *View) MarkStoreDown() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.storeDown, v.scannedAt = true, time.Time{}
+	v.storeUnreachable, v.scannedAt = true, time.Time{}
 }
 
 // RecordStoreAnswer records that the store answered any call of this VM.
@@ -154,10 +154,10 @@
 	}
 	outage := now.Sub(v.contactAt)
 	v.contactAt = at
-	if !v.storeDown {
+	if !v.storeUnreachable {
 		return
 	}
-	v.storeDown = false
+	v.storeUnreachable = false
 	if outage >= expiryHeartbeats*cmp.Or(v.Heartbeat, defaultHeartbeat) {
 		v.recoveredAt, v.scannedAt = now, time.Time{}
 	}
@@ -271,7 +271,7 @@
 	if r == nil || !r.removedAt.IsZero() {
 		return
 	}
-	mayHaveExpired := v.storeDown || !v.recoveredAt.IsZero() && now.Before(v.recoveredAt.Add(expiryGrace))
+	mayHaveExpired := v.storeUnreachable || !v.recoveredAt.IsZero() && now.Before(v.recoveredAt.Add(expiryGrace))
 	if mayHaveExpired && !r.draining {
 		if r.missingSince.IsZero() {
 			r.missingSince, v.scannedAt = now, time.Time{}
@@ -326,14 +326,14 @@
 	}
 }
 
-// expire removes servers whose grace period is over and deletes old records.
+// expire removes kept servers after their grace period and deletes old records.
 func (v *View) expire(now time.Time) {
 	if since := now.Sub(v.scannedAt); since >= 0 && since < expiryScanInterval {
 		return
 	}
 	v.scannedAt = now
 	for id, r := range v.records {
-		if !r.missingSince.IsZero() && !v.storeDown && !now.Before(v.recoveredAt.Add(expiryGrace)) {
+		if !r.missingSince.IsZero() && !v.storeUnreachable && !now.Before(v.recoveredAt.Add(expiryGrace)) {
 			v.markRemoved(now, r)
 			v.notify()
 		}
--- a/backs/view_test.go
+++ b/backs/view_test.go
@@ -46,11 +46,11 @@
 	require.True(t, v.Usable(at(6.1), "a"), "a live server that was cut off gets requests again")
 }
 
-// The store is down and the controller's process restarts during the outage. When the store
-// recovers, the controller lists only the few servers whose entries have reappeared, and
-// sends this as the full list. A VM that knew the other servers must keep them: they
-// reappear within two seconds, and a removed server that reappears gets no requests for
-// four more.
+// The store is unreachable and the controller's process restarts during the outage. When
+// the store recovers, the controller lists only the few servers whose entries have
+// reappeared, and sends this as the full list. A VM whose view includes the other servers
+// must keep them: they reappear within two seconds, and a removed server that reappears
+// gets no requests for four more.
 func TestFullListAfterControllerRestart(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b"), entry("c")})
@@ -64,9 +64,9 @@
 	require.Len(t, v.Serving(at(20), "s"), 1, "without an outage the list applies at once")
 }
 
-// The store is down for longer than an entry lasts, and its list is empty just after it
-// recovers. Removing the servers at once would make every request fail. They must be kept
-// for two seconds; those still missing are then removed.
+// The store is unreachable for longer than an entry lasts, and its list is empty just after
+// it recovers. Removing the servers at once would make every request fail. They must be
+// kept for two seconds; those still missing are then removed.
 func TestExpiredEntriesAreKept(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
@@ -149,9 +149,9 @@
 }
 
 // The controller orders a model to be unloaded and informs the VMs. The server lists the
-// model until its last run has ended, and meanwhile rewrites its entry for another reason.
-// The rewritten entry must not make VMs send requests for the model, because the server
-// refuses them.
+// model until its last request has ended, and meanwhile rewrites its entry for another
+// reason. The rewritten entry must not make VMs send requests for the model, because the
+// server refuses them.
 func TestEntryListsUnloadingModel(t *testing.T) {
 	listed := entry("a")
 	listed.Models = []backs.LoadedModel{{Model: "m1", Version: 1}, {Model: "m2", Version: 1}}
@@ -160,11 +160,11 @@
 	reported := []backs.LoadedModel{{Model: "m2", Adapters: []string{"a1"}}}
 	v.SetModels(at(1), "a", reported)
 	v.Put(at(1.5), listed)
-	holds := func(now float64, model, adapter string) bool {
+	hasModel := func(now float64, model, adapter string) bool {
 		return v.Serving(at(now), "s")[0].HasModel(model, adapter)
 	}
-	require.False(t, holds(1.5, "m1", ""))
-	require.True(t, holds(1.5, "m2", "a1"))
+	require.False(t, hasModel(1.5, "m1", ""))
+	require.True(t, hasModel(1.5, "m2", "a1"))
 
 	v.SetModels(at(3), "a", reported)
 	_, revision := v.Since(at(3), 0)
@@ -172,7 +172,7 @@
 	states, _ := v.Since(at(3.1), revision)
 	require.Empty(t, states, "an unchanged observation is not sent again")
 	v.Put(at(5), listed)
-	require.False(t, holds(5, "m1", ""), "a renewed observation takes precedence over the entry")
+	require.False(t, hasModel(5, "m1", ""), "a renewed observation takes precedence over the entry")
 	v.Put(at(8), listed)
-	require.True(t, holds(8, "m1", ""), "without newer observations the entry applies")
+	require.True(t, hasModel(8, "m1", ""), "without newer observations the entry applies")
 }
