--- a/lease/lease.go
+++ b/lease/lease.go
@@ -4,7 +4,7 @@
 // A lease only avoids duplicate work: it keeps two VMs from doing the same job. It
 // guarantees no mutual exclusion. A holder that was paused may act on a lease that another
 // VM has acquired since, so its writes must be guarded by a conditional update or a fencing
-// number.
+// token.
 package lease
 
 import "time"
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestNeverTwoHolders runs three keepers whose clocks run up to 5% fast or slow. Updates
-// are delayed, fail or lose their answers, and keepers pause for long. At no time may two
+// are delayed, fail or lose their responses, and keepers pause for long. At no time may two
 // keepers report the lease as held, given that a keeper reads its clock after a pause.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
