--- a/backs/view.go
+++ b/backs/view.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// MarkStoreDown records that the store does not answer calls of this VM.
-func (v *View) MarkStoreDown() {
+// MarkStoreUnreachable records that the store does not answer calls of this VM.
+func (v *View) MarkStoreUnreachable() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.storeUnreachable, v.scannedAt = true, time.Time{}
--- a/backs/view_test.go
+++ b/backs/view_test.go
@@ -54,7 +54,7 @@
 func TestFullListAfterControllerRestart(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b"), entry("c")})
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.Merge(at(10), backs.Update{States: []backs.State{{Entry: entry("a")}}, Full: true})
 	require.Len(t, v.Serving(at(10), "s"), 3)
 	v.Merge(at(11), backs.Update{States: []backs.State{{Entry: entry("b")}}, Full: false})
@@ -70,7 +70,7 @@
 func TestExpiredEntriesAreKept(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.MarkCurrent(at(10))
 	v.Replace(at(10), nil)
 	require.Len(t, v.Serving(at(10.1), "s"), 2)
@@ -89,7 +89,7 @@
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
 	v.Remove(at(1), "a")
 	require.Equal(t, []backs.Missing{{ID: "a"}}, reported)
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.MarkCurrent(at(10))
 	v.Replace(at(10), nil)
 	v.Replace(at(11), nil)
@@ -103,10 +103,10 @@
 func TestShortOutageKeepsGracePeriod(t *testing.T) {
 	var v backs.View
 	v.Replace(at(0), []backs.Entry{entry("a"), entry("b")})
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.MarkCurrent(at(10))
 	v.Remove(at(10.5), "a")
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.MarkCurrent(at(11.9))
 	require.True(t, v.Usable(at(11.9), "a"))
 	require.False(t, v.Usable(at(12.1), "a"))
@@ -119,7 +119,7 @@
 	e := entry("a")
 	e.Draining = true
 	v.Replace(at(0), []backs.Entry{e})
-	v.MarkStoreDown()
+	v.MarkStoreUnreachable()
 	v.MarkCurrent(at(5))
 	v.Replace(at(5), nil)
 	require.Empty(t, v.All(at(5)))
--- a/node/follow.go
+++ b/node/follow.go
@@ -104,7 +104,7 @@
 		if failures == outageFailures {
 			n.log.Warn().Str("kind", w.kind).Int("version", version).Err(err).Msg("store unreachable")
 		}
-		n.serverView.MarkStoreDown()
+		n.serverView.MarkStoreUnreachable()
 		pause.For(ctx, time.Duration(n.peers.PollIntervalFactor()*float64(storeRetryDelay/2+rand.N(storeRetryDelay))))
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -63,7 +63,7 @@
 type Config struct {
 	Settings    *conf.Settings
 	Objects     store.Objects
-	Commands    steer.Commands
+	Commands    steer.ServerCalls
 	HeaderNames *pass.HeaderNames
 	// ConfigKind and ConfigName identify the object that holds the configuration. ServerKind is the
 	// kind of the server entries.
@@ -141,7 +141,7 @@
 		Duration: s.Duration("steering", "lease"), Handover: s.Duration("steering", "handover"), Now: c.Now, Log: n.log,
 	}
 	n.controller = &steer.Controller{
-		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.serverView, Table: n.table.Load, Fence: n.lease.FencingToken,
+		Name: s.Text("vm", "name"), ServerCalls: c.Commands, Servers: n.serverView, Table: n.table.Load, FencingToken: n.lease.FencingToken,
 		Term: n.lease.Term, PredecessorEnd: n.lease.PreviousTermEnd, Contended: n.rateLimits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
@@ -149,7 +149,7 @@
 		Name: s.Text("vm", "name"), Domain: s.Text("vm", "failure_domain"), Boot: uuid.NewString(), Lease: n.lease,
 		Address: s.Text("vm", "peer_listen"), Cores: s.Float("limits", "cpu"),
 		Config: n.currentConfig, ConfigChanged: n.configChanged, ApplyConfig: n.applyHubConfig, ConfirmedAt: n.dataConfirmedAt, StoreUnreachable: n.storeUnreachable,
-		Controller: n.controller, Servers: n.serverView, Book: n.balancer, Poison: n.crashTracker, Limits: n.rateLimits, Now: c.Now, Log: n.log, Meter: n.meter,
+		Controller: n.controller, Servers: n.serverView, Balancer: n.balancer, Poison: n.crashTracker, Limits: n.rateLimits, Now: c.Now, Log: n.log, Meter: n.meter,
 	}
 	n.lease.CountVMs = n.peers.VMs
 	n.waitContext, n.cancelWaits = context.WithCancel(context.Background())
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -75,7 +75,7 @@
 			now = start.Add(10 * time.Second)
 			controller.Servers.MarkCurrent(now)
 			vm.Servers.MarkCurrent(now)
-			vm.Servers.MarkStoreDown()
+			vm.Servers.MarkStoreUnreachable()
 			now = start.Add(16 * time.Second)
 			if tc.restarted {
 				controller = newUnlinkedVM(&now, "a")
@@ -100,7 +100,7 @@
 		p := newUnlinkedVM(&now, "a")
 		p.Now = time.Now
 		p.Lease = &Lease{Name: "vm", Address: "vm:1", Objects: (&stand.ObjectStore{}).Client(), Duration: time.Hour, Now: time.Now, Log: zerolog.Nop()}
-		p.Book = &pick.Balancer{}
+		p.Balancer = &pick.Balancer{}
 		p.Controller = &steer.Controller{Servers: p.Servers, Now: time.Now}
 		config := 1
 		p.Config = func() (int, []byte) { return config, nil }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -62,7 +62,7 @@
 	Lease      *Lease
 	Controller *steer.Controller
 	Servers    *backs.View
-	Book       *pick.Balancer
+	Balancer   *pick.Balancer
 	// Poison tracks server crashes by request and blocks requests that cause them.
 	Poison *poison.Tracker
 	// Limits holds the request rate limits that servers have announced.
@@ -309,14 +309,14 @@
 	for ctx.Err() == nil {
 		changed := p.Controller.Changed()
 		now := p.Now()
-		own := p.Book.LocalLoads()
+		own := p.Balancer.LocalLoads()
 		p.Controller.RecordVMReport(now, p.Name, own, p.takeDemand())
 		p.Controller.RequireReports(p.takeUnverified())
 		// The controller's tracker already merges the reports of all VMs, so its own report is
 		// discarded.
 		p.Poison.TakeReport()
 		p.Limits.TakeReport()
-		p.Book.SetRemoteLoads(now, pick.SubtractLoads(p.Controller.Loads(), own))
+		p.Balancer.SetRemoteLoads(now, pick.SubtractLoads(p.Controller.Loads(), own))
 		for _, s := range p.Controller.ChangedSince(now, since) {
 			p.Servers.SetModels(now, s.Server, s.Models)
 		}
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -224,7 +224,7 @@
 
 // subtreeLoads returns the load of this VM's subtree, including its own, by server.
 func (p *Peers) subtreeLoads() map[string]pick.Load {
-	sum := p.Book.LocalLoads()
+	sum := p.Balancer.LocalLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.subtrees {
@@ -262,9 +262,9 @@
 	return sum
 }
 
-// updateOtherLoads updates the load of all other VMs that p.Book uses to choose servers.
+// updateOtherLoads updates the load of all other VMs that p.Balancer uses to choose servers.
 func (p *Peers) updateOtherLoads() {
-	p.Book.SetRemoteLoads(p.Now(), pick.SubtractLoads(p.totalLoads(), p.Book.LocalLoads()))
+	p.Balancer.SetRemoteLoads(p.Now(), pick.SubtractLoads(p.totalLoads(), p.Balancer.LocalLoads()))
 }
 
 // mergeReport merges the report of a VM linked to this relay. It is forwarded to the controller with
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -81,9 +81,9 @@
 	lease := &Lease{Name: name, Objects: v.storeClient(o), Duration: 1200 * time.Millisecond, Now: clock.Now, Log: zerolog.Nop()}
 	v.Peers = &Peers{
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{},
-		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Book: &pick.Balancer{Domain: domain},
+		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Balancer: &pick.Balancer{Domain: domain},
 		Controller: &steer.Controller{
-			Name: name, Servers: view, Table: func() *routes.Table { return nil }, Fence: lease.FencingToken,
+			Name: name, Servers: view, Table: func() *routes.Table { return nil }, FencingToken: lease.FencingToken,
 			Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 		},
 		Config: func() (int, []byte) { return 0, nil }, ConfigChanged: func() <-chan struct{} { return nil },
@@ -166,7 +166,7 @@
 		return v.totalLoads()["s1"].Running
 	}
 	for _, v := range vms {
-		v.Book.Begin(clock.Now(), pick.Choice{Server: backs.Entry{ID: "s1"}}, pick.Work{}, 0)
+		v.Balancer.Begin(clock.Now(), pick.Choice{Server: backs.Entry{ID: "s1"}}, pick.Work{}, 0)
 	}
 	loadsAgree := func() bool {
 		for i, v := range vms {
@@ -280,7 +280,7 @@
 // A relay reports for all VMs of its domain: their total load, the adapters in use, their total demand
 // and the number of VMs.
 func TestRelayReport(t *testing.T) {
-	p := &Peers{Book: &pick.Balancer{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
+	p := &Peers{Balancer: &pick.Balancer{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
 	p.mergeReport("a", &wire.VMReport{
 		Vms: 1, Doubts: []string{"s2"},
 		Loads: []wire.ServerLoad{{Server: "s1", Running: 2, Adapters: []string{"m/a1"}}},
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -254,9 +254,9 @@
 	table := routes.NewTable(1, nil, []routes.Service{{Name: serviceName, Engine: sim.engine}}, routes.Limits{})
 	sim.controller = &steer.Controller{
 		Name: sim.vms[0].name, Servers: sim.view, Table: func() *routes.Table { return table },
-		Fence: func(time.Time) (int, bool) { return 1, true }, Now: sim.currentTime, Log: zerolog.Nop(), Meter: meter.New(),
+		FencingToken: func(time.Time) (int, bool) { return 1, true }, Now: sim.currentTime, Log: zerolog.Nop(), Meter: meter.New(),
 		Spawn: func(call func()) { sim.pendingCalls = append(sim.pendingCalls, call) },
-		Commands: steer.Commands{
+		ServerCalls: steer.ServerCalls{
 			Send: func(_ context.Context, e backs.Entry, o steer.Order) (steer.OrderResult, error) {
 				s := sim.serverByID(e.ID)
 				if s == nil || s.down {
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -209,7 +209,7 @@
 func (b *Backend) Report() steer.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return steer.Report{Born: b.startedAt, Models: b.loadedModelsLocked(), Busy: b.orderInProgress, Sequence: b.orderSequence}
+	return steer.Report{StartedAt: b.startedAt, Models: b.loadedModelsLocked(), Busy: b.orderInProgress, Sequence: b.orderSequence}
 }
 
 // HandleOrder handles an order. It also reports whether the reply is to be dropped.
--- a/steer/adapters.go
+++ b/steer/adapters.go
@@ -120,7 +120,7 @@
 	if id := c.readyServer(now, s.Name, model, adapter); id != "" {
 		return id, nil
 	}
-	if _, leading := c.Fence(now); !leading {
+	if _, leading := c.FencingToken(now); !leading {
 		return "", errNotLeading
 	}
 	if adapter != "" {
@@ -134,7 +134,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.serversOf(service) {
-		if s.Serves(now, model, adapter) && !s.reportRequired && !s.Down() && c.Servers.Usable(now, s.entry.ID) {
+		if s.Serves(now, model, adapter) && !s.reportRequired && !s.Unreachable() && c.Servers.Usable(now, s.entry.ID) {
 			return s.entry.ID
 		}
 	}
@@ -173,7 +173,7 @@
 // listed for some seconds. Its adapters must not count as present in that time, or no other server
 // would load them.
 func (c *Controller) reachable(now time.Time, s *Server) bool {
-	return !s.Down() && c.Servers.Usable(now, s.entry.ID)
+	return !s.Unreachable() && c.Servers.Usable(now, s.entry.ID)
 }
 
 // loadAdapterAt orders an adapter at a server. Without a free slot or memory it orders the
--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -228,8 +228,8 @@
 	plan := func(missing time.Duration) []Step {
 		p := &Planner{
 			Engine: engine, Servers: servers, Now: now, StartStoreLoad: func() *LoadStart { return &LoadStart{} },
-			Work:            func(m string) float64 { return map[string]float64{"busy": 0.9}[m] },
-			TimeWithoutCopy: func(string) time.Duration { return missing },
+			Work:               func(m string) float64 { return map[string]float64{"busy": 0.9}[m] },
+			TimeWithoutReplica: func(string) time.Duration { return missing },
 		}
 		return p.Steps()
 	}
--- a/steer/controller.go
+++ b/steer/controller.go
@@ -44,15 +44,15 @@
 // Term, PredecessorEnd, Contended, Window and Spawn must be set.
 type Controller struct {
 	// Name is the name of this VM.
-	Name     string
-	Commands Commands
-	Servers  *backs.View
-	Table    func() *routes.Table
-	// Fence returns the lease's fencing token, and whether orders may be sent.
-	Fence func(now time.Time) (int, bool)
+	Name        string
+	ServerCalls ServerCalls
+	Servers     *backs.View
+	Table       func() *routes.Table
+	// FencingToken returns the lease's fencing token, and whether orders may be sent.
+	FencingToken func(now time.Time) (int, bool)
 	// Term returns the lease's fencing token, and whether the lease is held, even if orders may not
-	// be sent yet; nil uses Fence. Until they may, the controller requests reports to find out what
-	// the servers have loaded.
+	// be sent yet; nil uses FencingToken. Until they may, the controller requests reports to find
+	// out what the servers have loaded.
 	Term func(now time.Time) (int, bool)
 	// PredecessorEnd returns the latest time at which the previous controller may have sent an
 	// order; nil for the start of this VM's term.
@@ -139,7 +139,7 @@
 	if table == nil {
 		return
 	}
-	_, leading := c.Fence(now)
+	_, leading := c.FencingToken(now)
 	fencingToken, held := c.currentTerm(now)
 	if held && fencingToken != c.fencingToken {
 		c.beginTerm(now, fencingToken, table)
@@ -171,7 +171,7 @@
 
 func (c *Controller) currentTerm(now time.Time) (int, bool) {
 	if c.Term == nil {
-		return c.Fence(now)
+		return c.FencingToken(now)
 	}
 	return c.Term(now)
 }
@@ -287,7 +287,7 @@
 // recordReplicas records which models have a replica now. c.mu is held.
 func (c *Controller) recordReplicas(now time.Time, service string) {
 	for _, s := range c.serversOf(service) {
-		if s.entry.Draining || s.Down() || c.Contended != nil && c.Contended(s.entry.ID) {
+		if s.entry.Draining || s.Unreachable() || c.Contended != nil && c.Contended(s.entry.ID) {
 			continue
 		}
 		for name, r := range s.models {
@@ -327,8 +327,8 @@
 			future, mean = demand.Forecast(now, model, horizon)
 			return future / meanAge(demandHalfLife), mean / meanAge(demandHalfLife)
 		},
-		Contended:       c.Contended,
-		TimeWithoutCopy: func(model string) time.Duration { return c.timeWithoutReplica(now, service.Name, model) },
+		Contended:          c.Contended,
+		TimeWithoutReplica: func(model string) time.Duration { return c.timeWithoutReplica(now, service.Name, model) },
 		MayBeUnlisted: func(model string) bool {
 			return now.Sub(c.firstListed[service.Name]) < startupListingTime && demand.Last(model).IsZero()
 		},
--- a/steer/controller_test.go
+++ b/steer/controller_test.go
@@ -26,9 +26,9 @@
 	table := routes.NewTable(1, nil, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	orders := make(chan Order, 16)
 	return &Controller{
-		Name: "vm", Servers: view, Table: func() *routes.Table { return table }, Fence: fencingToken,
+		Name: "vm", Servers: view, Table: func() *routes.Table { return table }, FencingToken: fencingToken,
 		Now: func() time.Time { return now }, Log: zerolog.Nop(), Meter: meter.New(),
-		Commands: Commands{
+		ServerCalls: ServerCalls{
 			Send: func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
 				orders <- o
 				return Accepted, nil
@@ -119,8 +119,8 @@
 	c.Now = func() time.Time { return now }
 	var calls []func()
 	c.Spawn = func(call func()) { calls = append(calls, call) }
-	send := c.Commands.Send
-	c.Commands.Send = func(ctx context.Context, e backs.Entry, o Order) (OrderResult, error) {
+	send := c.ServerCalls.Send
+	c.ServerCalls.Send = func(ctx context.Context, e backs.Entry, o Order) (OrderResult, error) {
 		now = now.Add(500 * time.Millisecond)
 		return send(ctx, e, o)
 	}
@@ -232,7 +232,7 @@
 			leading := true
 			c, orders := testController(func(time.Time) (int, bool) { return 5, leading })
 			sent := 0
-			c.Commands.Send = func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
+			c.ServerCalls.Send = func(_ context.Context, _ backs.Entry, o Order) (OrderResult, error) {
 				orders <- o
 				if sent++; sent != 2 {
 					return Accepted, nil
--- a/steer/dispatch.go
+++ b/steer/dispatch.go
@@ -49,15 +49,15 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	now := c.Now()
-	fencingToken, leading := c.Fence(now)
+	fencingToken, leading := c.FencingToken(now)
 	if !leading {
 		return Refused
 	}
 	c.mu.Lock()
-	o.Holder, o.Fence = c.Name, fencingToken
+	o.Holder, o.FencingToken = c.Name, fencingToken
 	e := s.entry
 	c.mu.Unlock()
-	result, err := c.Commands.Send(ctx, e, o)
+	result, err := c.ServerCalls.Send(ctx, e, o)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.ApplyResult(c.Now(), now, c.engine(e.Service), o, result, expectedTime)
--- a/steer/order.go
+++ b/steer/order.go
@@ -23,9 +23,9 @@
 	// The server checks it on execution, so a delayed order is invalid once the server has
 	// accepted a later one.
 	ExpectedSequence int
-	// Holder is the name of the VM that sends the order, Fence its lease's fencing token.
-	Holder string
-	Fence  int
+	// Holder is the name of the VM that sends the order, FencingToken its lease's fencing token.
+	Holder       string
+	FencingToken int
 }
 
 // OrderResult is a server's response to an order.
@@ -47,9 +47,9 @@
 
 // Report is the state that a server reports. It is some hundred milliseconds old.
 type Report struct {
-	// Born is when the server instance started, the zero time if the report does not contain it.
-	Born   time.Time
-	Models []backs.LoadedModel
+	// StartedAt is when the server instance started, the zero time if the report does not contain it.
+	StartedAt time.Time
+	Models    []backs.LoadedModel
 	// Pending are the adapters that are loading, by model.
 	Pending []backs.LoadedModel
 	// Busy means that a model is being loaded or unloaded.
@@ -60,8 +60,8 @@
 	InMemory, OnDisk []string
 }
 
-// Commands are the calls to servers. The deployment's platform layer implements them.
-type Commands struct {
+// ServerCalls are the calls to servers. The deployment's platform layer implements them.
+type ServerCalls struct {
 	Send   func(ctx context.Context, server backs.Entry, o Order) (OrderResult, error)
 	Report func(ctx context.Context, server backs.Entry) (Report, error)
 }
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -44,8 +44,8 @@
 	// StartStoreLoad counts one more load from the weight store. It returns nil if none may begin
 	// now.
 	StartStoreLoad func() *LoadStart
-	// TimeWithoutCopy returns how long a model has been without a replica; nil if unknown.
-	TimeWithoutCopy func(model string) time.Duration
+	// TimeWithoutReplica returns how long a model has been without a replica; nil if unknown.
+	TimeWithoutReplica func(model string) time.Duration
 	// MayBeUnlisted reports whether a model without a replica probably has one at a server that is
 	// not listed yet; nil for never.
 	MayBeUnlisted func(model string) bool
@@ -177,7 +177,7 @@
 	p.replicasInDomain, p.candidates = make(map[domainModel]int), nil
 	domains := make(map[string]bool)
 	for _, s := range p.Servers {
-		if s.entry.Draining || s.Down() || p.Contended != nil && p.Contended(s.entry.ID) {
+		if s.entry.Draining || s.Unreachable() || p.Contended != nil && p.Contended(s.entry.ID) {
 			continue
 		}
 		domains[s.entry.Domain] = true
@@ -356,8 +356,8 @@
 // firstReplicaWorth returns the worth of a model's only replica.
 func (p *Planner) firstReplicaWorth(model string) float64 {
 	worth := firstReplicaBaseWorth + firstReplicaWorkWeight*p.work[model].mean
-	if p.TimeWithoutCopy != nil {
-		worth *= 1 + p.TimeWithoutCopy(model).Seconds()
+	if p.TimeWithoutReplica != nil {
+		worth *= 1 + p.TimeWithoutReplica(model).Seconds()
 	}
 	return worth
 }
--- a/steer/reports.go
+++ b/steer/reports.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	requestedAt := c.Now()
-	r, err := c.Commands.Report(ctx, e)
+	r, err := c.ServerCalls.Report(ctx, e)
 	if err != nil {
 		c.recordFailedReport(e.ID, err)
 		return
@@ -40,9 +40,9 @@
 	if s == nil {
 		return
 	}
-	if !r.Born.IsZero() && !r.Born.Equal(e.StartedAt) {
-		c.Log.Info().Str("server", e.ID).Time("born", r.Born).Msg("report from another instance of the server")
-		if r.Born.After(e.StartedAt) {
+	if !r.StartedAt.IsZero() && !r.StartedAt.Equal(e.StartedAt) {
+		c.Log.Info().Str("server", e.ID).Time("born", r.StartedAt).Msg("report from another instance of the server")
+		if r.StartedAt.After(e.StartedAt) {
 			c.Servers.MarkEnded(c.Now(), e.ID)
 		}
 		return
@@ -65,7 +65,7 @@
 		return
 	}
 	s.ReportFailed()
-	c.Log.Info().Str("server", id).Bool("down", s.Down()).Err(err).Msg("report failed")
+	c.Log.Info().Str("server", id).Bool("down", s.Unreachable()).Err(err).Msg("report failed")
 }
 
 // RequireReports makes the controller request reports from servers at once: a VM could not reach
--- a/steer/scale_test.go
+++ b/steer/scale_test.go
@@ -47,9 +47,9 @@
 	table := routes.NewTable(1, nil, []routes.Service{{Name: "s", Engine: engine}}, routes.Limits{})
 	c := &Controller{
 		Name: "vm", Servers: view, Table: func() *routes.Table { return table },
-		Fence: func(time.Time) (int, bool) { return 1, true }, Now: func() time.Time { return now },
+		FencingToken: func(time.Time) (int, bool) { return 1, true }, Now: func() time.Time { return now },
 		Log: zerolog.Nop(), Meter: meter.New(),
-		Commands: Commands{
+		ServerCalls: ServerCalls{
 			Send:   func(context.Context, backs.Entry, Order) (OrderResult, error) { return Refused, nil },
 			Report: func(context.Context, backs.Entry) (Report, error) { return Report{}, fmt.Errorf("unreachable") },
 		},
--- a/steer/server.go
+++ b/steer/server.go
@@ -297,9 +297,9 @@
 // ReportFailed records that a report request failed.
 func (s *Server) ReportFailed() { s.failedReports++ }
 
-// Down reports whether the server is unreachable. It gets no orders, and its models count as
+// Unreachable reports whether the server is unreachable. It gets no orders, and its models count as
 // missing until it responds again; its entry expires only after three heartbeats.
-func (s *Server) Down() bool { return s.failedReports >= unreachableThreshold }
+func (s *Server) Unreachable() bool { return s.failedReports >= unreachableThreshold }
 
 // OrderDue reports whether an order is expected to have ended by now, or has an unknown duration,
 // so that a report is needed to show its end.
