--- a/steer/balance.go
+++ b/steer/balance.go
@@ -82,9 +82,9 @@
 
 // level returns the utilization of the servers that get work of a model, and their number.
 func (b *balance) level(name string) (level float64, n int) {
-	for _, c := range b.replicas[name] {
-		if c.share > 0 || n == 0 {
-			level = max(level, b.util[c.server])
+	for _, r := range b.replicas[name] {
+		if r.share > 0 || n == 0 {
+			level = max(level, b.util[r.server])
 			n++
 		}
 	}
@@ -108,13 +108,13 @@
 // server afterwards. The relief of that server reduces the cost.
 func (b *balance) loss(name string, server int) (loss, util float64) {
 	otherReplicas, level, share := 0, 0.0, 0.0
-	for _, c := range b.replicas[name] {
-		if c.server == server {
-			share = c.share
+	for _, r := range b.replicas[name] {
+		if r.server == server {
+			share = r.share
 			continue
 		}
 		otherReplicas++
-		level = max(level, b.util[c.server])
+		level = max(level, b.util[r.server])
 	}
 	util = b.util[server] - share
 	if share == 0 || otherReplicas == 0 {
@@ -132,7 +132,7 @@
 
 func (b *balance) remove(name string, server int) {
 	list := b.replicas[name]
-	i := slices.IndexFunc(list, func(c replica) bool { return c.server == server })
+	i := slices.IndexFunc(list, func(r replica) bool { return r.server == server })
 	if i < 0 {
 		return
 	}
--- a/steer/demand.go
+++ b/steer/demand.go
@@ -133,7 +133,8 @@
 }
 
 // significance returns the fraction of a rise or fall that counts, from 0 to 1, given its standard
-// error: the largest of n errors is about the square root of 2 ln n (James-Stein shrinkage).
+// error: the largest of n random errors is about the square root of 2 ln n standard errors
+// (James-Stein shrinkage).
 func (d *Demand) significance(rise, stdErr float64) float64 {
 	if rise == 0 {
 		return 0
--- a/steer/models.go
+++ b/steer/models.go
@@ -62,7 +62,7 @@
 }
 
 // usedMB returns the memory in use, which includes models that are loading or unloading: memory is
-// free only once a report shows that the model is gone.
+// free only once a report shows that the model is unloaded.
 func (s *Server) usedMB(e *routes.Engine) float64 {
 	mb := 0.0
 	for name, r := range s.models {
--- a/steer/orderresult.go
+++ b/steer/orderresult.go
@@ -52,7 +52,7 @@
 			delete(r.adapters, o.Adapter)
 		default:
 			// Requests still use the adapter. Its slot is free only when a report shows that it is
-			// gone, and the server accepts no orders until then. A slot that is reused earlier
+			// unloaded, and the server accepts no orders until then. A slot that is reused earlier
 			// exceeds the server's slots, and the server crashes.
 			r.adapters[o.Adapter] = adapterSlot{readyAt: now, unloading: true}
 			s.busyUntil, s.expectedDone = now.Add(loadTimeoutFactor*time.Second), now.Add(maxReportAge)
--- a/steer/plan.go
+++ b/steer/plan.go
@@ -353,7 +353,8 @@
 	return gain*math.Exp(-readyIn.Seconds()/demandDuration.Seconds()) > loss
 }
 
-// firstReplicaWorth returns the worth of a model's only replica.
+// firstReplicaWorth returns the worth of a model's only replica. It grows with the time that the
+// model has been without a replica.
 func (p *Planner) firstReplicaWorth(model string) float64 {
 	worth := firstReplicaBaseWorth + firstReplicaWorkWeight*p.work[model].mean
 	if p.TimeWithoutReplica != nil {
--- a/steer/server.go
+++ b/steer/server.go
@@ -100,7 +100,7 @@
 // time now, as ChangedSince can miss a change dated before its last call. An entry can add models
 // but never remove one: it can be old, especially after a store outage, and memory that is
 // considered free too early is overcommitted. Only a report from the server itself shows that a
-// model is gone.
+// model is unloaded.
 func (s *Server) ApplyEntry(now, receivedAt time.Time, e backs.Entry) {
 	s.entry = e
 	if !receivedAt.After(s.entryAt) {
--- a/steer/server_test.go
+++ b/steer/server_test.go
@@ -31,9 +31,9 @@
 	return s
 }
 
-// During a store outage a server loads a model, and its entry keeps listing the models from
-// before. If the model counted as gone, its memory would be given to another one, and the server
-// would exceed its memory and crash with all its requests. Only a report may free memory.
+// During a store outage a server loads a model, and its entry keeps listing the models from before.
+// If the model counted as unloaded, its memory would be given to another one, and the server would
+// exceed its memory and crash with all its requests. Only a report may free memory.
 func TestStaleEntryFreesNoMemory(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
 	load := steer.Order{Model: "m2"}
@@ -102,9 +102,9 @@
 	require.Equal(t, 1, s.Sequence())
 }
 
-// A server accepts the unloading of an adapter that a stream still uses. If its slot were reused
-// at once, the orders would exceed the server's slots, and it would crash with all its streams.
-// The slot is free when a report shows that the adapter is gone.
+// A server accepts the unloading of an adapter that a stream still uses. If its slot were reused at
+// once, the orders would exceed the server's slots, and it would crash with all its streams. The
+// slot is free when a report shows that the adapter is unloaded.
 func TestUnloadingAdapterKeepsSlot(t *testing.T) {
 	s := reportedServer(at(0), "a", 0, "m1")
 	s.ApplyResult(at(1), at(1), &routes.Engine{}, steer.Order{Model: "m1", Adapter: "a1"}, steer.Accepted, time.Millisecond)
--- a/steer/vmreports.go
+++ b/steer/vmreports.go
@@ -89,8 +89,8 @@
 }
 
 // ChangedSince returns the servers that changed after a time. An adapter that becomes ready counts
-// as a change. A server with an unloading model counts as changed until the model is gone, as the
-// server continues to list the model.
+// as a change. A server with an unloading model counts as changed until the model is unloaded, as
+// the server continues to list the model.
 func (c *Controller) ChangedSince(now, since time.Time) []ServerModels {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/steer/vmreports_test.go
+++ b/steer/vmreports_test.go
@@ -11,8 +11,8 @@
 )
 
 // A server accepts the unloading of a model and keeps listing it until the last request has ended,
-// some seconds later. VMs that were notified only once took the server's next entry for newer and
-// sent requests there again. They must be notified until the model is gone.
+// some seconds later. VMs that were notified only once treated the server's next entry as newer and
+// sent requests there again. They must be notified until the model is unloaded.
 func TestUnloadingModelIsListedUntilGone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := backs.Entry{ID: "a", Models: []backs.LoadedModel{{Model: "m1"}, {Model: "m2"}}}
