--- a/peers/lease.go
+++ b/peers/lease.go
@@ -305,8 +305,8 @@
 }
 
 // recordAcquisition records that this VM acquired the lease. The previous holder sent its last order
-// before its lease expired, which is one lease duration after this VM observed its last renewal. This
-// VM sends its first order one handover time later. l.mu must be held.
+// before its lease expired, which is at most one lease duration after this VM observed its last
+// renewal. This VM sends its first order one handover time later. l.mu must be held.
 func (l *Lease) recordAcquisition(startedAt time.Time, version int, previous wire.ControllerLease, previousChangedAt time.Time) {
 	l.fencingToken, l.previousTermEnd = version, startedAt
 	if previous.Address != "" && previous.Address != l.Address {
--- a/peers/tree.go
+++ b/peers/tree.go
@@ -14,8 +14,8 @@
 // In a large fleet the links form a tree. One VM of each failure domain, its relay, is linked to the
 // controller, and the other VMs of the domain are linked to the relay. If every VM were linked to the
 // controller, its traffic would grow with the number of VMs times the number of servers, and all VMs
-// would read the store at once when it fails. A relay that loses the controller watches the store for
-// its domain, and the other VMs of the domain are not affected.
+// would read the store at once when the controller fails. A relay that loses the controller watches the
+// store for its domain, and the other VMs of the domain are not affected.
 
 const (
 	// minTreeVMs is the number of VMs from which the links form a tree. In a smaller fleet, one
--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -35,25 +35,25 @@
 	*Peers
 	cancel context.CancelFunc
 	server *httptest.Server
-	// storeCutAt is when the VM was partitioned from the store, or nil if it is not.
-	storeCutAt atomic.Pointer[time.Time]
+	// storePartitionedAt is when the VM was partitioned from the store, or nil if it is not.
+	storePartitionedAt atomic.Pointer[time.Time]
 }
 
-var errStoreCut = errors.New("store unreachable")
+var errStorePartitioned = errors.New("store unreachable")
 
-// storeClient returns a store client whose reads and writes fail after cutStore.
+// storeClient returns a store client whose reads and writes fail after partitionFromStore.
 func (v *testVM) storeClient(o *stand.ObjectStore) store.Objects {
 	client := o.Client()
 	get, put := client.Get, client.Put
 	client.Get = func(ctx context.Context, kind, name string) (store.Object, error) {
-		if v.storeCutAt.Load() != nil {
-			return store.Object{}, errStoreCut
+		if v.storePartitionedAt.Load() != nil {
+			return store.Object{}, errStorePartitioned
 		}
 		return get(ctx, kind, name)
 	}
 	client.Put = func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error) {
-		if v.storeCutAt.Load() != nil {
-			return 0, errStoreCut
+		if v.storePartitionedAt.Load() != nil {
+			return 0, errStorePartitioned
 		}
 		return put(ctx, kind, name, ifVersion, value)
 	}
@@ -62,16 +62,16 @@
 
 // confirmedAt returns when the store last confirmed the VM's data.
 func (v *testVM) confirmedAt() time.Time {
-	if at := v.storeCutAt.Load(); at != nil {
+	if at := v.storePartitionedAt.Load(); at != nil {
 		return *at
 	}
 	return clock.Now()
 }
 
-// cutStore partitions the VM from the store.
-func (v *testVM) cutStore() {
+// partitionFromStore partitions the VM from the store.
+func (v *testVM) partitionFromStore() {
 	now := clock.Now()
-	v.storeCutAt.Store(&now)
+	v.storePartitionedAt.Store(&now)
 }
 
 func newVM(o *stand.ObjectStore, name, domain string, cores float64) *testVM {
@@ -152,8 +152,9 @@
 
 // Dozens of VMs start and form a tree through the strongest VM of each domain. If each were linked to
 // the controller, its traffic would grow with the number of VMs times the number of servers, and all
-// VMs would read the store when it fails. The controller receives the load of all VMs through two
-// links, and each VM that of all others. The tree must form again after the controller crashes.
+// VMs would read the store when the controller fails. The controller receives the load of all VMs
+// through two links, and each VM that of all others. The tree must form again after the controller
+// crashes.
 func TestLinkTree(t *testing.T) {
 	vms := startFleet(t, minTreeVMs+4)
 	require.Eventually(t, func() bool { _, _, settled := topology(vms); return settled }, testTimeout, 10*time.Millisecond)
@@ -250,7 +251,7 @@
 	}
 	require.Len(t, partitioned, 2)
 	for _, v := range partitioned {
-		v.cutStore()
+		v.partitionFromStore()
 	}
 	rest := slices.DeleteFunc(slices.Clone(vms), func(v *testVM) bool { return slices.Contains(partitioned, v) })
 	version := 0
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -87,9 +87,9 @@
 // the lease, at intervals of 0.3 to 0.9 s.
 const relayRenewalGrace = time.Second
 
-// unreachableReadInterval is the interval between reads of the lease while the store does not answer
-// other calls. Without these reads, a VM would stay linked to a superseded controller if the store
-// answers only for the lease.
+// unreachableReadInterval is the interval between reads of the lease while the store does not respond
+// to other calls. Without these reads, a VM would stay linked to a superseded controller if the store
+// responds only to reads of the lease.
 const unreachableReadInterval = 5 * time.Second
 
 // monitorLease reads the lease while the hub's data is too old, and closes the link if the hub is
--- a/peers/uplink_test.go
+++ b/peers/uplink_test.go
@@ -18,7 +18,7 @@
 
 // Guards against a VM reading the lease too often while the store is unreachable. The store is
 // unreachable for the VM and its controller, so the controller's data grows too old and the VM reads
-// the lease, as it did every second, to detect another holder. While other store calls get no answer,
+// the lease, as it did every second, to detect another holder. While other store calls get no response,
 // it must read only every 5 s. It must not stop, because the store may answer only for the lease.
 func TestLeaseReadsWhileStoreUnreachable(t *testing.T) {
 	for name, tc := range map[string]struct {
