--- a/backs/view.go
+++ b/backs/view.go
@@ -87,7 +87,7 @@
 	// currentAt is when the view was last confirmed as current, syncedAt when the first
 	// full list arrived.
 	currentAt, syncedAt time.Time
-	// contactAt is when the store was last known to be reachable, from an answer to any
+	// contactAt is when the store was last known to be reachable, from a response to any
 	// call of this VM or from another VM's update.
 	contactAt time.Time
 	// scannedAt is when entries were last scanned for expiry, zero when a scan is due.
@@ -115,14 +115,14 @@
 	}
 }
 
-// MarkStoreUnreachable records that the store does not answer calls of this VM.
+// MarkStoreUnreachable records that the store does not respond to calls of this VM.
 func (v *View) MarkStoreUnreachable() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.storeUnreachable, v.scannedAt = true, time.Time{}
 }
 
-// RecordStoreAnswer records that the store answered any call of this VM.
+// RecordStoreAnswer records that the store responded to any call of this VM.
 func (v *View) RecordStoreAnswer(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
