--- a/steer/balance_test.go
+++ b/steer/balance_test.go
@@ -31,9 +31,9 @@
 
 func TestBalanceDividesWork(t *testing.T) {
 	tests := map[string]struct {
-		copies map[string][]replica
-		work   map[string]float64
-		want   []float64
+		replicas map[string][]replica
+		work     map[string]float64
+		want     []float64
 	}{
 		"even split":                {map[string][]replica{"m": replicasAt(0, 1)}, map[string]float64{"m": 1}, []float64{0.5, 0.5, 0}},
 		"other model on one server": {map[string][]replica{"m": replicasAt(0, 1), "n": replicasAt(0)}, map[string]float64{"m": 1, "n": 0.4}, []float64{0.7, 0.7, 0}},
@@ -42,7 +42,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBalance(3, tc.copies, tc.work)
+			b := newBalance(3, tc.replicas, tc.work)
 			require.InDeltaSlice(t, tc.want, b.util, 0.02)
 		})
 	}
