--- a/peers/tree_test.go
+++ b/peers/tree_test.go
@@ -35,25 +35,25 @@
 	*Peers
 	cancel context.CancelFunc
 	server *httptest.Server
-	// storeCutAt is when the VM was partitioned from the store, or nil if it is not.
-	storeCutAt atomic.Pointer[time.Time]
+	// storePartitionedAt is when the VM was partitioned from the store, or nil if it is not.
+	storePartitionedAt atomic.Pointer[time.Time]
 }
 
-var errStoreCut = errors.New("store unreachable")
+var errStorePartitioned = errors.New("store unreachable")
 
-// storeClient returns a store client whose reads and writes fail after cutStore.
+// storeClient returns a store client whose reads and writes fail after partitionFromStore.
 func (v *testVM) storeClient(o *stand.ObjectStore) store.Objects {
 	client := o.Client()
 	get, put := client.Get, client.Put
 	client.Get = func(ctx context.Context, kind, name string) (store.Object, error) {
-		if v.storeCutAt.Load() != nil {
-			return store.Object{}, errStoreCut
+		if v.storePartitionedAt.Load() != nil {
+			return store.Object{}, errStorePartitioned
 		}
 		return get(ctx, kind, name)
 	}
 	client.Put = func(ctx context.Context, kind, name string, ifVersion int, value any) (int, error) {
-		if v.storeCutAt.Load() != nil {
-			return 0, errStoreCut
+		if v.storePartitionedAt.Load() != nil {
+			return 0, errStorePartitioned
 		}
 		return put(ctx, kind, name, ifVersion, value)
 	}
@@ -62,16 +62,16 @@
 
 // confirmedAt returns when the store last confirmed the VM's data.
 func (v *testVM) confirmedAt() time.Time {
-	if at := v.storeCutAt.Load(); at != nil {
+	if at := v.storePartitionedAt.Load(); at != nil {
 		return *at
 	}
 	return clock.Now()
 }
 
-// cutStore partitions the VM from the store.
-func (v *testVM) cutStore() {
+// partitionFromStore partitions the VM from the store.
+func (v *testVM) partitionFromStore() {
 	now := clock.Now()
-	v.storeCutAt.Store(&now)
+	v.storePartitionedAt.Store(&now)
 }
 
 func newVM(o *stand.ObjectStore, name, domain string, cores float64) *testVM {
@@ -81,9 +81,9 @@
 	lease := &Lease{Name: name, Objects: v.storeClient(o), Duration: 1200 * time.Millisecond, Now: clock.Now, Log: zerolog.Nop()}
 	v.Peers = &Peers{
 		Poison: &poison.Tracker{}, Limits: &limit.Limits{},
-		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Book: &pick.Balancer{Domain: domain},
+		Name: name, Domain: domain, Boot: name, Cores: cores, Lease: lease, Servers: view, Balancer: &pick.Balancer{Domain: domain},
 		Controller: &steer.Controller{
-			Name: name, Servers: view, Table: func() *routes.Table { return nil }, Fence: lease.FencingToken,
+			Name: name, Servers: view, Table: func() *routes.Table { return nil }, FencingToken: lease.FencingToken,
 			Now: clock.Now, Log: zerolog.Nop(), Meter: meter.New(),
 		},
 		Config: func() (int, []byte) { return 0, nil }, ConfigChanged: func() <-chan struct{} { return nil },
@@ -129,13 +129,13 @@
 	return vms
 }
 
-// topology returns the indices of the leader and the relays. settled reports whether there are a
-// leader and two relays, the relays are linked to the leader, and all other VMs to a relay.
-func topology(vms []*testVM) (leader int, relays []int, settled bool) {
-	leader, settled = -1, true
+// topology returns the indices of the controller and the relays. settled reports whether there are a
+// controller and two relays, the relays are linked to the controller, and all other VMs to a relay.
+func topology(vms []*testVM) (controller int, relays []int, settled bool) {
+	controller, settled = -1, true
 	for i, v := range vms {
 		if v.Leading() {
-			leader = i
+			controller = i
 		}
 		if v.isRelaying() {
 			relays = append(relays, i)
@@ -145,19 +145,20 @@
 		v.mu.Lock()
 		linked := v.uplink != nil && v.uplink.direct == slices.Contains(relays, i)
 		v.mu.Unlock()
-		settled = settled && (i == leader || linked)
+		settled = settled && (i == controller || linked)
 	}
-	return leader, relays, settled && leader >= 0 && len(relays) == 2
+	return controller, relays, settled && controller >= 0 && len(relays) == 2
 }
 
 // Dozens of VMs start and form a tree through the strongest VM of each domain. If each were linked to
 // the controller, its traffic would grow with the number of VMs times the number of servers, and all
-// VMs would read the store when it fails. The controller receives the load of all VMs through two
-// links, and each VM that of all others. The tree must form again after the controller crashes.
+// VMs would read the store when the controller fails. The controller receives the load of all VMs
+// through two links, and each VM that of all others. The tree must form again after the controller
+// crashes.
 func TestLinkTree(t *testing.T) {
 	vms := startFleet(t, minTreeVMs+4)
 	require.Eventually(t, func() bool { _, _, settled := topology(vms); return settled }, testTimeout, 10*time.Millisecond)
-	leader, _, _ := topology(vms)
+	controller, _, _ := topology(vms)
 	require.Eventually(t, func() bool {
 		_, relays, settled := topology(vms)
 		return settled && !slices.ContainsFunc(relays, func(i int) bool { return i >= 4 })
@@ -166,24 +167,24 @@
 		return v.totalLoads()["s1"].Running
 	}
 	for _, v := range vms {
-		v.Book.Begin(clock.Now(), pick.Choice{Server: backs.Entry{ID: "s1"}}, pick.Work{}, 0)
+		v.Balancer.Begin(clock.Now(), pick.Choice{Server: backs.Entry{ID: "s1"}}, pick.Work{}, 0)
 	}
 	loadsAgree := func() bool {
 		for i, v := range vms {
-			if i != leader && loadOf(v) != len(vms) {
+			if i != controller && loadOf(v) != len(vms) {
 				return false
 			}
 		}
-		return loadOf(vms[leader]) == len(vms)
+		return loadOf(vms[controller]) == len(vms)
 	}
 	require.Eventually(t, loadsAgree, testTimeout, 10*time.Millisecond)
-	require.Eventually(t, func() bool { return vms[leader].VMs() == len(vms) }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return vms[controller].VMs() == len(vms) }, testTimeout, 10*time.Millisecond)
 
-	vms[leader].crash()
-	vms = slices.Delete(vms, leader, leader+1)
+	vms[controller].crash()
+	vms = slices.Delete(vms, controller, controller+1)
 	require.Eventually(t, func() bool {
 		var settled bool
-		leader, _, settled = topology(vms)
+		controller, _, settled = topology(vms)
 		return settled && loadsAgree()
 	}, testTimeout, 10*time.Millisecond)
 }
@@ -241,16 +242,16 @@
 func TestRelayPartitionedWithController(t *testing.T) {
 	vms := startFleet(t, minTreeVMs+4)
 	require.Eventually(t, func() bool { _, _, settled := topology(vms); return settled }, testTimeout, 10*time.Millisecond)
-	leader, relays, _ := topology(vms)
-	partitioned := []*testVM{vms[leader]}
+	controller, relays, _ := topology(vms)
+	partitioned := []*testVM{vms[controller]}
 	for _, i := range relays {
-		if vms[i].Domain == vms[leader].Domain {
+		if vms[i].Domain == vms[controller].Domain {
 			partitioned = append(partitioned, vms[i])
 		}
 	}
 	require.Len(t, partitioned, 2)
 	for _, v := range partitioned {
-		v.cutStore()
+		v.partitionFromStore()
 	}
 	rest := slices.DeleteFunc(slices.Clone(vms), func(v *testVM) bool { return slices.Contains(partitioned, v) })
 	version := 0
@@ -280,7 +281,7 @@
 // A relay reports for all VMs of its domain: their total load, the adapters in use, their total demand
 // and the number of VMs.
 func TestRelayReport(t *testing.T) {
-	p := &Peers{Book: &pick.Balancer{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
+	p := &Peers{Balancer: &pick.Balancer{}, Poison: &poison.Tracker{}, Limits: &limit.Limits{}, links: map[*downlink]bool{{vm: "a"}: true, {vm: "b"}: true}}
 	p.mergeReport("a", &wire.VMReport{
 		Vms: 1, Doubts: []string{"s2"},
 		Loads: []wire.ServerLoad{{Server: "s1", Running: 2, Adapters: []string{"m/a1"}}},
--- a/steer/models.go
+++ b/steer/models.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// Serves reports whether the server holds a model, and the adapter if one is named, ready for
-// requests.
+// Serves reports whether a model, and the adapter if one is named, is ready for requests at the
+// server.
 func (s *Server) Serves(now time.Time, model, adapter string) bool {
 	r := s.models[model]
 	if r == nil || r.phase != loaded {
@@ -31,13 +31,13 @@
 		if r.phase != loaded {
 			continue
 		}
-		h := backs.LoadedModel{Model: name}
+		m := backs.LoadedModel{Model: name}
 		for _, a := range slices.Sorted(maps.Keys(r.adapters)) {
 			if r.adapters[a].usable(now) {
-				h.Adapters = append(h.Adapters, a)
+				m.Adapters = append(m.Adapters, a)
 			}
 		}
-		list = append(list, h)
+		list = append(list, m)
 	}
 	return list
 }
@@ -62,7 +62,7 @@
 }
 
 // usedMB returns the memory in use, which includes models that are loading or unloading: memory is
-// free only once a report shows that the model is gone.
+// free only once a report shows that the model is unloaded.
 func (s *Server) usedMB(e *routes.Engine) float64 {
 	mb := 0.0
 	for name, r := range s.models {
