--- a/pass/attempt.go
+++ b/pass/attempt.go
@@ -22,24 +22,24 @@
 	// means a network partition.
 	dialTimeout = 250 * time.Millisecond
 	// maxForeignResponses is how many responses to other requests are discarded on a connection
-	// before the try fails.
+	// before the attempt fails.
 	maxForeignResponses = 2
 	// maxForeignBodyBytes bounds the body of a discarded response.
 	maxForeignBodyBytes = 1 << 20
 )
 
-// attempt sends a call to a server and forwards its response. It reports whether the caller has
-// received its final response; otherwise it has updated the state of c.
-func (g *Gateway) attempt(ctx context.Context, w http.ResponseWriter, c *call, choice pick.Choice) bool {
+// sendAttempt sends a call to a server and forwards its response. It returns true if the caller has
+// received its final response. Otherwise it has updated the state of c for the next attempt.
+func (g *Gateway) sendAttempt(ctx context.Context, w http.ResponseWriter, c *call, choice pick.Choice) bool {
 	server := choice.Server.ID
-	c.tries++
+	c.attempts++
 	now := g.Now()
 	conn, err := g.connect(ctx, now, server, choice.Server.Address, !c.route.Repeatable())
 	if err != nil {
 		g.Balancer.ConnectFailed(g.Now(), choice.Server)
-		g.noteConnectionRefused(choice.Server, err)
+		g.recordConnectionRefused(choice.Server, err)
 		g.reportSuspect(server)
-		g.logFailedTry(c, choice, "connect: "+err.Error())
+		g.logFailedAttempt(c, choice, "connect: "+err.Error())
 		c.excluded = append(c.excluded, server)
 		c.unreachable = append(c.unreachable, server)
 		return false
@@ -54,7 +54,7 @@
 	}
 	if !g.Servers.Usable(now, server) || c.remaining(now) <= 0 {
 		g.Pool.PutUnused(now, conn)
-		g.logFailedTry(c, choice, "server unavailable or deadline passed before the send")
+		g.logFailedAttempt(c, choice, "server unavailable or deadline passed before the send")
 		c.excluded = append(c.excluded, server)
 		return false
 	}
@@ -67,20 +67,20 @@
 	if c.sends > 0 && !c.takeRetry(now) {
 		c.budgetExhausted = true
 		g.Pool.PutUnused(now, conn)
-		g.logFailedTry(c, choice, c.reason+"; retry budget exhausted")
+		g.logFailedAttempt(c, choice, c.reason+"; retry budget exhausted")
 		return false
 	}
 	c.choice = choice
-	ticket := g.Balancer.Begin(now, choice, c.work, g.kvCacheTokens(c))
-	t := &try{g: g, c: c, choice: choice, conn: conn, ticket: ticket}
+	balancerAttempt := g.Balancer.Begin(now, choice, c.work, g.kvCacheTokens(c))
+	a := &attempt{g: g, c: c, choice: choice, conn: conn, balancerAttempt: balancerAttempt}
 	ctx, span := spans.Start(ctx, "attempt", attribute.String("server", server), attribute.Int64("predicted_ms", choice.PredictedTime.Milliseconds()))
-	defer func() { spans.End(span, t.err) }()
+	defer func() { spans.End(span, a.err) }()
 	stop := context.AfterFunc(ctx, conn.Close)
-	done := t.run(ctx, w, now)
-	if !stop() && t.complete {
-		t.complete = false
+	done := a.run(ctx, w, now)
+	if !stop() && a.complete {
+		a.complete = false
 	}
-	t.finish()
+	a.finish()
 	return done
 }
 
@@ -100,100 +100,101 @@
 	}
 }
 
-// logFailedTry logs why a try got no response that can be forwarded.
-func (g *Gateway) logFailedTry(c *call, choice pick.Choice, reason string) {
+// logFailedAttempt logs why an attempt got no response that can be forwarded.
+func (g *Gateway) logFailedAttempt(c *call, choice pick.Choice, reason string) {
 	c.reason = reason
 	g.Log.Info().Str("request", c.id).Str("fingerprint", string(c.fingerprint)).Str("server", choice.Server.ID).Str("address", choice.Server.Address).
 		Dur("predicted", choice.PredictedTime).Int("running", choice.Load.Running).
 		Bool("may_have_run", c.mayHaveRun).Str("reason", reason).Msg("try failed")
 }
 
-// try is one send of a call to one server.
-type try struct {
-	g        *Gateway
-	c        *call
-	choice   pick.Choice
-	conn     *conns.Conn
-	ticket   *pick.Attempt
-	sent     time.Time
-	exchange *conns.Exchange
-	resp     *http.Response
+// attempt is one send of a call to one server.
+type attempt struct {
+	g               *Gateway
+	c               *call
+	choice          pick.Choice
+	conn            *conns.Conn
+	balancerAttempt *pick.Attempt
+	sent            time.Time
+	exchange        *conns.Exchange
+	resp            *http.Response
 	// complete is set when the response was read to its end.
 	complete bool
-	verdict  pick.Result
-	// err is why the try failed.
+	result   pick.Result
+	// err is why the attempt failed.
 	err error
 }
 
-func (t *try) finish() {
-	now := t.g.Now()
-	t.ticket.End(now, t.verdict)
-	if t.complete && t.verdict != pick.Refused {
-		t.g.Poison.Answered(now, t.c.fingerprint)
+func (a *attempt) finish() {
+	now := a.g.Now()
+	a.balancerAttempt.End(now, a.result)
+	if a.complete && a.result != pick.Refused {
+		a.g.Poison.Answered(now, a.c.fingerprint)
 	}
-	if t.exchange == nil {
-		t.g.Pool.Discard(t.conn)
+	if a.exchange == nil {
+		a.g.Pool.Discard(a.conn)
 		return
 	}
-	t.exchange.Finish(now, t.g.Pool, t.resp, t.complete)
+	a.exchange.Finish(now, a.g.Pool, a.resp, a.complete)
 }
 
-// failUncertain records the failure of a try that the server may have executed.
-func (t *try) failUncertain(ctx context.Context, reason string) bool {
-	t.c.mayHaveRun = true
-	t.verdict = pick.Failed
+// failUncertain records the failure of an attempt that the server may have executed.
+func (a *attempt) failUncertain(ctx context.Context, reason string) bool {
+	a.c.mayHaveRun = true
+	a.result = pick.Failed
 	if ctx.Err() != nil {
 		// The caller disconnected or the deadline passed. A server that had sent nothing by the
 		// deadline counts as failed, a server whose response had started does not.
-		t.verdict = pick.Neutral
-		if t.c.request.Context().Err() == nil && t.resp == nil {
-			t.verdict = pick.Failed
+		a.result = pick.Neutral
+		if a.c.request.Context().Err() == nil && a.resp == nil {
+			a.result = pick.Failed
 		}
 	}
-	return t.fail(reason)
+	return a.fail(reason)
 }
 
-// fail records why a try failed and excludes its server for now.
-func (t *try) fail(reason string) bool {
-	t.err = errors.New(reason)
-	t.c.excluded = append(t.c.excluded, t.choice.Server.ID)
-	t.g.logFailedTry(t.c, t.choice, reason)
+// fail records why an attempt failed and excludes its server for now.
+func (a *attempt) fail(reason string) bool {
+	a.err = errors.New(reason)
+	a.c.excluded = append(a.c.excluded, a.choice.Server.ID)
+	a.g.logFailedAttempt(a.c, a.choice, reason)
 	return false
 }
 
-// failNotRun records the failure of a try that the server provably did not execute.
-func (t *try) failNotRun(reason string) bool {
-	t.verdict = pick.Refused
-	return t.fail(reason)
+// failNotRun records the failure of an attempt that the server provably did not execute.
+func (a *attempt) failNotRun(reason string) bool {
+	a.result = pick.Refused
+	return a.fail(reason)
 }
 
-func (t *try) run(ctx context.Context, w http.ResponseWriter, now time.Time) bool {
-	c, g := t.c, t.g
-	server := t.choice.Server.ID
+func (a *attempt) run(ctx context.Context, w http.ResponseWriter, now time.Time) bool {
+	c, g := a.c, a.g
+	server := a.choice.Server.ID
 	c.sends++
 	if !slices.Contains(c.sentTo, server) {
 		c.sentTo = append(c.sentTo, server)
 	}
-	t.sent = now
+	a.sent = now
 	var err error
-	t.exchange, err = t.conn.Send(c.request.Method, c.requestHead(g.HeaderNames, t.choice.Server.PlatformName(), c.remaining(now)), c.body)
+	a.exchange, err = a.conn.Send(c.request.Method, c.requestHead(g.HeaderNames, a.choice.Server.PlatformName(), c.remaining(now)), c.body)
 	if err != nil {
-		return t.connectionLost(ctx, "send request: "+err.Error(), err)
+		return a.connectionLost(ctx, "send request: "+err.Error(), err)
 	}
-	t.conn.SetStallTimeout(t.headTimeout(), t.reserveFailover)
-	if err := t.readResponseHead(); err != nil {
-		return t.connectionLost(ctx, err.Error(), err)
+	a.conn.SetStallTimeout(a.headTimeout(), a.reserveFailover)
+	if err := a.readResponseHead(); err != nil {
+		return a.connectionLost(ctx, err.Error(), err)
 	}
-	t.conn.SetStallTimeout(0, nil)
-	if t.notRun() {
-		return t.handleRefusal()
+	a.conn.SetStallTimeout(0, nil)
+	if a.notRun() {
+		return a.handleRefusal()
 	}
-	return t.forward(ctx, w)
+	return a.forward(ctx, w)
 }
 
 const (
-	// headTimeoutObjectives is the response timeout of a repeatable request, in latency objectives,
-	// before another server is tried. A slow but healthy server nearly always responds sooner.
+	// headTimeoutObjectives is the timeout for the response head of a repeatable request, in latency
+	// objectives. After it, another server is tried. A slow but healthy server nearly always responds
+	// sooner.
 	headTimeoutObjectives = 3
 	// eventTimeoutGaps is the event timeout of a resumable stream, in maximum event gaps of its
 	// route, and minEventTimeout is its lower bound: after a preemption, a server recomputes the
@@ -204,33 +205,34 @@
 
 // headTimeout returns how long to wait for the response head, or 0 if only the request deadline
 // applies.
-func (t *try) headTimeout() time.Duration {
-	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.MaxServers || t.c.route.Objective == 0 {
+func (a *attempt) headTimeout() time.Duration {
+	if !a.c.route.Repeatable() || a.c.sends >= a.c.route.MaxServers || a.c.route.Objective == 0 {
 		return 0
 	}
-	return max(headTimeoutObjectives*t.c.route.Objective, 2*t.choice.PredictedTime+t.c.route.Objective)
+	return max(headTimeoutObjectives*a.c.route.Objective, 2*a.choice.PredictedTime+a.c.route.Objective)
 }
 
 // eventTimeout returns how long to wait for the next event, or 0 if only the request deadline
 // applies.
-func (t *try) eventTimeout() time.Duration {
-	if !t.c.route.Repeatable() || t.c.sends >= t.c.route.MaxServers {
+func (a *attempt) eventTimeout() time.Duration {
+	if !a.c.route.Repeatable() || a.c.sends >= a.c.route.MaxServers {
 		return 0
 	}
-	return max(eventTimeoutGaps*t.c.route.MaxEventGap, minEventTimeout)
+	return max(eventTimeoutGaps*a.c.route.MaxEventGap, minEventTimeout)
 }
 
-// reserveFailover reports whether a call should move from its silent server to another one. If so,
-// it has reserved a retry from the budget, and another server has capacity and time for the call.
-// If any of the three is missing, failing over would abort the response, although the silent server
-// may still complete it: usually it has preempted the request and is recomputing its prompt.
-func (t *try) reserveFailover() bool {
-	c, g := t.c, t.g
+// reserveFailover reports whether a call should move from its silent server to another one. That
+// requires a retry from the budget, which it reserves, another server with capacity, and enough time
+// before the deadline. If any of the three is missing, failing over would abort the response,
+// although the silent server may still complete it: usually it has preempted the request and is
+// recomputing its prompt.
+func (a *attempt) reserveFailover() bool {
+	c, g := a.c, a.g
 	now := g.Now()
 	if c.remaining(now) <= c.route.Objective || c.request.Context().Err() != nil {
 		return false
 	}
-	c.excluded = append(c.excluded, t.choice.Server.ID)
+	c.excluded = append(c.excluded, a.choice.Server.ID)
 	choice, ok := g.pickServer(now, c, g.Servers.Serving(now, c.service.Name))
 	if ok = ok && choice.HasCapacity() && c.takeRetry(now); ok {
 		c.retryReserved = true
@@ -238,27 +240,27 @@
 		c.excluded = c.excluded[:len(c.excluded)-1]
 	}
 	g.Meter.AddCounter("pass.silent", 1)
-	g.Log.Info().Str("request", c.id).Str("server", t.choice.Server.ID).Bool("started", c.headSent).Bool("given_up", ok).
+	g.Log.Info().Str("request", c.id).Str("server", a.choice.Server.ID).Bool("started", c.headSent).Bool("given_up", ok).
 		Str("instead", choice.Server.ID).Dur("predicted", choice.PredictedTime).Int("running", choice.Load.Running).Msg("server silent")
 	return ok
 }
 
 // readResponseHead reads the head of the response to this call. It discards responses to other
 // requests, which a server may send late or twice.
-func (t *try) readResponseHead() error {
+func (a *attempt) readResponseHead() error {
 	for range maxForeignResponses + 1 {
-		resp, err := t.exchange.ReadResponse()
+		resp, err := a.exchange.ReadResponse()
 		if err != nil {
 			return err
 		}
-		id := resp.Header.Get(t.g.HeaderNames.AttemptID)
-		if id == t.c.id || id == "" && t.provesNotRun(resp) {
-			t.resp = resp
-			t.updateRateLimit()
+		id := resp.Header.Get(a.g.HeaderNames.AttemptID)
+		if id == a.c.id || id == "" && a.provesNotRun(resp) {
+			a.resp = resp
+			a.updateRateLimit()
 			return nil
 		}
-		t.g.Meter.AddCounter("pass.stray_answers", 1)
-		t.g.Log.Warn().Str("request", t.c.id).Str("server", t.choice.Server.ID).Str("answer_to", id).Msg("discarded a response to another request")
+		a.g.Meter.AddCounter("pass.stray_answers", 1)
+		a.g.Log.Warn().Str("request", a.c.id).Str("server", a.choice.Server.ID).Str("answer_to", id).Msg("discarded a response to another request")
 		_, err = conns.ReadAll(resp.Body, maxForeignBodyBytes)
 		if err := errors.Join(err, resp.Body.Close()); err != nil {
 			return fmt.Errorf("read response to another request: %w", err)
@@ -268,56 +270,56 @@
 }
 
 // provesNotRun reports whether a response proves that the server did not execute the request.
-func (t *try) provesNotRun(resp *http.Response) bool {
-	return resp.Header.Get(t.g.HeaderNames.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
+func (a *attempt) provesNotRun(resp *http.Response) bool {
+	return resp.Header.Get(a.g.HeaderNames.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (t *try) notRun() bool { return t.provesNotRun(t.resp) }
+func (a *attempt) notRun() bool { return a.provesNotRun(a.resp) }
 
-func (t *try) handleRefusal() bool {
-	_, err := conns.ReadAll(t.resp.Body, maxForeignBodyBytes)
-	t.complete = err == nil
-	if t.resp.StatusCode == http.StatusMisdirectedRequest {
+func (a *attempt) handleRefusal() bool {
+	_, err := conns.ReadAll(a.resp.Body, maxForeignBodyBytes)
+	a.complete = err == nil
+	if a.resp.StatusCode == http.StatusMisdirectedRequest {
 		// The server does not have the model or adapter, or another server has taken over its
 		// address. The cached state of the server is wrong.
-		t.g.Servers.RemoveModel(t.choice.Server.ID, t.c.work.Model, t.c.work.Adapter)
-		t.g.reportSuspect(t.choice.Server.ID)
+		a.g.Servers.RemoveModel(a.choice.Server.ID, a.c.work.Model, a.c.work.Adapter)
+		a.g.reportSuspect(a.choice.Server.ID)
 	}
-	return t.failNotRun("refused with " + strconv.Itoa(t.resp.StatusCode))
+	return a.failNotRun("refused with " + strconv.Itoa(a.resp.StatusCode))
 }
 
 // forward forwards the response to the caller.
-func (t *try) forward(ctx context.Context, w http.ResponseWriter) bool {
-	resp := t.resp
-	if resp.Header.Get(headerEncoding) != "" || resp.Header.Get(t.g.HeaderNames.ServerStamp) == "" {
-		return t.failUncertain(ctx, "response is not from the expected server: status "+strconv.Itoa(resp.StatusCode))
+func (a *attempt) forward(ctx context.Context, w http.ResponseWriter) bool {
+	resp := a.resp
+	if resp.Header.Get(headerEncoding) != "" || resp.Header.Get(a.g.HeaderNames.ServerStamp) == "" {
+		return a.failUncertain(ctx, "response is not from the expected server: status "+strconv.Itoa(resp.StatusCode))
 	}
-	if t.c.route.Kind == "stream" && resp.StatusCode < 300 && strings.HasPrefix(resp.Header.Get(headerType), typeEvents) {
-		return t.forwardStream(ctx, w)
+	if a.c.route.Kind == "stream" && resp.StatusCode < 300 && strings.HasPrefix(resp.Header.Get(headerType), typeEvents) {
+		return a.forwardStream(ctx, w)
 	}
-	if t.c.headSent {
-		return t.failUncertain(ctx, "resume stream: status "+strconv.Itoa(resp.StatusCode))
+	if a.c.headSent {
+		return a.failUncertain(ctx, "resume stream: status "+strconv.Itoa(resp.StatusCode))
 	}
-	return t.forwardBuffered(ctx, w)
+	return a.forwardBuffered(ctx, w)
 }
 
 // forwardBuffered reads the whole response before forwarding it, so that a truncated response can
 // still be replaced by a retry.
-func (t *try) forwardBuffered(ctx context.Context, w http.ResponseWriter) bool {
-	body, err := conns.ReadAll(t.resp.Body, maxResponseBytes)
+func (a *attempt) forwardBuffered(ctx context.Context, w http.ResponseWriter) bool {
+	body, err := conns.ReadAll(a.resp.Body, maxResponseBytes)
 	if err != nil {
-		return t.connectionLost(ctx, err.Error(), err)
+		return a.connectionLost(ctx, err.Error(), err)
 	}
-	t.complete = true
-	t.verdict = pick.Succeeded
-	if t.resp.StatusCode >= http.StatusInternalServerError {
-		t.verdict = pick.Failed
-		if t.c.route.Repeatable() && t.c.sends < t.c.route.MaxServers && ctx.Err() == nil {
-			t.c.errorResponse = &response{status: t.resp.StatusCode, header: t.responseHeaders(), body: body}
-			return t.failUncertain(ctx, "server error: status "+strconv.Itoa(t.resp.StatusCode))
+	a.complete = true
+	a.result = pick.Succeeded
+	if a.resp.StatusCode >= http.StatusInternalServerError {
+		a.result = pick.Failed
+		if a.c.route.Repeatable() && a.c.sends < a.c.route.MaxServers && ctx.Err() == nil {
+			a.c.errorResponse = &response{status: a.resp.StatusCode, header: a.responseHeaders(), body: body}
+			return a.failUncertain(ctx, "server error: status "+strconv.Itoa(a.resp.StatusCode))
 		}
 	}
-	t.g.writeResponse(w, t.c, &response{status: t.resp.StatusCode, header: t.responseHeaders(), body: body})
+	a.g.writeResponse(w, a.c, &response{status: a.resp.StatusCode, header: a.responseHeaders(), body: body})
 	return true
 }
 
@@ -335,10 +337,10 @@
 }
 
 // responseHeaders returns the response headers without the hop-by-hop headers and Content-Length.
-func (t *try) responseHeaders() http.Header {
-	options := connectionOptions(t.resp.Header)
-	headers := make(http.Header, len(t.resp.Header))
-	for name, values := range t.resp.Header {
+func (a *attempt) responseHeaders() http.Header {
+	options := connectionOptions(a.resp.Header)
+	headers := make(http.Header, len(a.resp.Header))
+	for name, values := range a.resp.Header {
 		if !isHopByHop(name, options) && name != headerLength {
 			headers[name] = values
 		}
--- a/pass/call.go
+++ b/pass/call.go
@@ -31,21 +31,22 @@
 	work          pick.Work
 	// topPriority is set if no route to the same service has a higher priority.
 	topPriority bool
-	// All three times are of a clock that also advances while the VM is suspended.
-	// firstEventDeadline is when the caller disconnects if the response has not started.
+	// These times are read from a clock that also advances while the VM is suspended. At
+	// firstEventDeadline the caller disconnects if the response has not started.
 	arrived, deadline, firstEventDeadline time.Time
 
-	// tries counts the servers selected and sends the requests sent; sentTo lists the servers that
-	// received one. rounds counts the passes over all candidates, and roundStartTries is the value
-	// of tries at the end of the last pass.
-	tries, sends, rounds, roundStartTries int
-	sentTo                                []string
+	// attempts counts the servers selected, including those to which no connection could be opened,
+	// and sends the requests sent. sentTo lists the servers that received one. rounds counts the
+	// passes over all candidates, and roundStartAttempts is the value of attempts at the end of the
+	// last pass.
+	attempts, sends, rounds, roundStartAttempts int
+	sentTo                                      []string
 	// excluded lists the servers that are not selected for now, unreachable those to which no
 	// connection could be opened.
 	excluded, unreachable []string
 	// mayHaveRun is set once a server may have executed the request. A later refusal proves nothing
-	// about the earlier send, so from then on the caller is not told that the request was not
-	// executed.
+	// about the earlier send, so from then on the response to the caller does not state that the
+	// request was not executed.
 	mayHaveRun bool
 	// retryBudget limits the retries. budgetExhausted is set when it allowed no more, and
 	// retryReserved when the next send is already counted.
@@ -73,9 +74,9 @@
 	blocked bool
 	// modelWait is how long the request waited for a server with its model or adapter.
 	modelWait time.Duration
-	// errorResponse is an error response of a server; it is forwarded if no later try succeeds.
+	// errorResponse is an error response of a server; it is forwarded if no later attempt succeeds.
 	errorResponse *response
-	// reason is why the last try failed.
+	// reason is why the last attempt failed.
 	reason string
 	status int
 }
@@ -111,7 +112,7 @@
 	return c
 }
 
-// failure returns why no server answered the call, or nil if one did.
+// failure returns an error if the status of the call is 500 or higher, and nil otherwise.
 func (c *call) failure() error {
 	if c.status < http.StatusInternalServerError {
 		return nil
@@ -173,8 +174,8 @@
 const lowestServerPriority = 9
 
 // serverPriority returns the request's priority at the server, derived from that of its route.
-// Requests with a long latency objective are not ranked last: if one model copy shares a server
-// with busy models, they would wait until after their callers' deadlines.
+// Requests with a long latency objective are not ranked last: if the only replica of their
+// model shares a server with busy models, they would wait until after their callers' deadlines.
 func (c *call) serverPriority() int { return min(1+2*c.route.Priority, lowestServerPriority) }
 
 // requestHead returns the head of the request for a server.
--- a/pass/choose.go
+++ b/pass/choose.go
@@ -78,11 +78,11 @@
 		} else if waited {
 			continue
 		}
-		if len(c.excluded) > 0 && (c.tries > c.roundStartTries || !g.replacementExpected(now, c, serving)) {
+		if len(c.excluded) > 0 && (c.attempts > c.roundStartAttempts || !g.replacementExpected(now, c, serving)) {
 			// Every candidate was tried. A server that refused may accept the request after a
 			// pause. An unreachable server is skipped until the last round, while the controller
 			// loads its model elsewhere.
-			c.roundStartTries = c.tries
+			c.roundStartAttempts = c.attempts
 			c.rounds++
 			if g.isolated(now, c, serving) {
 				return pick.Choice{}, errIsolated
@@ -115,15 +115,15 @@
 // waited for a server. It returns 0 if a reachable server has the model, because an adapter loads
 // in milliseconds. A caller that retried sooner would wait in vain once more, and then give up.
 func (c *call) remainingLoadTime(serving []backs.Entry) time.Duration {
-	if c.service.Engine == nil || slices.ContainsFunc(serving, c.holdsModel) {
+	if c.service.Engine == nil || slices.ContainsFunc(serving, c.hasModel) {
 		return 0
 	}
 	return max(c.service.Engine.Models[c.work.Model].LoadTime-c.modelWait, 0)
 }
 
-// holdsModel reports whether a server has the call's model and was not found unreachable by the
+// hasModel reports whether a server has the call's model and was not found unreachable by the
 // call.
-func (c *call) holdsModel(e backs.Entry) bool {
+func (c *call) hasModel(e backs.Entry) bool {
 	return e.HasModel(c.work.Model, "") && !slices.Contains(c.unreachable, e.ID)
 }
 
--- a/pass/crash.go
+++ b/pass/crash.go
@@ -24,15 +24,15 @@
 	return true
 }
 
-// connectionLost marks a try as failed by a connection error. If this VM did not close the
+// connectionLost marks an attempt as failed by a connection error. If this VM did not close the
 // connection, the server may have crashed, so it is probed with a new connection.
-func (t *try) connectionLost(ctx context.Context, reason string, err error) bool {
-	g := t.g
-	if now := g.Now(); ctx.Err() == nil && conns.ConnectionLost(err) && g.Servers.Usable(now, t.choice.Server.ID) {
-		g.Poison.ConnectionLost(now, t.c.fingerprint, t.choice.Server.ID)
-		go g.probeServer(t.choice.Server)
+func (a *attempt) connectionLost(ctx context.Context, reason string, err error) bool {
+	g := a.g
+	if now := g.Now(); ctx.Err() == nil && conns.ConnectionLost(err) && g.Servers.Usable(now, a.choice.Server.ID) {
+		g.Poison.ConnectionLost(now, a.c.fingerprint, a.choice.Server.ID)
+		go g.probeServer(a.choice.Server)
 	}
-	return t.failUncertain(ctx, reason)
+	return a.failUncertain(ctx, reason)
 }
 
 // probeServer opens a connection to a server to find out whether its process has ended. Requests
@@ -46,15 +46,15 @@
 	defer cancel()
 	conn, err := g.Pool.Dial(ctx, server.ID, server.Address)
 	if err != nil {
-		g.noteConnectionRefused(server, err)
+		g.recordConnectionRefused(server, err)
 		return
 	}
 	g.Pool.Put(g.Now(), conn, 0)
 }
 
-// noteConnectionRefused records that a server process has ended if err is a refused connection.
+// recordConnectionRefused records that a server process has ended if err is a refused connection.
 // Other errors may come from a failed host or network path.
-func (g *Gateway) noteConnectionRefused(server backs.Entry, err error) {
+func (g *Gateway) recordConnectionRefused(server backs.Entry, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.Poison.ProcessEnded(g.Now(), server.ID)
 	}
--- a/pass/events.go
+++ b/pass/events.go
@@ -33,7 +33,7 @@
 
 // dropRepeated removes the events that the caller already has and records the last ID.
 func (s *eventSplitter) dropRepeated(events []byte) []byte {
-	var fresh []byte
+	var newEvents []byte
 	for len(events) > 0 {
 		end := bytes.Index(events, eventSeparator) + len(eventSeparator)
 		event := events[:end]
@@ -45,9 +45,9 @@
 		if ok {
 			s.lastID = strconv.FormatInt(id, 10)
 		}
-		fresh = append(fresh, event...)
+		newEvents = append(newEvents, event...)
 	}
-	return fresh
+	return newEvents
 }
 
 // eventID returns the number in the id line of an event.
--- a/pass/gateway.go
+++ b/pass/gateway.go
@@ -166,7 +166,7 @@
 		Dur("took", g.Now().Sub(c.arrived)).Msg("request")
 }
 
-// serveCall tries servers until the request is answered or no further try is allowed.
+// serveCall sends a call to servers until one responds or no further attempt is allowed.
 func (g *Gateway) serveCall(w http.ResponseWriter, c *call) {
 	ctx, cancel := c.context(c.arrived)
 	defer cancel()
@@ -193,7 +193,7 @@
 			c.reason = err.Error()
 			break
 		}
-		done := g.attempt(ctx, w, c, choice)
+		done := g.sendAttempt(ctx, w, c, choice)
 		if done || !g.mayRetry(ctx, c) {
 			if done {
 				return
@@ -213,16 +213,16 @@
 	return choice, err
 }
 
-// maxSends bounds the sends of one request, including refused ones, and maxTries the tries
-// including failed connections.
+// maxSends bounds the sends of one request, including refused ones, and maxAttempts the
+// attempts including failed connections.
 const (
-	maxSends = 4
-	maxTries = 10
+	maxSends    = 4
+	maxAttempts = 10
 )
 
-// mayRetry reports whether a request that was not answered may be sent once more.
+// mayRetry reports whether a request without a final response may be sent once more.
 func (g *Gateway) mayRetry(ctx context.Context, c *call) bool {
-	if ctx.Err() != nil || c.sends >= maxSends || c.tries >= maxTries {
+	if ctx.Err() != nil || c.sends >= maxSends || c.attempts >= maxAttempts {
 		return false
 	}
 	if c.budgetExhausted || c.disconnected || g.blocked(g.Now(), c) {
@@ -231,13 +231,13 @@
 	return !c.mayHaveRun || c.route.Repeatable()
 }
 
-// fail sends the final response if no server answered, or only with an error. The caller is told
-// that the request was not executed only if no server can have executed it.
+// fail sends the final response if no server responded, or only with an error. The response
+// states that the request was not executed only if no server can have executed it.
 func (g *Gateway) fail(ctx context.Context, w http.ResponseWriter, c *call) {
 	c.disconnected = c.disconnected || c.request.Context().Err() != nil
 	if c.headSent {
-		// The response head has been sent. Only an aborted connection tells the caller that the
-		// stream is incomplete.
+		// The response head has been sent. Only an aborted connection indicates to the caller that
+		// the stream is incomplete.
 		c.status = statusStreamAborted
 		if c.disconnected && !g.stopping() {
 			c.status, c.reason = statusCallerClosed, "caller disconnected"
--- a/pass/gateway_test.go
+++ b/pass/gateway_test.go
@@ -26,7 +26,7 @@
 	"github.com/hibiscuscart/hibiscuscart/routes"
 )
 
-// startBackend starts a server that answers each request with a status and its stamp.
+// startBackend starts a server that responds to each request with a status and its stamp.
 func startBackend(t *testing.T, status int) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 	table := routes.NewTable(1, []routes.Route{route}, []routes.Service{{Name: "s", Engine: &routes.Engine{}}}, routes.Limits{})
 	budget := &retry.SlidingWindow{}
 	return &Gateway{
-		Poison: &poison.Tracker{}, RateLimits: &limit.Limits{}, HeaderNames: testNames, Table: func() *routes.Table { return table }, Servers: view, Balancer: &pick.Balancer{Domain: "d"},
+		Poison: &poison.Tracker{}, RateLimits: &limit.Limits{}, HeaderNames: testHeaderNames, Table: func() *routes.Table { return table }, Servers: view, Balancer: &pick.Balancer{Domain: "d"},
 		Pool: &conns.Pool{DialFunc: func(ctx context.Context, address string) (net.Conn, error) {
 			if strings.HasPrefix(address, "dead") {
 				return nil, errConnectionRefused
--- a/pass/headers.go
+++ b/pass/headers.go
@@ -1,6 +1,6 @@
 // Package pass forwards requests of callers to backend servers, and their responses back, without
 // changing them: any method, path and body under a route, plain responses and event streams. It
-// decides how often a request is sent, and what the caller is told if no server answered it.
+// decides how often a request is sent, and which error the caller gets if no server responds.
 package pass
 
 import (
@@ -12,7 +12,7 @@
 // HeaderNames holds the header names of a deployment and the parsers of their values. The platform
 // adapter of the deployment sets it.
 type HeaderNames struct {
-	// AttemptID identifies one attempt of a caller; servers echo it.
+	// AttemptID identifies one send of a request by a caller; servers echo it.
 	AttemptID string
 	// Deadline is how many milliseconds the caller waits, or the server may take.
 	Deadline string
--- a/pass/limit.go
+++ b/pass/limit.go
@@ -12,25 +12,25 @@
 
 // updateRateLimit updates the known rate limit of the server from its response headers. An invalid
 // value is logged and leaves the limit unchanged.
-func (t *try) updateRateLimit() {
-	n, server := t.g.HeaderNames, t.choice.Server.ID
-	if t.resp.Header.Get(n.ServerStamp) == "" && t.resp.Header.Get(n.NotExecuted) == "" {
+func (a *attempt) updateRateLimit() {
+	n, server := a.g.HeaderNames, a.choice.Server.ID
+	if a.resp.Header.Get(n.ServerStamp) == "" && a.resp.Header.Get(n.NotExecuted) == "" {
 		return // The response may come from another server at the same address.
 	}
-	value := t.resp.Header.Get(n.RateLimit)
+	value := a.resp.Header.Get(n.RateLimit)
 	if value == "" {
-		if t.g.RateLimits.Update(t.g.Now(), t.sent, server, 0, false) {
-			t.g.Log.Info().Str("server", server).Msg("server rate limit removed")
+		if a.g.RateLimits.Update(a.g.Now(), a.sent, server, 0, false) {
+			a.g.Log.Info().Str("server", server).Msg("server rate limit removed")
 		}
 		return
 	}
 	rate, ok := n.ParseRateLimit(value)
 	if !ok {
-		t.g.Log.Warn().Str("request", t.c.id).Str("server", server).Str("limit", value).Msg("invalid server rate limit")
+		a.g.Log.Warn().Str("request", a.c.id).Str("server", server).Str("limit", value).Msg("invalid server rate limit")
 		return
 	}
-	if t.g.RateLimits.Update(t.g.Now(), t.sent, server, rate, true) {
-		t.g.Log.Info().Str("server", server).Float64("rate", rate).Msg("server rate limit changed")
+	if a.g.RateLimits.Update(a.g.Now(), a.sent, server, rate, true) {
+		a.g.Log.Info().Str("server", server).Float64("rate", rate).Msg("server rate limit changed")
 	}
 }
 
--- a/pass/stream.go
+++ b/pass/stream.go
@@ -15,53 +15,53 @@
 
 // forwardStream forwards events as they arrive. Events that are ready at the same time are written
 // together.
-func (t *try) forwardStream(ctx context.Context, w http.ResponseWriter) bool {
-	events := t.newSplitter()
+func (a *attempt) forwardStream(ctx context.Context, w http.ResponseWriter) bool {
+	splitter := a.newSplitter()
 	buffer := make([]byte, streamBufferBytes)
 	controller := http.NewResponseController(w)
-	eventTimeout := t.eventTimeout()
+	eventTimeout := a.eventTimeout()
 	var first, last time.Time
 	for {
-		if events.lastID != t.c.request.Header.Get(headerLastEvent) {
-			t.conn.SetStallTimeout(eventTimeout, t.reserveFailover)
+		if splitter.lastID != a.c.request.Header.Get(headerLastEvent) {
+			a.conn.SetStallTimeout(eventTimeout, a.reserveFailover)
 		}
-		n, err := t.resp.Body.Read(buffer)
-		if complete := events.add(buffer[:n]); len(complete) > 0 {
-			now := t.g.Now()
-			t.ticket.FirstEvent(now)
-			t.c.recordEvents(now, last, complete)
+		n, err := a.resp.Body.Read(buffer)
+		if complete := splitter.add(buffer[:n]); len(complete) > 0 {
+			now := a.g.Now()
+			a.balancerAttempt.FirstEvent(now)
+			a.c.recordEvents(now, last, complete)
 			if last = now; first.IsZero() {
 				first = now
 			}
-			if !t.writeEvents(w, controller, complete) {
-				t.c.reason = "caller disconnected"
+			if !a.writeEvents(w, controller, complete) {
+				a.c.reason = "caller disconnected"
 				return true
 			}
-			t.c.lastEventID = events.lastID
+			a.c.lastEventID = splitter.lastID
 		}
 		if err == io.EOF {
-			if t.c.sends == 1 {
-				t.ticket.StreamCompleted(t.c.eventCount, last.Sub(first))
+			if a.c.sends == 1 {
+				a.balancerAttempt.StreamCompleted(a.c.eventCount, last.Sub(first))
 			}
-			return t.finishStream(w, controller, events)
+			return a.finishStream(w, controller, splitter)
 		}
 		if err != nil {
-			return t.connectionLost(ctx, "read stream: "+err.Error(), err)
+			return a.connectionLost(ctx, "read stream: "+err.Error(), err)
 		}
 	}
 }
 
-func (t *try) newSplitter() *eventSplitter {
-	s := &eventSplitter{lastID: t.c.lastEventID}
-	if t.c.headSent {
-		s.skipThrough, _ = strconv.ParseInt(t.c.lastEventID, 10, 64)
+func (a *attempt) newSplitter() *eventSplitter {
+	s := &eventSplitter{lastID: a.c.lastEventID}
+	if a.c.headSent {
+		s.skipThrough, _ = strconv.ParseInt(a.c.lastEventID, 10, 64)
 	}
 	return s
 }
 
 // writeEvents writes events to the caller, preceded by the response head if it was not sent.
-func (t *try) writeEvents(w http.ResponseWriter, controller *http.ResponseController, data []byte) bool {
-	t.writeHead(w)
+func (a *attempt) writeEvents(w http.ResponseWriter, controller *http.ResponseController, data []byte) bool {
+	a.writeHead(w)
 	if _, err := w.Write(data); err != nil {
 		return false
 	}
@@ -69,27 +69,27 @@
 }
 
 // writeHead writes the response head. A resumed stream keeps the head of its first server.
-func (t *try) writeHead(w http.ResponseWriter) {
-	if t.c.headSent {
+func (a *attempt) writeHead(w http.ResponseWriter) {
+	if a.c.headSent {
 		return
 	}
-	t.c.headSent = true
-	t.c.status = t.resp.StatusCode
-	for name, values := range t.responseHeaders() {
+	a.c.headSent = true
+	a.c.status = a.resp.StatusCode
+	for name, values := range a.responseHeaders() {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(t.resp.StatusCode)
-	t.c.timeToFirstEvent = t.g.Now().Sub(t.c.arrived)
-	t.g.Meter.RecordDuration("pass.first_event", t.c.timeToFirstEvent)
+	w.WriteHeader(a.resp.StatusCode)
+	a.c.timeToFirstEvent = a.g.Now().Sub(a.c.arrived)
+	a.g.Meter.RecordDuration("pass.first_event", a.c.timeToFirstEvent)
 }
 
-func (t *try) finishStream(w http.ResponseWriter, controller *http.ResponseController, events *eventSplitter) bool {
-	t.writeHead(w)
-	if len(events.partial) > 0 {
-		t.writeEvents(w, controller, events.partial)
+func (a *attempt) finishStream(w http.ResponseWriter, controller *http.ResponseController, splitter *eventSplitter) bool {
+	a.writeHead(w)
+	if len(splitter.partial) > 0 {
+		a.writeEvents(w, controller, splitter.partial)
 	}
-	t.conn.SetStallTimeout(0, nil)
-	t.complete = true
-	t.verdict = pick.Succeeded
+	a.conn.SetStallTimeout(0, nil)
+	a.complete = true
+	a.result = pick.Succeeded
 	return true
 }
