--- a/pick/admission.go
+++ b/pick/admission.go
@@ -5,7 +5,7 @@
 // Load pattern: the demand for a model jumps, and its one or two replicas get several
 // times the requests that they can prefill; further replicas are loading and take some
 // seconds. If all requests are sent, those replicas have a queue of many seconds. Requests
-// at its end are answered after their callers have disconnected, and can not be moved to
+// at its end get their response after their callers have disconnected, and can not be moved to
 // the new replicas. A queue of one second keeps a replica just as busy.
 //
 // Requests beyond that therefore wait in their VM, from where they can still go to any
--- a/pick/admission_test.go
+++ b/pick/admission_test.go
@@ -13,7 +13,7 @@
 
 // simulateSurge simulates a demand surge: 40 requests a second for a model, 150 ms of prefill
 // each, with one replica at first and eight after two seconds. VMs receive reports of the
-// queues every 300 ms. It returns how many requests were answered within an objective of
+// queues every 300 ms. It returns how many requests completed within an objective of
 // 800 ms, and how many later but within four times that, when their callers disconnect.
 func simulateSurge(withAdmission bool) (inTime, late int) {
 	const (
@@ -84,9 +84,9 @@
 	return inTime, late
 }
 
-// Sent at once, the requests of two seconds queue at the only replica. Those at the end are
-// answered after their callers have disconnected, and the new replicas can not take them
-// over. With admission control far more are answered, most of the others late.
+// If requests are sent at once, those of the first two seconds queue at the only replica. Those at
+// the end of the queue complete after their callers have disconnected, and can not be moved to the
+// new replicas. With admission control far more complete before that, most of the others late.
 func TestAdmissionDuringSurge(t *testing.T) {
 	sentInTime, sentLate := simulateSurge(false)
 	admittedInTime, admittedLate := simulateSurge(true)
--- a/pick/attempt.go
+++ b/pick/attempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Attempt is one attempt of a request on a server.
+// Attempt is one send of a request to one server.
 type Attempt struct {
 	balancer *Balancer
 	serverID string
@@ -46,7 +46,7 @@
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
 	if a.serverIdle && !a.prefilled && !a.ended {
-		a.balancer.learnPrefillRate(a.work, a.uncachedTokens, now.Sub(a.started))
+		a.balancer.updatePrefillRate(a.work, a.uncachedTokens, now.Sub(a.started))
 	}
 	a.endPrefill()
 }
@@ -96,7 +96,7 @@
 	s.local.Running--
 	s.local.KVTokens -= a.load.KVTokens
 	s.failures.record(now, result)
-	// A server's failure counts against its domain only while the domain has failed connections.
+	// A server's failure counts against its failure domain only while connections to the domain fail.
 	if f := a.balancer.domainFailureRate(a.domain); result == Succeeded || f.rate > 0 {
 		f.record(now, result)
 	}
--- a/pick/balancer.go
+++ b/pick/balancer.go
@@ -170,18 +170,18 @@
 }
 
 // Choose returns the candidate with the lowest predicted cost, except those in
-// tried. kvTokens is the size of a server's KV cache in tokens, 0 when unknown.
-func (b *Balancer) Choose(now time.Time, candidates []backs.Entry, w Work, kvTokens int, tried []string) (Choice, bool) {
+// excluded. kvTokens is the size of a server's KV cache in tokens, 0 when unknown.
+func (b *Balancer) Choose(now time.Time, candidates []backs.Entry, w Work, kvTokens int, excluded []string) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.Model != "" {
-		return b.chooseModel(now, candidates, w, kvTokens, tried)
+		return b.chooseModel(now, candidates, w, kvTokens, excluded)
 	}
 	var best Choice
 	var bestCost time.Duration
 	found := false
 	for _, e := range candidates {
-		if slices.Contains(tried, e.ID) {
+		if slices.Contains(excluded, e.ID) {
 			continue
 		}
 		c := b.predict(now, e, w, nil, false)
@@ -193,8 +193,8 @@
 	return best, found
 }
 
-// chooseModel distributes the requests for a model over the servers that hold it.
-func (b *Balancer) chooseModel(now time.Time, candidates []backs.Entry, w Work, kvTokens int, tried []string) (Choice, bool) {
+// chooseModel distributes the requests for a model over its replicas.
+func (b *Balancer) chooseModel(now time.Time, candidates []backs.Entry, w Work, kvTokens int, excluded []string) (Choice, bool) {
 	prefixKeys := w.prefixKeys()
 	key, connCost := w.sharedPrefixKey(prefixKeys), time.Duration(0)
 	if sharedPrefixTokens(w) < minSharedPrefixTokens {
@@ -202,7 +202,7 @@
 	}
 	ranked := make([]candidate, 0, len(candidates))
 	for _, e := range candidates {
-		if slices.Contains(tried, e.ID) {
+		if slices.Contains(excluded, e.ID) {
 			continue
 		}
 		c := candidate{server: e, queueTime: b.queueTime(now, e) + b.slotBacklog(e) + b.penalty(now, e, w, kvTokens)}
@@ -273,9 +273,9 @@
 	return defaultPrefillTokensPerMs
 }
 
-// learnPrefillRate adds a measurement: an idle server has prefilled a number of
-// prompt tokens of a model in a time.
-func (b *Balancer) learnPrefillRate(w Work, tokens int, took time.Duration) {
+// updatePrefillRate updates a model's prefill rate with a measurement: the time in
+// which an idle server prefilled a number of prompt tokens.
+func (b *Balancer) updatePrefillRate(w Work, tokens int, took time.Duration) {
 	if took -= firstEventOverhead; tokens < minPrefillSampleTokens || took <= 0 {
 		return
 	}
@@ -298,10 +298,10 @@
 // predictResponseTime predicts the response time of a service without models: the
 // number of rounds of requests ahead of this one times the average response time.
 // A server without responses gets the average of the service, so that it is tried.
-func (s *serverState) predictResponseTime(serviceTime time.Duration, load Load, slots int) time.Duration {
+func (s *serverState) predictResponseTime(serviceAverage time.Duration, load Load, slots int) time.Duration {
 	took := s.responseTime
 	if took == 0 {
-		took = serviceTime
+		took = serviceAverage
 	}
 	if took == 0 {
 		took = defaultResponseTime
@@ -364,11 +364,11 @@
 }
 
 // Retain discards the state of servers that are not in the list and have no running requests.
-func (b *Balancer) Retain(known []backs.Entry) {
+func (b *Balancer) Retain(current []backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.servers {
-		listed := slices.ContainsFunc(known, func(e backs.Entry) bool { return e.ID == id })
+		listed := slices.ContainsFunc(current, func(e backs.Entry) bool { return e.ID == id })
 		if !listed && s.local.Running == 0 {
 			delete(b.servers, id)
 		}
--- a/pick/balancer_test.go
+++ b/pick/balancer_test.go
@@ -135,7 +135,7 @@
 	require.False(t, ok)
 }
 
-// The prefill rate is learned from responses of idle servers, so that a model that is ten
+// The prefill rate is measured on responses of idle servers, so that a model that is ten
 // times as fast as its size suggests is not avoided.
 func TestPrefillRateLearning(t *testing.T) {
 	balancer := &pick.Balancer{Domain: "d"}
@@ -256,7 +256,7 @@
 	}
 }
 
-// Load pattern: prompts are short and responses long. Two servers that hold a model have
+// Load pattern: prompts are short and responses long. Two servers with a replica of a model have
 // twelve slots each, and one of them runs requests for another model in all of its slots.
 // By pending prefill the two are equal, so half of the requests wait for a slot, or
 // preempt others, while the slots of the other server are free.
@@ -294,8 +294,8 @@
 
 // Among forty servers, two in each of both other domains have crashed, and connections to
 // them fail one after the other. The VM considered itself isolated and refused requests
-// whose models were being loaded on other servers. It is isolated only if those domains
-// have not responded for half a second.
+// whose models were being loaded on other servers, although other servers of those domains
+// still responded. It is isolated only if those domains have not responded for half a second.
 func TestCrashesNotTakenForIsolation(t *testing.T) {
 	balancer := &pick.Balancer{Domain: "d"}
 	servers := []backs.Entry{{ID: "a", Domain: "near"}, {ID: "b", Domain: "far"}}
--- a/pick/cost_test.go
+++ b/pick/cost_test.go
@@ -12,8 +12,8 @@
 
 // Two models of nearly the same size run at very different speeds, and their responses
 // have a third of the tokens that callers allow. By token count, the fast one got as many
-// servers as the slow one. The cost of requests is learned from their responses, and more
-// from the fastest than from those that waited for other prompts.
+// servers as the slow one. The cost of requests is measured on their responses, with more
+// weight for the fastest than for those that waited for other prompts.
 func TestCostLearning(t *testing.T) {
 	balancer := &pick.Balancer{Domain: "d"}
 	entry := backs.Entry{ID: "a", Service: "s", Domain: "d", Slots: 48}
@@ -22,7 +22,7 @@
 	}
 	require.Equal(t, balancer.Cost(work("slow")), balancer.Cost(work("quick")))
 	now := at(0)
-	answer := func(model string, prefill, step time.Duration, events int) {
+	serveRequest := func(model string, prefill, step time.Duration, events int) {
 		c, ok := balancer.Choose(now, []backs.Entry{entry}, work(model), 0, nil)
 		require.True(t, ok)
 		attempt := balancer.Begin(now, c, work(model), 0)
@@ -38,8 +38,8 @@
 		if i%2 == 0 {
 			step *= 3 // Prefills interrupted the decoding.
 		}
-		answer("slow", 23*time.Millisecond, step, 50)
-		answer("quick", 11*time.Millisecond, 1500*time.Microsecond, 50)
+		serveRequest("slow", 23*time.Millisecond, step, 50)
+		serveRequest("quick", 11*time.Millisecond, 1500*time.Microsecond, 50)
 	}
 	// 600 tokens at 37.5 per ms, and 300 tokens of 5 ms with 47 concurrent requests.
 	require.InDelta(t, 16+31, balancer.Cost(work("slow")).Seconds()*1000, 8)
--- a/pick/failures.go
+++ b/pick/failures.go
@@ -46,8 +46,8 @@
 }
 
 // ConnectFailed records that no connection to a server could be made. Failed
-// connections to a domain indicate that the domain is unreachable, so its other
-// servers are avoided too.
+// connections to a failure domain indicate that the domain is unreachable, so its
+// other servers are avoided too.
 func (b *Balancer) ConnectFailed(now time.Time, e backs.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,11 +80,11 @@
 	b.domainFailureRate(e.Domain).record(now, Succeeded)
 }
 
-// unreachableRate is the share of failed connections to a domain's servers from which
-// the domain counts as unreachable.
+// unreachableRate is the share of failed connections to a failure domain's servers from
+// which the domain counts as unreachable.
 const unreachableRate = 0.5
 
-// DomainUnreachable reports whether a domain's servers are unreachable.
+// DomainUnreachable reports whether a failure domain's servers are unreachable.
 func (b *Balancer) DomainUnreachable(now time.Time, domain string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pick/rendezvous.go
+++ b/pick/rendezvous.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscuscart/hibiscuscart/backs"
 )
 
-// Load pattern: dozens of VMs send to the same servers, and each learns the load of
-// the others with a delay of some hundred milliseconds. If each chooses the server
+// Load pattern: dozens of VMs send to the same servers, and each receives the
+// load of the others with a delay of some hundred milliseconds. If each chooses the server
 // with the shortest queue, all choose the same one until the next load report, and
 // half a second of prompts arrives there at once: a thundering herd.
 //
--- a/pick/work.go
+++ b/pick/work.go
@@ -18,7 +18,7 @@
 
 // Work describes the properties of a request that determine its time on a server.
 type Work struct {
-	// Route is the kind of request: its responses are of similar length.
+	// Route is the name of the request's route. Its responses are of similar length.
 	Route string
 	// Model is empty for services that run no models.
 	Model, Adapter string
