--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan computes which models the backend servers should hold. The plan is a
-// pure function of the deployed models, their demand, the models that the servers
-// hold and the cost of a move.
+// Package plan computes the placement of models on the backend servers. The plan is a
+// pure function of the deployed models, their demand, the current placement and the
+// cost of a move.
 package plan
 
 import (
@@ -35,7 +35,7 @@
 	MemoryBytes int
 	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// Models lists the models that it holds or is loading.
+	// Models lists the models that it has loaded or is loading.
 	Models []string
 	// RecentlyLoaded lists those of them that were loaded recently and are not dropped
 	// yet, so that the cost of the load is amortized.
@@ -69,7 +69,7 @@
 
 // Output is a plan.
 type Output struct {
-	// Placement lists the models that each server should hold.
+	// Placement lists the models that each server should have loaded.
 	Placement map[string][]string
 	// Unplaced lists the models that fit on no server.
 	Unplaced []string
@@ -88,7 +88,7 @@
 	return all
 }
 
-// Make returns the plan. It starts from the models that the servers hold and makes
+// Make returns the plan. It starts from the current placement and makes
 // only changes with a net benefit: it adds a replica if the requests that can then be
 // served in time, weighted by attainment, are worth more than the moves. It repeats
 // these steps:
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -14,7 +14,7 @@
 )
 
 // randomInput returns a random deployment: models of a few sizes, some with high demand,
-// on servers that hold none.
+// on servers without models.
 func randomInput(rng *rand.Rand, servers, models, memory int) plan.Input {
 	var in plan.Input
 	for i := range servers {
@@ -56,13 +56,13 @@
 	}
 	flow := make(map[[2]string]float64)
 	total := 0.0
-	var push func(model string, amount float64, seen map[string]bool) float64
-	push = func(model string, amount float64, seen map[string]bool) float64 {
+	var push func(model string, amount float64, visited map[string]bool) float64
+	push = func(model string, amount float64, visited map[string]bool) float64 {
 		for _, s := range serversOf[model] {
-			if seen[s] {
+			if visited[s] {
 				continue
 			}
-			seen[s] = true
+			visited[s] = true
 			if n := min(amount, capacity[s]); n > 1e-9 {
 				capacity[s] -= n
 				flow[[2]string{model, s}] += n
@@ -73,7 +73,7 @@
 				if other == model || f <= 1e-9 || !slices.Contains(servers, s) {
 					continue
 				}
-				if n := push(other, min(amount, f), seen); n > 1e-9 {
+				if n := push(other, min(amount, f), visited); n > 1e-9 {
 					flow[[2]string{other, s}] -= n
 					flow[[2]string{model, s}] += n
 					return n
