--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,6 +1,6 @@
 // Package routes holds the operators' configuration for requests that are forwarded unchanged: the
-// service of each host and path, how often and how long a request may be tried, and the models of
-// each service. A Table is immutable; a new version replaces it as a whole.
+// service of each host and path, how often a request may be sent and how long it may take, and the
+// models of each service. A Table is immutable; a new version replaces it as a whole.
 package routes
 
 import (
@@ -19,7 +19,7 @@
 	Idempotent Kind = "idempotent"
 	// AtMostOnce requests are executed at most once.
 	AtMostOnce Kind = "once"
-	// Stream requests are answered with server-sent events. They are executed at most once unless
+	// Stream requests get server-sent events as their response. They are executed at most once unless
 	// the route is resumable.
 	Stream Kind = "stream"
 )
