--- a/route/route.go
+++ b/route/route.go
@@ -57,13 +57,13 @@
 	if len(tried) == 0 {
 		return candidates
 	}
-	var fresh []fleet.Candidate
+	var untriedCandidates []fleet.Candidate
 	for _, c := range candidates {
 		if !slices.Contains(tried, c.Name) {
-			fresh = append(fresh, c)
+			untriedCandidates = append(untriedCandidates, c)
 		}
 	}
-	return fresh
+	return untriedCandidates
 }
 
 // localPool returns the candidates in the VM's own failure domain. It returns all candidates if
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -75,15 +75,15 @@
 				all[i].Load = 9
 			}
 		}
-		pinned := 0
+		sentToOwner := 0
 		rng := rand.New(rand.NewPCG(seed, 3))
 		for range 40 {
 			c, _ := route.Policy{Domain: "local"}.Choose(rng, all, prefix, nil)
 			if c.Name == first.Name {
-				pinned++
+				sentToOwner++
 			}
 		}
-		require.Less(t, pinned, 40, "an overloaded owner must not get all requests")
+		require.Less(t, sentToOwner, 40, "an overloaded owner must not get all requests")
 	})
 }
 
