--- a/batch/server.go
+++ b/batch/server.go
@@ -101,10 +101,10 @@
 // Waiting returns the number of requests that wait for a slot or for their prefill.
 func (s *Server) Waiting() int { return len(s.waiting) }
 
-// Refusals returns the number of refused requests since the start.
+// Refusals returns the total number of refused requests.
 func (s *Server) Refusals() int { return s.refusals }
 
-// Preemptions returns the number of preemptions since the start.
+// Preemptions returns the total number of preemptions.
 func (s *Server) Preemptions() int { return s.preemptions }
 
 // StepEnd returns when the current step ends, or false if the server is idle.
--- a/batch/server_test.go
+++ b/batch/server_test.go
@@ -72,9 +72,9 @@
 }
 
 func TestKVCacheExhausted(t *testing.T) {
-	sp := spec()
-	sp.KVCacheTokens = 1000
-	s := &batch.Server{Spec: sp}
+	serverSpec := spec()
+	serverSpec.KVCacheTokens = 1000
+	s := &batch.Server{Spec: serverSpec}
 	first, second := &batch.Request{PromptTokens: 400, OutputTokens: 200}, &batch.Request{PromptTokens: 400, OutputTokens: 200}
 	require.True(t, s.Submit(start, first))
 	require.True(t, s.Submit(start, second))
