--- a/limit/bucket.go
+++ b/limit/bucket.go
@@ -8,7 +8,7 @@
 
 const (
 	// minRate replaces lower rates, in requests per second. Some requests must still be sent,
-	// because only an answer shows that a limit has ended.
+	// because only a response shows that a limit has ended.
 	minRate = 0.2
 	// maxWait bounds the wait before the next attempt, because the limit may have ended.
 	maxWait = 2 * time.Second
@@ -34,7 +34,7 @@
 	contended bool
 }
 
-// acquire takes a permit and returns 0, or returns how long to wait before the next attempt. Each
+// acquire acquires a permit and returns 0, or returns how long to wait before the next attempt. Each
 // consecutive refusal adds the time of one permit to the wait, so that callers do not retry at the
 // same time.
 func (b *bucket) acquire(now time.Time, perSecond float64) time.Duration {
--- a/limit/limits.go
+++ b/limit/limits.go
@@ -1,4 +1,4 @@
-// Package limit tracks the request rate limits that backend servers announce in their answers, and
+// Package limit tracks the request rate limits that backend servers announce in their responses, and
 // grants the permits for requests to them. A server's limit applies to the requests of all VMs
 // together. The package performs no I/O and does not read the clock.
 package limit
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// localPrecedence is how long a limit announced in an answer takes precedence over the controller's
+// localPrecedence is how long a limit announced in a response takes precedence over the controller's
 // list, which may be older.
 const localPrecedence = 1500 * time.Millisecond
 
 // Rate is the rate limit of a server.
 type Rate struct {
-	// Server is the ID of the server instance, which is new at each start.
+	// Server is the ID of the server instance. A restarted server has a new one.
 	Server string
 	// PerSecond is the maximum number of requests per second from all VMs together.
 	PerSecond float64
-	// Ended is set if the server's answers no longer contain a limit.
+	// Ended is set if the server's responses no longer contain a limit.
 	Ended bool
 }
 
@@ -36,7 +36,7 @@
 // serverLimit is the rate limit of one server.
 type serverLimit struct {
 	rate float64
-	// announcedAt is when the limit was added or last announced in an answer to this VM.
+	// announcedAt is when the limit was added or last announced in a response to this VM.
 	announcedAt time.Time
 	reported    bool
 	// backoffUntil is when this VM may request a permit again.
@@ -45,10 +45,10 @@
 	global, local bucket
 }
 
-// Update applies an answer of the server with the given ID, received at now, to a request sent at
-// sent. If limited is set, the answer contains a limit of rate requests per second. Otherwise the
+// Update applies a response of the server with the given ID, received at now, to a request sent at
+// sent. If limited is set, the response contains a limit of rate requests per second. Otherwise the
 // limit is removed, but only if the request was sent after the limit was last announced, as
-// answers can arrive out of order. Update reports whether the server's limit changed.
+// responses can arrive out of order. Update reports whether the server's limit changed.
 func (l *Limits) Update(now, sent time.Time, id string, rate float64, limited bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,9 +122,10 @@
 	}
 }
 
-// Grant takes one of the permits of all VMs for a request to a server. It returns 0 on success, and
-// otherwise how long to wait before the next attempt. Only the controller may call it.
-func (l *Limits) Grant(now time.Time, id string) (wait time.Duration, known bool) {
+// Grant acquires one of the permits of all VMs for a request to a server. wait is 0 on success, and
+// otherwise the time until the next attempt. limited is false if no limit of the server is known.
+// Only the controller may call it.
+func (l *Limits) Grant(now time.Time, id string) (wait time.Duration, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.servers[id]
@@ -134,7 +135,7 @@
 	return s.global.acquire(now, max(s.rate, minRate)), true
 }
 
-// GrantShare is like Grant, but takes the permit from this VM's equal share of the rate. It is used
+// GrantShare is like Grant, but acquires the permit from this VM's equal share of the rate. It is used
 // by VMs that cannot reach the controller.
 func (l *Limits) GrantShare(now time.Time, id string, vms int) time.Duration {
 	l.mu.Lock()
--- a/limit/limits_test.go
+++ b/limit/limits_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against removing a limit because of an answer without one whose request was sent before
+// Guards against removing a limit because of a response without one whose request was sent before
 // the limit was last announced.
-func TestAnswerToEarlierRequestKeepsLimit(t *testing.T) {
+func TestResponseToEarlierRequestKeepsLimit(t *testing.T) {
 	var l limit.Limits
 	require.False(t, l.Update(start, start, "a", 0, false), "no limit is known")
 	require.True(t, l.Update(start, start.Add(-time.Second), "a", 1.5, true))
@@ -30,8 +30,8 @@
 		t.Run(name, func(t *testing.T) {
 			var l limit.Limits
 			l.Update(start, start, "a", rate, true)
-			first, known := l.Grant(start, "a")
-			require.True(t, known)
+			first, limited := l.Grant(start, "a")
+			require.True(t, limited)
 			require.NotZero(t, first, "requests sent before the limit was known count")
 			second, _ := l.Grant(start, "a")
 			third, _ := l.Grant(start, "a")
@@ -78,8 +78,8 @@
 // know.
 func TestGrantForUnknownServer(t *testing.T) {
 	var l limit.Limits
-	_, known := l.Grant(start, "a")
-	require.False(t, known)
+	_, limited := l.Grant(start, "a")
+	require.False(t, limited)
 }
 
 // Guards against an outdated controller's list removing a limit that was just announced or restoring
