--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -29,14 +29,14 @@
 // Crash is the end of a server process while a request was in progress on it.
 type Crash struct {
 	Request Fingerprint
-	// Server is the ID of the server instance, which is new at each start.
+	// Server is the ID of the server instance. A restarted server has a new one.
 	Server string
 }
 
 // Report holds the changes at a VM since its previous report.
 type Report struct {
 	Crashes []Crash
-	// Answered are requests with recorded crashes that a server has since answered completely.
+	// Answered are requests with recorded crashes to which a server has since responded completely.
 	Answered []Fingerprint
 }
 
@@ -74,7 +74,7 @@
 	// a server process was found to have ended, both by the ID of the server instance.
 	lostConnections map[string][]lostConnection
 	endedAt         map[string]time.Time
-	// answered are the answered requests for the next report.
+	// answered are the requests with a complete response, for the next report.
 	answered  []Fingerprint
 	lastSweep time.Time
 }
@@ -98,7 +98,7 @@
 
 func (r *record) blocked(now time.Time) bool { return now.Before(r.blockedUntil) }
 
-// lostConnection is a request whose connection to a server was lost before the answer ended.
+// lostConnection is a request whose connection to a server was lost before the response ended.
 type lostConnection struct {
 	request Fingerprint
 	at      time.Time
@@ -138,15 +138,15 @@
 	delete(t.lostConnections, server)
 }
 
-// Answered records that a server answered a request completely without crashing.
+// Answered records that a server responded to a request completely without crashing.
 func (t *Tracker) Answered(now time.Time, request Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.clear(now, request)
 }
 
-// clear removes the record of an answered request. Blocked requests keep theirs, because the
-// answer is that of an attempt sent before the block. t.mu is held.
+// clear removes the record of a request with a complete response. Blocked requests keep theirs,
+// because the response is that of an attempt sent before the block. t.mu is held.
 func (t *Tracker) clear(now time.Time, request Fingerprint) {
 	r := t.records[request]
 	if r == nil || r.blocked(now) {
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -58,20 +58,20 @@
 				tr.ProcessEnded(start.Add(5*time.Second), s)
 			}
 		}, false},
-		"a server answered it between two crashes": {func(tr *poison.Tracker) {
+		"a server completed it between two crashes": {func(tr *poison.Tracker) {
 			crash(tr, start, "a")
 			crash(tr, start, "b")
 			tr.Answered(start, request)
 			crash(tr, start, "c")
 		}, false},
-		"three VMs saw one crash each": {func(tr *poison.Tracker) {
+		"three VMs detected one crash each": {func(tr *poison.Tracker) {
 			for _, s := range []string{"a", "b", "c"} {
 				var vm poison.Tracker
 				crash(&vm, start, s)
 				tr.AddReport(start, vm.TakeReport())
 			}
 		}, true},
-		"three VMs saw the same crash": {func(tr *poison.Tracker) {
+		"three VMs detected the same crash": {func(tr *poison.Tracker) {
 			for range 3 {
 				var vm poison.Tracker
 				crash(&vm, start, "a")
