--- a/relay/assembly.go
+++ b/relay/assembly.go
@@ -1,4 +1,4 @@
-// Package relay decides which frames of a request's attempts belong to the answer, so that
+// Package relay decides which frames of a request's attempts belong to the response, so that
 // the caller gets each token exactly once. It does no I/O.
 package relay
 
@@ -21,7 +21,7 @@
 	DropRepeated
 	// DropReplayed means that the frame repeats text of an earlier attempt.
 	DropReplayed
-	// Complete means that the end frame arrived and the answer is complete.
+	// Complete means that the end frame arrived and the response is complete.
 	Complete
 )
 
@@ -35,7 +35,7 @@
 	ErrDiverged = errors.New("text of the restarted run differs from the delivered text")
 )
 
-// Assembly joins the frames of successive attempts into one answer. Restart must be called
+// Assembly joins the frames of successive attempts into one response. Restart must be called
 // before the first frame.
 type Assembly struct {
 	attemptID    string
--- a/relay/assembly_test.go
+++ b/relay/assembly_test.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuscart/hibiscuscart/relay"
 )
 
-// Run the same cases every time.
+// A fixed seed generates the same cases in every run.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func text(attempt string, seq int, s string) hibiscuscart.Frame {
@@ -27,12 +27,12 @@
 		frames   []hibiscuscart.Frame
 		verdicts []relay.Verdict
 		text     string
-		whole    bool
+		complete bool
 		err      error
 	}{
 		"complete": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("a", 2, "y"), end(3)},
-			verdicts: []relay.Verdict{relay.Deliver, relay.Deliver, relay.Complete}, text: "xy", whole: true,
+			verdicts: []relay.Verdict{relay.Deliver, relay.Deliver, relay.Complete}, text: "xy", complete: true,
 		},
 		"frame of another attempt": {
 			frames:   []hibiscuscart.Frame{text("a", 1, "x"), text("b", 2, "no"), text("a", 2, "y")},
@@ -63,7 +63,7 @@
 			}
 			require.ErrorIs(t, last, c.err)
 			require.Equal(t, c.text, a.Text())
-			require.Equal(t, c.whole, a.IsComplete())
+			require.Equal(t, c.complete, a.IsComplete())
 		})
 	}
 }
@@ -79,46 +79,46 @@
 
 	a.Restart("a.3")
 	_, _, err = a.Accept(end(1))
-	require.ErrorIs(t, err, relay.ErrDiverged, "an answer shorter than the delivered text")
+	require.ErrorIs(t, err, relay.ErrDiverged, "a response shorter than the delivered text")
 }
 
 // TestEachTokenOnce breaks runs at random points, resumes and restarts them, splits the
 // text into other frames at each restart, and adds repeated and foreign frames. The
-// delivered text must always be the answer, exactly once.
+// delivered text must always be the response, exactly once.
 func TestEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,4} `), 1, 12).Draw(t, "words")
-		answer := strings.Join(words, "")
+		response := strings.Join(words, "")
 		var a relay.Assembly
 		var got strings.Builder
 		for run := 1; !a.IsComplete(); run++ {
 			attempt := fmt.Sprintf("a.%d", run)
 			a.Restart(attempt)
-			frames := splitFrames(t, attempt, answer)
+			frames := splitFrames(t, attempt, response)
 			stop := len(frames)
 			if run < 4 {
 				stop = rapid.IntRange(0, len(frames)).Draw(t, "stop")
 			}
 			for _, f := range frames[:stop] {
 				for _, sent := range addStrayFrames(t, f) {
-					v, fresh, err := a.Accept(sent)
+					v, newText, err := a.Accept(sent)
 					require.NoError(t, err)
 					if v == relay.Deliver {
-						got.WriteString(fresh)
+						got.WriteString(newText)
 					}
 				}
 			}
 		}
-		require.Equal(t, answer, got.String())
+		require.Equal(t, response, got.String())
 	})
 }
 
-func splitFrames(t *rapid.T, attempt, answer string) []hibiscuscart.Frame {
+func splitFrames(t *rapid.T, attempt, response string) []hibiscuscart.Frame {
 	var frames []hibiscuscart.Frame
-	for len(answer) > 0 {
-		n := rapid.IntRange(1, len(answer)).Draw(t, "cut")
-		frames = append(frames, text(attempt, len(frames)+1, answer[:n]))
-		answer = answer[n:]
+	for len(response) > 0 {
+		n := rapid.IntRange(1, len(response)).Draw(t, "cut")
+		frames = append(frames, text(attempt, len(frames)+1, response[:n]))
+		response = response[n:]
 	}
 	return append(frames, end(len(frames)+1))
 }
