--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -46,7 +46,7 @@
 			defer mu.Unlock()
 			callCounts[kind]++
 			if down {
-				return &store.UnavailableError{Err: errors.New("no answer")}
+				return &store.UnavailableError{Err: errors.New("no response")}
 			}
 			return nil
 		}
@@ -98,7 +98,7 @@
 		var down, serversRead atomic.Bool
 		recordCall := func(kind string) error {
 			if down.Load() || kind == "config" {
-				return &store.UnavailableError{Err: errors.New("no answer")}
+				return &store.UnavailableError{Err: errors.New("no response")}
 			}
 			serversRead.Store(true)
 			return nil
@@ -151,7 +151,7 @@
 					}
 					if silent.Load() {
 						pause.For(ctx, wait+400*time.Millisecond)
-						return nil, from, &store.UnavailableError{Err: errors.New("no answer")}
+						return nil, from, &store.UnavailableError{Err: errors.New("no response")}
 					}
 					pause.For(ctx, wait)
 					return nil, from, nil
@@ -196,7 +196,7 @@
 					pause.For(ctx, wait)
 					switch {
 					case kind == "servers" && watchFails.Load():
-						return nil, from, &store.UnavailableError{Err: errors.New("no answer")}
+						return nil, from, &store.UnavailableError{Err: errors.New("no response")}
 					case kind == "servers" && removalPending.Swap(false):
 						return []store.Change{{Object: store.Object{Name: "b"}, Deleted: true}}, from + 1, nil
 					}
--- a/node/lock_test.go
+++ b/node/lock_test.go
@@ -29,8 +29,9 @@
 address = 127.0.0.1:4
 `
 
-// newLeader returns a node that holds the lease but is not started, and the address of its links.
-func newLeader(t *testing.T) (*Node, string) {
+// newControllerNode returns a node that is the lease holder but is not started, and the address of its
+// links.
+func newControllerNode(t *testing.T) (*Node, string) {
 	t.Helper()
 	settings, err := conf.ParseNode([]byte(testSettings))
 	require.NoError(t, err)
@@ -49,7 +50,7 @@
 // Node and Peers each call the other with their own lock held, they deadlock: the lease holder serves
 // no requests while all other VMs stay linked to it.
 func TestLinksAndBudgetsDeadlock(t *testing.T) {
-	n, address := newLeader(t)
+	n, address := newControllerNode(t)
 	n.serverView.Replace(n.now(), nil)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -80,7 +81,7 @@
 // sends the servers none for four seconds after they reappear. Links must be refused until the servers
 // are listed.
 func TestNoLinksBeforeServerList(t *testing.T) {
-	n, address := newLeader(t)
+	n, address := newControllerNode(t)
 	require.Error(t, openLinks(t.Context(), n, address))
 	n.serverView.Replace(n.now(), nil)
 	require.NoError(t, openLinks(t.Context(), n, address))
--- a/node/node.go
+++ b/node/node.go
@@ -297,7 +297,8 @@
 }
 
 // Reload applies changed settings: the limits on threads and memory, the retry budget, the drain
-// times and the wait of store watches. Addresses and all other settings change at the next start.
+// times and the wait of store watches. Addresses and all other settings change when the process
+// restarts.
 func (n *Node) Reload(s *conf.Settings) {
 	for _, key := range []string{"listen", "ready_listen", "peer_listen", "metrics_listen"} {
 		if old := n.settings().Text("vm", key); old != s.Text("vm", key) {
@@ -370,5 +371,5 @@
 	n.background.Wait()
 }
 
-// Leading reports whether this VM is the controller of the servers.
+// Leading reports whether this VM is the controller.
 func (n *Node) Leading() bool { return n.peers.Leading() }
