--- a/cmd/hibiscuscart/node.go
+++ b/cmd/hibiscuscart/node.go
@@ -117,9 +117,9 @@
 	storeClient, serverClient := newHTTPClient(), newHTTPClient()
 	return node.Config{
 		Settings: settings, HeaderNames: &platform.HeaderNames,
-		Objects:    platform.NewStoreClient(storeClient, settings.Text("store", "address")),
-		Commands:   platform.NewCommands(serverClient),
-		ConfigKind: platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
+		Objects:      platform.NewStoreClient(storeClient, settings.Text("store", "address")),
+		ServerClient: platform.NewServerClient(serverClient),
+		ConfigKind:   platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
 		DecodeTable: platform.DecodeTable, DecodeEntry: platform.DecodeEntry,
 		CloseIdleStoreConns: storeClient.CloseIdleConnections, DroppedLogLines: logWriter.Dropped,
 		Now: clock.Now, Log: zerolog.New(logWriter).Level(level).With().Timestamp().Logger(),
--- a/demo/site.go
+++ b/demo/site.go
@@ -301,7 +301,7 @@
 	n.closeIdleConnections = client.CloseIdleConnections
 	n.node = node.New(node.Config{
 		Settings: n.settings, HeaderNames: &platform.HeaderNames,
-		Objects: platform.NewStoreClient(client, s.storeAddress), Commands: platform.NewCommands(client),
+		Objects: platform.NewStoreClient(client, s.storeAddress), ServerClient: platform.NewServerClient(client),
 		ConfigKind: platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
 		DecodeTable: platform.DecodeTable, DecodeEntry: platform.DecodeEntry, CloseIdleStoreConns: client.CloseIdleConnections, Now: clock.Now, Log: s.options.Log,
 	})
--- a/node/node.go
+++ b/node/node.go
@@ -61,10 +61,10 @@
 // Config holds the dependencies of a Node. Its functions translate between the platform's types and
 // those of this module.
 type Config struct {
-	Settings    *conf.Settings
-	Objects     store.Objects
-	Commands    steer.Commands
-	HeaderNames *pass.HeaderNames
+	Settings     *conf.Settings
+	Objects      store.Objects
+	ServerClient steer.Commands
+	HeaderNames  *pass.HeaderNames
 	// ConfigKind and ConfigName identify the object that holds the configuration. ServerKind is the
 	// kind of the server entries.
 	ConfigKind, ConfigName, ServerKind string
@@ -141,7 +141,7 @@
 		Duration: s.Duration("steering", "lease"), Handover: s.Duration("steering", "handover"), Now: c.Now, Log: n.log,
 	}
 	n.controller = &steer.Controller{
-		Name: s.Text("vm", "name"), Commands: c.Commands, Servers: n.serverView, Table: n.table.Load, Fence: n.lease.FencingToken,
+		Name: s.Text("vm", "name"), Commands: c.ServerClient, Servers: n.serverView, Table: n.table.Load, Fence: n.lease.FencingToken,
 		Term: n.lease.Term, PredecessorEnd: n.lease.PreviousTermEnd, Contended: n.rateLimits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
