--- a/pick/attempt.go
+++ b/pick/attempt.go
@@ -96,7 +96,7 @@
 	s.local.Running--
 	s.local.KVTokens -= a.load.KVTokens
 	s.failures.record(now, result)
-	// A server's failure counts against its failure domain only while connections to the domain fail.
+	// A server's failure counts against its failure domain only if connections to the domain have failed.
 	if f := a.balancer.domainFailureRate(a.domain); result == Succeeded || f.rate > 0 {
 		f.record(now, result)
 	}
