--- a/node/node.go
+++ b/node/node.go
@@ -61,10 +61,10 @@
 // Config holds the dependencies of a Node. Its functions translate between the platform's types and
 // those of this module.
 type Config struct {
-	Settings    *conf.Settings
-	Objects     store.Objects
-	Commands    steer.ServerCalls
-	HeaderNames *pass.HeaderNames
+	Settings     *conf.Settings
+	Objects      store.Objects
+	ServerClient steer.ServerCalls
+	HeaderNames  *pass.HeaderNames
 	// ConfigKind and ConfigName identify the object that holds the configuration. ServerKind is the
 	// kind of the server entries.
 	ConfigKind, ConfigName, ServerKind string
@@ -141,7 +141,7 @@
 		Duration: s.Duration("steering", "lease"), Handover: s.Duration("steering", "handover"), Now: c.Now, Log: n.log,
 	}
 	n.controller = &steer.Controller{
-		Name: s.Text("vm", "name"), ServerCalls: c.Commands, Servers: n.serverView, Table: n.table.Load, FencingToken: n.lease.FencingToken,
+		Name: s.Text("vm", "name"), ServerCalls: c.ServerClient, Servers: n.serverView, Table: n.table.Load, FencingToken: n.lease.FencingToken,
 		Term: n.lease.Term, PredecessorEnd: n.lease.PreviousTermEnd, Contended: n.rateLimits.Contended,
 		Window: s.Duration("steering", "load_window"), Now: c.Now, Log: n.log, Meter: n.meter,
 	}
@@ -297,7 +297,8 @@
 }
 
 // Reload applies changed settings: the limits on threads and memory, the retry budget, the drain
-// times and the wait of store watches. Addresses and all other settings change at the next start.
+// times and the wait of store watches. Addresses and all other settings change when the process
+// restarts.
 func (n *Node) Reload(s *conf.Settings) {
 	for _, key := range []string{"listen", "ready_listen", "peer_listen", "metrics_listen"} {
 		if old := n.settings().Text("vm", key); old != s.Text("vm", key) {
@@ -370,5 +371,5 @@
 	n.background.Wait()
 }
 
-// Leading reports whether this VM is the controller of the servers.
+// Leading reports whether this VM is the controller.
 func (n *Node) Leading() bool { return n.peers.Leading() }
