--- a/ctrl/budget.go
+++ b/ctrl/budget.go
@@ -7,17 +7,18 @@
 )
 
 // Budget divides the fleet-wide limits on concurrent loads from the weight store
-// among the failure domains. The shares are in one object in the platform. Each
+// among the failure domains. One object in the platform holds all shares. Each
 // domain acquires a share of the free loads and returns what it does not need,
-// by conditional update of the object with all shares. The sum of the shares
-// therefore never exceeds the limits, even when domains are partitioned.
-// ModelLimit and AdapterLimit are the limits for models and adapters.
+// by conditional update of this object. The sum of the shares therefore never
+// exceeds the limits, even when domains are partitioned.
 //
 // FailureDomain, ModelLimit and AdapterLimit must be set.
 type Budget struct {
 	FailureDomain string
-	ModelLimit    int
-	AdapterLimit  int
+	// ModelLimit and AdapterLimit are the fleet-wide limits on concurrent loads
+	// of models and of adapters.
+	ModelLimit   int
+	AdapterLimit int
 
 	version  int
 	stored   wire.Budget
@@ -45,9 +46,9 @@
 	return wire.BudgetShare{FailureDomain: b.FailureDomain}
 }
 
-// Propose returns the next object, for the loads that the domain wants and those
-// in progress. The domain can not return the share of loads in progress. It
-// reports whether the object must be written.
+// Propose returns the next object, given the loads that the domain wants and
+// those in progress. The domain can not return the share of loads in progress.
+// Propose reports whether the object must be written.
 func (b *Budget) Propose(wanted, inProgress LoadQuota) (wire.Budget, bool) {
 	current := b.ownShare()
 	next := wire.Budget{Shares: []wire.BudgetShare{}}
@@ -80,8 +81,8 @@
 }
 
 // fairShare returns the share of a domain: the wanted loads, limited by the free
-// ones and by an even share among the requesters, but no less than the loads in
-// progress.
+// ones and by an even share among the domains that want loads, but no less than
+// the loads in progress.
 func fairShare(wanted, free, limit, requesters, inProgress int) int {
 	evenShare := max(limit/requesters, 1)
 	return max(min(wanted, free, evenShare), min(inProgress, max(free, 0)), 0)
--- a/ctrl/reconciler.go
+++ b/ctrl/reconciler.go
@@ -29,16 +29,16 @@
 // Reconciler reconciles the ledger of one server with the server's load reports
 // and with the artifacts that the server should hold. Server must be set.
 type Reconciler struct {
-	// Server is the server's stored description. The holdings may use its
-	// MemoryBytes.
+	// Server is the server's stored description. Its MemoryBytes limit the sum of
+	// the holdings' bytes.
 	Server wire.Server
 	// MaxOrderDelay is the maximum delay of an order. A server that does not
 	// check fencing tokens may still get an order from a controller that has
 	// lost its lease, so memory that an unload freed stays reserved for this
 	// time.
 	MaxOrderDelay time.Duration
-	// MaxReportAge is the maximum age of a load report. A report does not prove
-	// the absence of a holding that changed more recently.
+	// MaxReportAge is the maximum age of a load report. For a holding that changed
+	// within this time, a report is no evidence that the artifact is absent.
 	MaxReportAge time.Duration
 
 	ledger        wire.Ledger
@@ -65,7 +65,7 @@
 	maxSendsPerOrderID = 5
 )
 
-// LoadQuota is a number of loads of models and of adapters. As a limit on new
+// LoadQuota is a number of loads of models and of adapters. Where it limits new
 // loads, nil means no limit.
 type LoadQuota struct {
 	Models   int
@@ -90,8 +90,8 @@
 }
 
 // LoadingCounts returns how many models and adapters are being loaded.
-func (b *Reconciler) LoadingCounts() (models, adapters int) {
-	for _, h := range b.ledger.Holdings {
+func (r *Reconciler) LoadingCounts() (models, adapters int) {
+	for _, h := range r.ledger.Holdings {
 		switch {
 		case h.State != wire.HoldingStateLoading:
 		case h.Adapter != "":
@@ -104,9 +104,9 @@
 }
 
 // AllLoaded reports whether every artifact is recorded as loaded in its version.
-func (b *Reconciler) AllLoaded(artifacts []Artifact) bool {
+func (r *Reconciler) AllLoaded(artifacts []Artifact) bool {
 	for _, a := range artifacts {
-		if !slices.ContainsFunc(b.ledger.Holdings, func(h wire.Holding) bool {
+		if !slices.ContainsFunc(r.ledger.Holdings, func(h wire.Holding) bool {
 			return a.matches(h) && h.State == wire.HoldingStateLoaded
 		}) {
 			return false
@@ -116,10 +116,10 @@
 }
 
 // Missing returns the artifacts that have no holding in the ledger.
-func (b *Reconciler) Missing(artifacts []Artifact) []Artifact {
+func (r *Reconciler) Missing(artifacts []Artifact) []Artifact {
 	var missing []Artifact
 	for _, a := range artifacts {
-		if !slices.ContainsFunc(b.ledger.Holdings, a.matches) {
+		if !slices.ContainsFunc(r.ledger.Holdings, a.matches) {
 			missing = append(missing, a)
 		}
 	}
@@ -128,9 +128,9 @@
 
 // LoadedSince returns the models that were recorded as loaded after since, or
 // are being loaded.
-func (b *Reconciler) LoadedSince(since time.Time) []string {
+func (r *Reconciler) LoadedSince(since time.Time) []string {
 	var names []string
-	for _, h := range b.ledger.Holdings {
+	for _, h := range r.ledger.Holdings {
 		recent := h.State == wire.HoldingStateLoading || h.State == wire.HoldingStateLoaded && h.ChangedMs > int(since.UnixMilli())
 		if h.Adapter == "" && recent {
 			names = append(names, h.Model)
@@ -140,12 +140,12 @@
 }
 
 // BaseLoaded reports whether any version of a model is recorded as loaded.
-func (b *Reconciler) BaseLoaded(model string) bool { return baseLoaded(b.ledger.Holdings, model) }
+func (r *Reconciler) BaseLoaded(model string) bool { return baseLoaded(r.ledger.Holdings, model) }
 
 // Models returns the models that are loaded or being loaded.
-func (b *Reconciler) Models() []string {
+func (r *Reconciler) Models() []string {
 	var names []string
-	for _, h := range b.ledger.Holdings {
+	for _, h := range r.ledger.Holdings {
 		loadedOrLoading := h.State == wire.HoldingStateLoaded || h.State == wire.HoldingStateLoading
 		if h.Adapter == "" && loadedOrLoading && !slices.Contains(names, h.Model) {
 			names = append(names, h.Model)
@@ -156,24 +156,24 @@
 
 // Reset replaces the cached ledger with the one read from the platform. The
 // controller has no fencing token until its next update.
-func (b *Reconciler) Reset(version int, ledger wire.Ledger) {
-	b.ledger, b.ledgerVersion, b.fencingToken, b.firstFencingToken = ledger, version, 0, 0
-	b.unloadFencingTokens = nil
+func (r *Reconciler) Reset(version int, ledger wire.Ledger) {
+	r.ledger, r.ledgerVersion, r.fencingToken, r.firstFencingToken = ledger, version, 0, 0
+	r.unloadFencingTokens = nil
 }
 
 // Version returns the version of the cached ledger.
-func (b *Reconciler) Version() int { return b.ledgerVersion }
+func (r *Reconciler) Version() int { return r.ledgerVersion }
 
 // FencingToken returns the fencing token for orders: the ledger version of this
 // controller's last successful update, 0 while there is none. A succeeding
 // controller starts with an update, and so has a higher token.
-func (b *Reconciler) FencingToken() int { return b.fencingToken }
+func (r *Reconciler) FencingToken() int { return r.fencingToken }
 
 // Holdings returns a copy of the holdings.
-func (b *Reconciler) Holdings() []wire.Holding { return slices.Clone(b.ledger.Holdings) }
+func (r *Reconciler) Holdings() []wire.Holding { return slices.Clone(r.ledger.Holdings) }
 
 // ReservedBytes returns the bytes of all holdings in any state.
-func (b *Reconciler) ReservedBytes() int { return reservedBytes(b.ledger.Holdings) }
+func (r *Reconciler) ReservedBytes() int { return reservedBytes(r.ledger.Holdings) }
 
 func reservedBytes(holdings []wire.Holding) int {
 	total := 0
@@ -188,11 +188,11 @@
 // unwanted holdings for unloading where mayRemove allows it. It reports whether
 // the ledger must be written. A new controller always writes it, which raises
 // the fencing token.
-func (b *Reconciler) Reconcile(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, quota *LoadQuota, newOrderID func() string) (wire.Ledger, bool) {
-	next := wire.Ledger{Server: b.Server.Name, Holdings: []wire.Holding{}}
-	changed := b.fencingToken == 0
-	for _, h := range b.ledger.Holdings {
-		updated, modified, keep := b.reconcileHolding(now, h, report, wanted, newOrderID)
+func (r *Reconciler) Reconcile(now time.Time, report wire.LoadReport, wanted []Artifact, mayRemove func(Artifact) bool, quota *LoadQuota, newOrderID func() string) (wire.Ledger, bool) {
+	next := wire.Ledger{Server: r.Server.Name, Holdings: []wire.Holding{}}
+	changed := r.fencingToken == 0
+	for _, h := range r.ledger.Holdings {
+		updated, modified, keep := r.reconcileHolding(now, h, report, wanted, newOrderID)
 		changed = changed || modified
 		if keep {
 			next.Holdings = append(next.Holdings, updated)
@@ -209,37 +209,37 @@
 		}
 	}
 	for _, a := range wanted {
-		if h, ok := b.newLoadIntent(now, next.Holdings, a, quota, newOrderID); ok {
+		if h, ok := r.newLoadIntent(now, next.Holdings, a, quota, newOrderID); ok {
 			next.Holdings = append(next.Holdings, h)
 			changed = true
 		}
 	}
-	b.proposedLedger = next
+	r.proposedLedger = next
 	return next, changed
 }
 
 // reconcileHolding returns the holding with the outcome of its order, if the
 // report shows one, and reports whether the holding changed and whether it stays
 // in the ledger.
-func (b *Reconciler) reconcileHolding(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrderID func() string) (next wire.Holding, modified, keep bool) {
+func (r *Reconciler) reconcileHolding(now time.Time, h wire.Holding, report wire.LoadReport, wanted []Artifact, newOrderID func() string) (next wire.Holding, modified, keep bool) {
 	state, present := residentState(report, h)
-	absent := !present && b.sinceChange(now, h) >= b.MaxReportAge
+	absent := !present && r.sinceChange(now, h) >= r.MaxReportAge
 	switch h.State {
 	case wire.HoldingStateLoading:
 		if present && state == wire.ResidentStateLoaded {
 			return withState(now, h, wire.HoldingStateLoaded), true, true
 		}
-		// The server received the order and does not hold the artifact: a
-		// delayed unload order undid it. The server executes the load again only
-		// under a new identifier.
-		if absent && b.sendCounts[h.Order] >= maxSendsPerOrderID {
+		// The server received the load order but does not hold the artifact, so a
+		// delayed unload order undid the load. The server executes the load again
+		// only under a new identifier.
+		if absent && r.sendCounts[h.Order] >= maxSendsPerOrderID {
 			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateLoading), true, true
 		}
 	case wire.HoldingStateLoaded:
-		// A restarted server has lost its holdings. Load a wanted artifact
-		// again. Otherwise keep its bytes reserved until no order for it can be
-		// in flight.
+		// A restarted server has lost its holdings. A wanted artifact is loaded
+		// again. The bytes of any other stay reserved until no order for it can
+		// be in flight.
 		if absent && !slices.ContainsFunc(wanted, func(a Artifact) bool { return a.matches(h) }) {
 			return withState(now, h, wire.HoldingStateGone), true, true
 		}
@@ -248,16 +248,16 @@
 			return withState(now, h, wire.HoldingStateLoading), true, true
 		}
 	case wire.HoldingStateUnloading:
-		if !present && b.loadOrdersFenced(h, report) {
+		if !present && r.loadOrdersFenced(h, report) {
 			return h, true, false
 		}
 		if absent {
 			return withState(now, h, wire.HoldingStateGone), true, true
 		}
-		// Either a delayed load order undid the unload, and the server ignores
-		// the unload's identifier as a duplicate. Or requests still use the
-		// weights, and a second unload is harmless.
-		if present && b.sendCounts[h.Order] >= maxSendsPerOrderID {
+		// A delayed load order may have undone the unload, whose identifier the
+		// server now ignores as a duplicate. If requests still use the weights
+		// instead, a second unload order is harmless.
+		if present && r.sendCounts[h.Order] >= maxSendsPerOrderID {
 			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateUnloading), true, true
 		}
@@ -269,7 +269,7 @@
 			h.Order = newOrderID()
 			return withState(now, h, wire.HoldingStateUnloading), true, true
 		}
-		if b.sinceChange(now, h) >= b.MaxOrderDelay {
+		if r.sinceChange(now, h) >= r.MaxOrderDelay {
 			return h, true, false
 		}
 	}
@@ -280,19 +280,19 @@
 // still be in flight for a holding being unloaded, because it has received a
 // higher fencing token. The report was taken after that, so it shows what
 // remains on the server.
-func (b *Reconciler) loadOrdersFenced(h wire.Holding, report wire.LoadReport) bool {
-	if !b.Server.ChecksFencing || b.fencingToken == 0 {
+func (r *Reconciler) loadOrdersFenced(h wire.Holding, report wire.LoadReport) bool {
+	if !r.Server.ChecksFencing || r.fencingToken == 0 {
 		return false
 	}
-	unloadToken, ownUnload := b.unloadFencingTokens[h.Order]
+	unloadToken, ownUnload := r.unloadFencingTokens[h.Order]
 	if !ownUnload {
-		unloadToken = b.firstFencingToken
+		unloadToken = r.firstFencingToken
 	}
 	return report.Fence >= unloadToken
 }
 
 // sinceChange returns the time since a holding changed its state.
-func (b *Reconciler) sinceChange(now time.Time, h wire.Holding) time.Duration {
+func (r *Reconciler) sinceChange(now time.Time, h wire.Holding) time.Duration {
 	return now.Sub(time.UnixMilli(int64(h.ChangedMs)))
 }
 
@@ -351,11 +351,11 @@
 // newLoadIntent returns the intent to load an artifact that has no holding, if
 // its bytes fit in addition to all recorded ones, the base model of an adapter
 // is loaded, and the quota suffices.
-func (b *Reconciler) newLoadIntent(now time.Time, holdings []wire.Holding, a Artifact, quota *LoadQuota, newOrderID func() string) (wire.Holding, bool) {
+func (r *Reconciler) newLoadIntent(now time.Time, holdings []wire.Holding, a Artifact, quota *LoadQuota, newOrderID func() string) (wire.Holding, bool) {
 	if slices.ContainsFunc(holdings, a.matches) {
 		return wire.Holding{}, false
 	}
-	if reservedBytes(holdings)+a.Bytes > b.Server.MemoryBytes {
+	if reservedBytes(holdings)+a.Bytes > r.Server.MemoryBytes {
 		return wire.Holding{}, false
 	}
 	if a.Adapter != "" && !baseLoaded(holdings, a.Model) {
@@ -378,51 +378,51 @@
 
 // Committed records that the platform stored the ledger of the last Reconcile
 // under a version.
-func (b *Reconciler) Committed(version int) {
-	b.ledger, b.ledgerVersion, b.fencingToken = b.proposedLedger, version, version
-	if b.firstFencingToken == 0 {
-		b.firstFencingToken = version
+func (r *Reconciler) Committed(version int) {
+	r.ledger, r.ledgerVersion, r.fencingToken = r.proposedLedger, version, version
+	if r.firstFencingToken == 0 {
+		r.firstFencingToken = version
 	}
-	for _, h := range b.ledger.Holdings {
-		if _, recorded := b.unloadFencingTokens[h.Order]; h.State != wire.HoldingStateUnloading || recorded {
+	for _, h := range r.ledger.Holdings {
+		if _, recorded := r.unloadFencingTokens[h.Order]; h.State != wire.HoldingStateUnloading || recorded {
 			continue
 		}
-		if b.unloadFencingTokens == nil {
-			b.unloadFencingTokens = make(map[string]int)
+		if r.unloadFencingTokens == nil {
+			r.unloadFencingTokens = make(map[string]int)
 		}
-		b.unloadFencingTokens[h.Order] = version
+		r.unloadFencingTokens[h.Order] = version
 	}
 }
 
 // DueOrders returns the orders to send now: those of recorded intents without a
 // reported outcome, resent with back-off. It returns none before this
 // controller's first successful update.
-func (b *Reconciler) DueOrders(now time.Time) []wire.Order {
-	if b.fencingToken == 0 {
+func (r *Reconciler) DueOrders(now time.Time) []wire.Order {
+	if r.fencingToken == 0 {
 		return nil
 	}
-	if b.lastSentAt == nil {
-		b.lastSentAt, b.sendCounts = make(map[string]time.Time), make(map[string]int)
+	if r.lastSentAt == nil {
+		r.lastSentAt, r.sendCounts = make(map[string]time.Time), make(map[string]int)
 	}
 	var orders []wire.Order
-	for _, h := range b.ledger.Holdings {
+	for _, h := range r.ledger.Holdings {
 		order, outstanding := outstandingOrder(h)
-		if !outstanding || !b.isDue(now, order.Order) {
+		if !outstanding || !r.isDue(now, order.Order) {
 			continue
 		}
-		b.lastSentAt[order.Order] = now
-		b.sendCounts[order.Order]++
+		r.lastSentAt[order.Order] = now
+		r.sendCounts[order.Order]++
 		orders = append(orders, order)
 	}
 	return orders
 }
 
-func (b *Reconciler) isDue(now time.Time, orderID string) bool {
-	lastSent, ok := b.lastSentAt[orderID]
+func (r *Reconciler) isDue(now time.Time, orderID string) bool {
+	lastSent, ok := r.lastSentAt[orderID]
 	if !ok {
 		return true
 	}
-	delay := min(initialResendDelay<<min(b.sendCounts[orderID]-1, 10), maxResendDelay)
+	delay := min(initialResendDelay<<min(r.sendCounts[orderID]-1, 10), maxResendDelay)
 	return now.Sub(lastSent) >= delay
 }
 
--- a/ctrl/reconciler_test.go
+++ b/ctrl/reconciler_test.go
@@ -171,35 +171,35 @@
 
 // controllerStep runs one step of a controller.
 func (sim *simulation) controllerStep(i int, faults bool) {
-	b := sim.reconcilers[i]
+	r := sim.reconcilers[i]
 	// With servers that check fencing tokens, a replaced controller may continue
 	// without limit. With other servers, its lease check stops it after
 	// maxLeaseOverrun.
 	leaseExpired := sim.lastWriter != i && sim.now.Sub(sim.takeoverAt) > maxLeaseOverrun
-	if leaseExpired && !b.Server.ChecksFencing && sim.enabled.ledgerWrite {
-		b.Reset(0, wire.Ledger{})
+	if leaseExpired && !r.Server.ChecksFencing && sim.enabled.ledgerWrite {
+		r.Reset(0, wire.Ledger{})
 	}
-	if b.FencingToken() == 0 {
-		b.Reset(sim.version, sim.ledger)
+	if r.FencingToken() == 0 {
+		r.Reset(sim.version, sim.ledger)
 	}
-	next, changed := b.Reconcile(sim.now, sim.engine.report(), sim.wanted, func(ctrl.Artifact) bool { return true }, nil, sim.newOrderID)
+	next, changed := r.Reconcile(sim.now, sim.engine.report(), sim.wanted, func(ctrl.Artifact) bool { return true }, nil, sim.newOrderID)
 	if changed && !sim.writeLedger(i, next, faults) && sim.enabled.ledgerWrite {
 		return
 	}
-	for _, o := range b.DueOrders(sim.now) {
-		sim.sendOrder(o, b.FencingToken(), faults)
+	for _, o := range r.DueOrders(sim.now) {
+		sim.sendOrder(o, r.FencingToken(), faults)
 	}
 }
 
 // writeLedger makes the conditional update. Its response may be lost.
 func (sim *simulation) writeLedger(i int, next wire.Ledger, faults bool) bool {
-	b := sim.reconcilers[i]
-	if b.Version() != sim.version {
+	r := sim.reconcilers[i]
+	if r.Version() != sim.version {
 		if !sim.enabled.ledgerWrite {
-			b.Committed(b.Version() + 1)
+			r.Committed(r.Version() + 1)
 			return false
 		}
-		b.Reset(0, wire.Ledger{})
+		r.Reset(0, wire.Ledger{})
 		return false
 	}
 	sim.version++
@@ -208,10 +208,10 @@
 		sim.lastWriter, sim.takeoverAt = i, sim.now
 	}
 	if faults && sim.chance(0.1) {
-		b.Reset(0, wire.Ledger{})
+		r.Reset(0, wire.Ledger{})
 		return false
 	}
-	b.Committed(sim.version)
+	r.Committed(sim.version)
 	return true
 }
 
@@ -301,10 +301,10 @@
 }
 
 func TestUnrecordedResidentsAreCounted(t *testing.T) {
-	b := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
-	b.Reset(0, wire.Ledger{})
+	r := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
+	r.Reset(0, wire.Ledger{})
 	report := wire.LoadReport{Residents: []wire.Resident{{Model: "by-hand", Version: 1, Bytes: 70, State: wire.ResidentStateLoaded}}}
-	next, changed := b.Reconcile(time.Unix(1, 0), report, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 40}},
+	next, changed := r.Reconcile(time.Unix(1, 0), report, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 40}},
 		func(ctrl.Artifact) bool { return false }, nil, ctrl.NewOrderIDGenerator("o"))
 	require.True(t, changed)
 	require.Len(t, next.Holdings, 1, "the wanted model does not fit in addition to the manually loaded one")
@@ -312,14 +312,14 @@
 }
 
 func TestNoOrderBeforeLedgerWrite(t *testing.T) {
-	b := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
-	b.Reset(7, wire.Ledger{Holdings: []wire.Holding{{Model: "m", Version: 1, Bytes: 1, State: wire.HoldingStateLoading, Order: "x"}}})
-	require.Empty(t, b.DueOrders(time.Unix(1, 0)), "a new controller sent an order before it wrote the ledger")
-	b.Reconcile(time.Unix(1, 0), wire.LoadReport{}, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 1}}, nil, nil, ctrl.NewOrderIDGenerator("o"))
-	b.Committed(8)
-	orders := b.DueOrders(time.Unix(1, 0))
+	r := &ctrl.Reconciler{Server: wire.Server{MemoryBytes: memoryBytes}}
+	r.Reset(7, wire.Ledger{Holdings: []wire.Holding{{Model: "m", Version: 1, Bytes: 1, State: wire.HoldingStateLoading, Order: "x"}}})
+	require.Empty(t, r.DueOrders(time.Unix(1, 0)), "a new controller sent an order before it wrote the ledger")
+	r.Reconcile(time.Unix(1, 0), wire.LoadReport{}, []ctrl.Artifact{{Model: "m", Version: 1, Bytes: 1}}, nil, nil, ctrl.NewOrderIDGenerator("o"))
+	r.Committed(8)
+	orders := r.DueOrders(time.Unix(1, 0))
 	require.Len(t, orders, 1)
 	require.Equal(t, "x", orders[0].Order, "the order of a recorded intent must keep its identifier")
-	require.Empty(t, b.DueOrders(time.Unix(1, 0)), "an order was resent before its back-off")
-	require.Len(t, b.DueOrders(time.Unix(2, 0)), 1)
+	require.Empty(t, r.DueOrders(time.Unix(1, 0)), "an order was resent before its back-off")
+	require.Len(t, r.DueOrders(time.Unix(2, 0)), 1)
 }
--- a/ctrl/replica_pins.go
+++ b/ctrl/replica_pins.go
@@ -36,16 +36,16 @@
 }
 
 // Reset replaces the cached object with the one read from the platform.
-func (k *ReplicaPins) Reset(version int, doc wire.Keepers) {
-	k.version, k.stored = version, doc
+func (p *ReplicaPins) Reset(version int, doc wire.Keepers) {
+	p.version, p.stored = version, doc
 }
 
 // Version returns the version that the next update is conditional on.
-func (k *ReplicaPins) Version() int { return k.version }
+func (p *ReplicaPins) Version() int { return p.version }
 
-func (k *ReplicaPins) registeredController() string {
-	for _, e := range k.stored.Epochs {
-		if e.FailureDomain == k.FailureDomain {
+func (p *ReplicaPins) registeredController() string {
+	for _, e := range p.stored.Epochs {
+		if e.FailureDomain == p.FailureDomain {
 			return e.Controller
 		}
 	}
@@ -63,70 +63,70 @@
 //
 // After another controller has registered for the domain, this one changes
 // nothing.
-func (k *ReplicaPins) Propose(servers []string, loaded, toUnload []Replica, alive func(Replica) bool) (wire.Keepers, bool) {
-	if k.Superseded() {
-		return k.stored, false
+func (p *ReplicaPins) Propose(servers []string, loaded, toUnload []Replica, alive func(Replica) bool) (wire.Keepers, bool) {
+	if p.Superseded() {
+		return p.stored, false
 	}
 	next := wire.Keepers{Keepers: []wire.Keeper{}, Epochs: []wire.Epoch{}}
-	for _, c := range k.stored.Keepers {
-		ownServer := slices.Contains(servers, c.Server)
-		if !ownServer || slices.Contains(loaded, Replica(c)) {
-			next.Keepers = append(next.Keepers, c)
+	for _, r := range p.stored.Keepers {
+		ownServer := slices.Contains(servers, r.Server)
+		if !ownServer || slices.Contains(loaded, Replica(r)) {
+			next.Keepers = append(next.Keepers, r)
 		}
 	}
-	for _, c := range loaded {
-		if !slices.Contains(next.Keepers, wire.Keeper(c)) && !slices.Contains(toUnload, c) {
-			next.Keepers = append(next.Keepers, wire.Keeper(c))
+	for _, r := range loaded {
+		if !slices.Contains(next.Keepers, wire.Keeper(r)) && !slices.Contains(toUnload, r) {
+			next.Keepers = append(next.Keepers, wire.Keeper(r))
 		}
 	}
-	for _, c := range toUnload {
-		if otherReplicaAlive(next.Keepers, c, alive) {
-			next.Keepers = slices.DeleteFunc(next.Keepers, func(x wire.Keeper) bool { return Replica(x) == c })
+	for _, r := range toUnload {
+		if otherReplicaAlive(next.Keepers, r, alive) {
+			next.Keepers = slices.DeleteFunc(next.Keepers, func(x wire.Keeper) bool { return Replica(x) == r })
 		}
 	}
-	next.Epochs = k.epochsWithOwn()
-	changed := !slices.Equal(next.Keepers, k.stored.Keepers) || !slices.Equal(next.Epochs, k.stored.Epochs)
-	k.proposed = next
+	next.Epochs = p.epochsWithOwn()
+	changed := !slices.Equal(next.Keepers, p.stored.Keepers) || !slices.Equal(next.Epochs, p.stored.Epochs)
+	p.proposed = next
 	return next, changed
 }
 
 // otherReplicaAlive reports whether the model has another pinned replica that is
 // alive.
-func otherReplicaAlive(pins []wire.Keeper, c Replica, alive func(Replica) bool) bool {
+func otherReplicaAlive(pins []wire.Keeper, r Replica, alive func(Replica) bool) bool {
 	return slices.ContainsFunc(pins, func(x wire.Keeper) bool {
-		return x.Model == c.Model && x.Server != c.Server && alive(Replica(x))
+		return x.Model == r.Model && x.Server != r.Server && alive(Replica(x))
 	})
 }
 
-func (k *ReplicaPins) epochsWithOwn() []wire.Epoch {
+func (p *ReplicaPins) epochsWithOwn() []wire.Epoch {
 	epochs := []wire.Epoch{}
-	for _, e := range k.stored.Epochs {
-		if e.FailureDomain != k.FailureDomain {
+	for _, e := range p.stored.Epochs {
+		if e.FailureDomain != p.FailureDomain {
 			epochs = append(epochs, e)
 		}
 	}
-	return append(epochs, wire.Epoch{FailureDomain: k.FailureDomain, Controller: k.Controller})
+	return append(epochs, wire.Epoch{FailureDomain: p.FailureDomain, Controller: p.Controller})
 }
 
 // Committed records that the platform stored the object of the last Propose
 // under a version.
-func (k *ReplicaPins) Committed(version int) {
-	k.version, k.stored, k.registered = version, k.proposed, true
+func (p *ReplicaPins) Committed(version int) {
+	p.version, p.stored, p.registered = version, p.proposed, true
 }
 
 // Superseded reports whether another controller has registered for the domain
 // after this one.
-func (k *ReplicaPins) Superseded() bool {
-	return k.registered && k.registeredController() != k.Controller
+func (p *ReplicaPins) Superseded() bool {
+	return p.registered && p.registeredController() != p.Controller
 }
 
 // Pinned reports whether a replica is pinned.
-func (k *ReplicaPins) Pinned(c Replica) bool {
-	return slices.Contains(k.stored.Keepers, wire.Keeper(c))
+func (p *ReplicaPins) Pinned(r Replica) bool {
+	return slices.Contains(p.stored.Keepers, wire.Keeper(r))
 }
 
 // MayUnload reports whether a replica on a server of the domain may be unloaded:
 // it is not pinned, and only this controller can pin it.
-func (k *ReplicaPins) MayUnload(c Replica) bool {
-	return k.registered && k.registeredController() == k.Controller && !slices.Contains(k.stored.Keepers, wire.Keeper(c))
+func (p *ReplicaPins) MayUnload(r Replica) bool {
+	return p.registered && p.registeredController() == p.Controller && !slices.Contains(p.stored.Keepers, wire.Keeper(r))
 }
--- a/ctrl/replica_pins_test.go
+++ b/ctrl/replica_pins_test.go
@@ -64,8 +64,8 @@
 	var all []ctrl.Replica
 	for m := range modelCount {
 		for _, s := range servers {
-			if c := (ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}); loaded[c] {
-				all = append(all, c)
+			if r := (ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}); loaded[r] {
+				all = append(all, r)
 			}
 		}
 	}
@@ -75,83 +75,83 @@
 // step lets one controller read, write, unload or reload. Steps of different
 // controllers interleave at random.
 func (sim *pinSimulation) step() {
-	p := sim.controllers[sim.rng.IntN(len(sim.controllers))]
+	c := sim.controllers[sim.rng.IntN(len(sim.controllers))]
 	switch sim.rng.IntN(4) {
 	case 0:
-		p.readState(sim)
+		c.readState(sim)
 	case 1:
-		p.writePins(sim)
+		c.writePins(sim)
 	case 2:
-		p.unload(sim)
+		c.unload(sim)
 	default:
-		p.reload(sim)
+		c.reload(sim)
 	}
 }
 
-// readState reads the object and the replicas on the domain's servers, and
-// writes the servers' ledgers, so that concurrent updates of them by other
-// controllers fail.
-func (p *simulatedController) readState(sim *pinSimulation) {
-	p.pins.Reset(sim.version, sim.stored)
-	p.ledgerVersions, p.loaded, p.hasRead = make(map[string]int), make(map[ctrl.Replica]bool), true
-	for _, s := range p.servers {
+// readState reads the pins and the replicas on the domain's servers, and writes
+// the servers' ledgers, so that concurrent updates of them by other controllers
+// fail.
+func (c *simulatedController) readState(sim *pinSimulation) {
+	c.pins.Reset(sim.version, sim.stored)
+	c.ledgerVersions, c.loaded, c.hasRead = make(map[string]int), make(map[ctrl.Replica]bool), true
+	for _, s := range c.servers {
 		sim.ledgerVersions[s]++
-		p.ledgerVersions[s] = sim.ledgerVersions[s]
+		c.ledgerVersions[s] = sim.ledgerVersions[s]
 	}
-	for _, c := range sim.replicasOn(sim.loaded, p.servers) {
-		p.loaded[c] = true
+	for _, r := range sim.replicasOn(sim.loaded, c.servers) {
+		c.loaded[r] = true
 	}
-	replicas := sim.replicasOn(p.loaded, p.servers)
-	p.toUnload = nil
-	for _, c := range replicas {
+	replicas := sim.replicasOn(c.loaded, c.servers)
+	c.toUnload = nil
+	for _, r := range replicas {
 		if sim.rng.IntN(2) == 0 {
-			p.toUnload = append(p.toUnload, c)
+			c.toUnload = append(c.toUnload, r)
 		}
 	}
 }
 
-// writePins writes the object. The response may be lost.
-func (p *simulatedController) writePins(sim *pinSimulation) {
-	if !p.hasRead {
+// writePins writes the pins. The response may be lost.
+func (c *simulatedController) writePins(sim *pinSimulation) {
+	if !c.hasRead {
 		return
 	}
-	next, changed := p.pins.Propose(p.servers, sim.replicasOn(p.loaded, p.servers), p.toUnload, func(ctrl.Replica) bool { return true })
-	if !changed || p.pins.Version() != sim.version {
+	next, changed := c.pins.Propose(c.servers, sim.replicasOn(c.loaded, c.servers), c.toUnload, func(ctrl.Replica) bool { return true })
+	if !changed || c.pins.Version() != sim.version {
 		return
 	}
 	sim.version++
 	sim.stored = next
 	if sim.rng.IntN(5) > 0 {
-		p.pins.Committed(sim.version)
+		c.pins.Committed(sim.version)
 	}
 }
 
 // unload unloads the replicas that may be unloaded, after an update of the
 // server's ledger.
-func (p *simulatedController) unload(sim *pinSimulation) {
-	for _, c := range p.toUnload {
-		if sim.pinsEnforced && !p.pins.MayUnload(c) || p.ledgerVersions[c.Server] != sim.ledgerVersions[c.Server] {
+func (c *simulatedController) unload(sim *pinSimulation) {
+	for _, r := range c.toUnload {
+		if sim.pinsEnforced && !c.pins.MayUnload(r) || c.ledgerVersions[r.Server] != sim.ledgerVersions[r.Server] {
 			continue
 		}
-		sim.ledgerVersions[c.Server]++
-		p.ledgerVersions[c.Server]++
-		delete(sim.loaded, c)
-		delete(p.loaded, c)
+		sim.ledgerVersions[r.Server]++
+		c.ledgerVersions[r.Server]++
+		delete(sim.loaded, r)
+		delete(c.loaded, r)
 	}
 }
 
 // reload loads the domain's replicas again.
-func (p *simulatedController) reload(sim *pinSimulation) {
-	for _, s := range p.servers {
-		if p.ledgerVersions[s] != sim.ledgerVersions[s] || sim.rng.IntN(2) == 0 || !p.hasRead {
+func (c *simulatedController) reload(sim *pinSimulation) {
+	for _, s := range c.servers {
+		if c.ledgerVersions[s] != sim.ledgerVersions[s] || sim.rng.IntN(2) == 0 || !c.hasRead {
 			continue
 		}
 		sim.ledgerVersions[s]++
-		p.ledgerVersions[s]++
+		c.ledgerVersions[s]++
 		for m := range modelCount {
-			c := ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}
-			sim.loaded[c] = true
-			p.loaded[c] = true
+			r := ctrl.Replica{Model: fmt.Sprint("m", m), Server: s}
+			sim.loaded[r] = true
+			c.loaded[r] = true
 		}
 	}
 }
@@ -159,8 +159,8 @@
 func (sim *pinSimulation) everyModelLoaded() bool {
 	for m := range modelCount {
 		found := false
-		for c := range sim.loaded {
-			found = found || c.Model == fmt.Sprint("m", m)
+		for r := range sim.loaded {
+			found = found || r.Model == fmt.Sprint("m", m)
 		}
 		if !found {
 			return false
