--- a/claim/runner.go
+++ b/claim/runner.go
@@ -32,9 +32,10 @@
 	// outageBackoff is how long a shard refuses claims after a call to the
 	// platform failed, before the next attempt.
 	outageBackoff = 250 * time.Millisecond
-	// maxCopyAge is the maximum age of the shard's cached copy for reporting a
-	// request as in progress or unknown without reading the shard again.
-	maxCopyAge = time.Second
+	// maxCacheAge is the maximum age of the shard's cached content at which a
+	// request is reported as in progress or unknown without reading the shard
+	// again.
+	maxCacheAge = time.Second
 	// evictInterval is the time between two evictions of expired keys.
 	evictInterval    = time.Minute
 	operationTimeout = 5 * time.Second
@@ -124,7 +125,7 @@
 		return nil, unavailable(), true
 	}
 	d, decided := r.shard.Propose(now, req)
-	if decided && (now.Sub(r.shard.SyncedAt()) <= maxCopyAge || !mayBeStale(d.Verdict)) {
+	if decided && (now.Sub(r.shard.SyncedAt()) <= maxCacheAge || !mayBeStale(d.Verdict)) {
 		return nil, d, true
 	}
 	if decided {
@@ -210,8 +211,8 @@
 	return r.shard.HasPending()
 }
 
-// loadAndWrite loads the shard if its copy is not current and writes one
-// batch.
+// loadAndWrite loads the shard if its cached content is not current and writes
+// one batch.
 func (r *Runner) loadAndWrite(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -255,7 +256,7 @@
 	}
 }
 
-// load reads the shard if its copy is not current.
+// load reads the shard if its cached content is not current.
 func (r *Runner) load(ctx context.Context) error {
 	r.mu.Lock()
 	loaded := r.shard.Loaded()
--- a/claim/runner_test.go
+++ b/claim/runner_test.go
@@ -75,8 +75,8 @@
 	for i := range keys {
 		require.Equal(t, int32(1), granted[i].Load(), "key %d", i)
 	}
-	// A VM's copy may be up to one second old; after that it must report that
-	// the key ran.
+	// A VM's cached content may be up to one second old; after that the VM must
+	// report that the key ran.
 	for i := range keys {
 		require.Eventually(t, func() bool {
 			return rs[i%2].Claim(testContext(t), request(fmt.Sprint(i), "again")).Verdict == dedup.AlreadyRan
--- a/dedup/claim.go
+++ b/dedup/claim.go
@@ -75,9 +75,9 @@
 	// Digest, when set, is the stored form of the key and is used instead of
 	// Key.
 	Digest string
-	// BodyHash is the digest of the request's content.
+	// BodyHash is the digest of the content of the request to run.
 	BodyHash string
-	// GrantID identifies the attempt that requests the claim.
+	// GrantID identifies this request for a claim, and its grant.
 	GrantID string
 	// InProgressTimeout is how long a granted request can be in progress. After
 	// that time a claim without an outcome counts as unknown.
@@ -123,8 +123,8 @@
 }
 
 // Decide returns the decision on a request whose key already has a claim.
-// Clock skew between VMs can only confuse InProgress and Unknown, and neither
-// allows the request to run.
+// Clock skew between VMs can only turn InProgress into Unknown or the reverse,
+// and neither allows the request to run.
 func Decide(now time.Time, r Request, c wire.Claim) Decision {
 	if c.Grant == r.GrantID {
 		return decideOwnGrant(c)
--- a/dedup/history_test.go
+++ b/dedup/history_test.go
@@ -103,17 +103,17 @@
 
 const (
 	simKeys       = 3
-	simNodes      = 3
+	simVMs        = 3
 	simSteps      = 120
 	simClaims     = 24
 	neverReturned = int64(1) << 40
 )
 
-// node is one VM that writes the shard.
-type node struct {
+// vm is one VM that writes the shard.
+type vm struct {
 	shard *dedup.Shard
-	// receiveResponse, when set, delivers the response to the node's update. The
-	// node is paused until then.
+	// receiveResponse, when set, delivers the response to the VM's update. The VM
+	// is paused until then.
 	receiveResponse func()
 	pausedUntil     int
 }
@@ -122,7 +122,7 @@
 type pendingClaim struct {
 	request  dedup.Request
 	key      int
-	node     int
+	vmIndex  int
 	calledAt int64
 }
 
@@ -138,7 +138,7 @@
 	rng         *rand.Rand
 	variant     variant
 	store       *memoryStore
-	nodes       [simNodes]*node
+	vms         [simVMs]*vm
 	pending     map[string]pendingClaim
 	granted     []pendingClaim
 	lateUpdates []lateUpdate
@@ -154,8 +154,8 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 5)), variant: v, store: newMemoryStore(),
 		pending: make(map[string]pendingClaim), runs: make(map[int]int), now: start,
 	}
-	for i := range s.nodes {
-		s.nodes[i] = &node{shard: &dedup.Shard{MaxHeadClaims: 4}}
+	for i := range s.vms {
+		s.vms[i] = &vm{shard: &dedup.Shard{MaxHeadClaims: 4}}
 	}
 	return s
 }
@@ -178,7 +178,7 @@
 	for step := range simSteps {
 		s.now = s.now.Add(time.Duration(s.rng.IntN(300)) * time.Millisecond)
 		s.deliverLateUpdates(step)
-		switch i := s.rng.IntN(simNodes); s.rng.IntN(5) {
+		switch i := s.rng.IntN(simVMs); s.rng.IntN(5) {
 		case 0:
 			s.submitClaim(i)
 		case 1:
@@ -186,20 +186,20 @@
 		case 2:
 			s.cancelPending()
 		default:
-			s.stepNode(step, i)
+			s.stepVM(step, i)
 		}
 	}
 }
 
-// submitClaim submits a claim to a node.
+// submitClaim submits a claim to a VM.
 func (s *sim) submitClaim(i int) {
 	if s.grantCount >= simClaims {
 		return
 	}
 	s.grantCount++
 	key := s.rng.IntN(simKeys)
-	claim := pendingClaim{request: request(key, s.grantCount), key: key, node: i, calledAt: s.tick()}
-	d, decided := s.nodes[i].shard.Propose(s.now, claim.request)
+	claim := pendingClaim{request: request(key, s.grantCount), key: key, vmIndex: i, calledAt: s.tick()}
+	d, decided := s.vms[i].shard.Propose(s.now, claim.request)
 	if decided {
 		s.recordDecision(claim, d)
 		return
@@ -237,7 +237,7 @@
 	i := s.rng.IntN(len(s.granted))
 	claim := s.granted[i]
 	s.granted = append(s.granted[:i], s.granted[i+1:]...)
-	shard := s.nodes[s.rng.IntN(simNodes)].shard
+	shard := s.vms[s.rng.IntN(simVMs)].shard
 	switch s.rng.IntN(4) {
 	case 0:
 		s.recordDeferred(opRelease, claim, s.tick())
@@ -255,7 +255,7 @@
 func (s *sim) cancelPending() {
 	for _, grant := range s.pendingGrants() {
 		claim := s.pending[grant]
-		s.nodes[claim.node].shard.Cancel(s.now, claim.request)
+		s.vms[claim.vmIndex].shard.Cancel(s.now, claim.request)
 		s.recordDecision(claim, dedup.Decision{Verdict: dedup.Unavailable})
 		return
 	}
@@ -271,9 +271,9 @@
 	return grants
 }
 
-// stepNode runs one step of a node.
-func (s *sim) stepNode(step, i int) {
-	n := s.nodes[i]
+// stepVM runs one step of a VM.
+func (s *sim) stepVM(step, i int) {
+	n := s.vms[i]
 	if n.pausedUntil > step {
 		return
 	}
@@ -293,20 +293,20 @@
 }
 
 // sendUpdate sends one update with a randomly chosen result.
-func (s *sim) sendUpdate(step int, n *node) {
+func (s *sim) sendUpdate(step int, n *vm) {
 	b := n.shard.NextBatch(s.now)
 	if s.variant == unconditionalWrite {
 		b.IfVersion = s.store.version
 	}
 	if s.variant == grantBeforeCommit {
 		for _, grant := range s.pendingGrants() {
-			if claim := s.pending[grant]; s.nodes[claim.node] == n && batchContains(b, claim) {
+			if claim := s.pending[grant]; s.vms[claim.vmIndex] == n && batchContains(b, claim) {
 				s.recordDecision(claim, dedup.Decision{Verdict: dedup.Granted, GrantID: grant})
 			}
 		}
 	}
 	switch s.rng.IntN(10) {
-	case 0: // no effect, and the node receives the error
+	case 0: // no effect, and the VM receives the error
 		n.shard.BatchFailed()
 		s.recordReplies(n.shard.RefuseAll(s.now))
 	case 1: // no effect, and the response is lost
@@ -334,12 +334,12 @@
 	return false
 }
 
-func (s *sim) loseResponse(n *node) {
+func (s *sim) loseResponse(n *vm) {
 	n.shard.Invalidate()
 }
 
-// handleResponse processes the response to a node's update.
-func (s *sim) handleResponse(n *node, won bool, version int) {
+// handleResponse processes the response to a VM's update.
+func (s *sim) handleResponse(n *vm, won bool, version int) {
 	if !won {
 		n.shard.Invalidate()
 		return
--- a/dedup/shard.go
+++ b/dedup/shard.go
@@ -50,7 +50,8 @@
 	segments []wire.ShardSegment
 	recent   []wire.Claim
 	index    map[string]wire.Claim
-	// syncedAt is when the copy was last confirmed to match the platform.
+	// syncedAt is when the cached content was last confirmed to match the
+	// platform.
 	syncedAt time.Time
 
 	waiting  []Request
@@ -92,7 +93,7 @@
 	merge    *Merge
 }
 
-// Loaded reports whether the shard's copy can be used without reloading it.
+// Loaded reports whether the cached content can be used without reloading it.
 func (s *Shard) Loaded() bool { return s.loaded }
 
 // WaitingCount returns the number of requests waiting for a batch.
@@ -101,7 +102,8 @@
 // KeyCount returns the number of keys in memory.
 func (s *Shard) KeyCount() int { return len(s.index) }
 
-// SyncedAt returns when the copy was last confirmed to match the platform.
+// SyncedAt returns when the cached content was last confirmed to match the
+// platform.
 func (s *Shard) SyncedAt() time.Time { return s.syncedAt }
 
 func (s *Shard) maxHeadClaims() int {
@@ -113,7 +115,7 @@
 
 // MissingSegments returns the names of the segments that Load needs in
 // addition to a head. If the head's segments do not extend the loaded ones,
-// the shard discards its copy and needs all segments.
+// the shard discards its cached content and needs all segments.
 func (s *Shard) MissingSegments(head wire.ShardHead) []string {
 	// Another VM may have removed the oldest segments after all of their claims
 	// expired.
@@ -131,7 +133,7 @@
 	return names
 }
 
-// Load replaces the shard's copy with the platform's content: the head at a
+// Load replaces the cached content with that of the platform: the head at a
 // version, its unpacked recent claims and the segments named by
 // MissingSegments. It returns the replies to requests that this content
 // decides.
