--- a/admit/gate.go
+++ b/admit/gate.go
@@ -174,12 +174,12 @@
 	if atRank == nil {
 		return QueueFull, nil
 	}
-	added := 0.0
+	addedLength := 0.0
 	if lowest == t.Rank() {
-		added = 1 / float64(t.Weight)
+		addedLength = 1 / float64(t.Weight)
 	}
-	caller, length := longestQueue(atRank, t.Caller, added)
-	if lowest == t.Rank() && !evictedBefore(caller, length, t.Caller, weightedLengthOf(atRank, t.Caller)+added) {
+	caller, length := longestQueue(atRank, t.Caller, addedLength)
+	if lowest == t.Rank() && !evictedBefore(caller, length, t.Caller, weightedLengthOf(atRank, t.Caller)+addedLength) {
 		return QueueFull, nil
 	}
 	q := atRank.queues[caller]
@@ -205,14 +205,15 @@
 	return a > b
 }
 
-// longestQueue returns the caller with the longest queue relative to its
-// weight. The arriving caller's queue includes its new ticket.
-func longestQueue(atRank *rankQueues, arriving string, added float64) (string, float64) {
+// longestQueue returns the caller with the longest queue relative to its weight,
+// and that length. The arriving caller's queue counts addedLength for its new
+// ticket.
+func longestQueue(atRank *rankQueues, arriving string, addedLength float64) (string, float64) {
 	caller, length := "", -1.0
 	for name, q := range atRank.queues {
 		candidateLength := q.weightedLength()
 		if name == arriving {
-			candidateLength += added
+			candidateLength += addedLength
 		}
 		if length < 0 || evictedBefore(name, candidateLength, caller, length) {
 			caller, length = name, candidateLength
@@ -323,12 +324,12 @@
 	return best
 }
 
-// servedBefore orders the first tickets of two callers: the lower start tag
-// first.
+// servedBefore reports whether ticket a is served before ticket b of another
+// caller: the lower start tag is served first.
 func (g *Gate) servedBefore(a, b Ticket) bool {
-	ta, tb := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
-	if ta != tb {
-		return ta < tb
+	tagA, tagB := max(g.finishTags[a.Caller], g.virtualTime), max(g.finishTags[b.Caller], g.virtualTime)
+	if tagA != tagB {
+		return tagA < tagB
 	}
 	return a.Compare(b) < 0
 }
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -40,17 +40,17 @@
 				ticket.Target = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "target")) * time.Second)
 				ticket.Deadline = ticket.Target.Add(20 * time.Second)
 				v, evicted := g.Arrive(now, ticket)
-				nv, nevicted := n.Arrive(now, ticket)
-				require.Equal(t, nv, v)
-				require.Equal(t, nevicted, evicted)
+				naiveVerdict, naiveEvicted := n.Arrive(now, ticket)
+				require.Equal(t, naiveVerdict, v)
+				require.Equal(t, naiveEvicted, evicted)
 			},
 			"finish": func(t *rapid.T) {
 				if n.Running() == 0 {
 					t.Skip("no request is running")
 				}
-				took := time.Duration(rapid.IntRange(1, 5000).Draw(t, "took")) * time.Millisecond
-				now = now.Add(took / 4)
-				require.Equal(t, n.Finish(took), g.Finish(took))
+				serviceTime := time.Duration(rapid.IntRange(1, 5000).Draw(t, "took")) * time.Millisecond
+				now = now.Add(serviceTime / 4)
+				require.Equal(t, n.Finish(serviceTime), g.Finish(serviceTime))
 			},
 			"expire": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -11,8 +11,8 @@
 
 // TestShareSumBounded checks the sum of all VMs' shares. When every VM has the
 // demand of all others, the limit may be exceeded only by one request per VM,
-// where the limit is smaller than the fleet. When no VM has any
-// peer's demand, the limit may be exceeded at most twofold.
+// where the limit is smaller than the fleet. When no VM has any peer's demand,
+// the limit may be exceeded at most twofold.
 func TestShareSumBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.IntRange(1, 20).Draw(t, "vms")
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -103,19 +103,19 @@
 )
 
 // Observe records an arrival.
-func (d *ArrivalRate) Observe(now time.Time) {
-	d.perSecond = d.PerSecond(now) + 1/rateTimeConstant.Seconds()
-	d.updatedAt = now
+func (r *ArrivalRate) Observe(now time.Time) {
+	r.perSecond = r.PerSecond(now) + 1/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
 // PerSecond returns the current rate in arrivals per second.
-func (d *ArrivalRate) PerSecond(now time.Time) float64 {
-	return d.perSecond * math.Exp(-now.Sub(d.updatedAt).Seconds()/rateTimeConstant.Seconds())
+func (r *ArrivalRate) PerSecond(now time.Time) float64 {
+	return r.perSecond * math.Exp(-now.Sub(r.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
 
 // FreeCapacity returns the fraction of the capacity that new arrivals leave
 // free.
-func (d *ArrivalRate) FreeCapacity(now time.Time, service time.Duration, concurrency int) float64 {
-	load := d.PerSecond(now) * service.Seconds() / float64(max(concurrency, 1))
+func (r *ArrivalRate) FreeCapacity(now time.Time, service time.Duration, concurrency int) float64 {
+	load := r.PerSecond(now) * service.Seconds() / float64(max(concurrency, 1))
 	return max(1-load, minFreeCapacity)
 }
