--- a/entry/admission.go
+++ b/entry/admission.go
@@ -29,7 +29,7 @@
 	// given the VM's own demand.
 	concurrencyShare func(p hibiscuscart.Profile, own int) int
 	// freeSlots returns how many more requests for a model this VM may send to
-	// the servers that hold it, and whether that number is known.
+	// the servers that have loaded it, and whether that number is known.
 	freeSlots func(p hibiscuscart.Profile, model string) (int, bool)
 
 	mu      sync.Mutex
@@ -143,9 +143,9 @@
 }
 
 // setLimits bounds the requests in progress by the VM's share of the profile's
-// limit and by the free capacity of the servers that hold the model. A request
-// that waits in this queue can still be refused in time or sent to another
-// server; one that waits at a server can not.
+// limit and by the free slots of the servers that have loaded the model. A
+// request that waits in this queue can still be refused in time or sent to
+// another server; one that waits at a server can not.
 func (s *admissionStage) setLimits(q *admissionQueue) {
 	concurrency := s.concurrencyShare(q.profile, q.Running()+q.Waiting()+1)
 	if free, known := s.freeSlots(q.profile, q.model); known {
--- a/entry/claimer.go
+++ b/entry/claimer.go
@@ -117,19 +117,19 @@
 	_, _ = c.d.peers.callClaim(ctx, owner, newClaimCall(wire.ClaimCallOperationRelease, r, ""))
 }
 
-// finish records the result of a granted request.
-func (c *claimer) finish(ctx context.Context, _ time.Time, r dedup.Request, _ dedup.Decision, state wire.ClaimState, answer string) error {
+// finish records the outcome of a granted request.
+func (c *claimer) finish(ctx context.Context, _ time.Time, r dedup.Request, _ dedup.Decision, state wire.ClaimState, response string) error {
 	shard := c.shardOf(r.StoredKey())
 	operation := wire.ClaimCallOperationDone
 	if state == wire.ClaimStateUnknown {
 		operation = wire.ClaimCallOperationUnknown
 	}
 	if owner := c.owner(shard); owner != c.d.config.Name {
-		if _, err := c.d.peers.callClaim(ctx, owner, newClaimCall(operation, r, answer)); err == nil {
+		if _, err := c.d.peers.callClaim(ctx, owner, newClaimCall(operation, r, response)); err == nil {
 			return nil
 		}
 	}
-	return c.runner(shard).RecordOutcome(ctx, r, state, answer)
+	return c.runner(shard).RecordOutcome(ctx, r, state, response)
 }
 
 // release withdraws the claim of a request that was not sent.
@@ -171,9 +171,9 @@
 	return reply
 }
 
-func newClaimCall(operation wire.ClaimCallOperation, r dedup.Request, answer string) *wire.ClaimCall {
+func newClaimCall(operation wire.ClaimCallOperation, r dedup.Request, response string) *wire.ClaimCall {
 	return &wire.ClaimCall{
-		Operation: operation, Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.GrantID, Answer: answer,
+		Operation: operation, Key: r.StoredKey(), BodyHash: r.BodyHash, Grant: r.GrantID, Answer: response,
 		BusyMs: int(r.InProgressTimeout.Milliseconds()), RetainMs: int(r.Retention.Milliseconds()),
 	}
 }
@@ -224,9 +224,9 @@
 func (c *pendingCalls) linkClosed(conn *link.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for callID, w := range c.pending {
-		if w.conn == conn {
-			w.reply <- nil
+	for callID, call := range c.pending {
+		if call.conn == conn {
+			call.reply <- nil
 			delete(c.pending, callID)
 		}
 	}
@@ -241,8 +241,8 @@
 func (c *pendingCalls) deliver(r *wire.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w, ok := c.pending[r.Call]; ok {
-		w.reply <- r
+	if call, ok := c.pending[r.Call]; ok {
+		call.reply <- r
 		delete(c.pending, r.Call)
 	}
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -19,12 +19,12 @@
 	// maxStoredResponseBytes bounds the responses that are stored with their
 	// claims.
 	maxStoredResponseBytes = 8 << 10
-	// resultTimeout bounds the recording of the result of a granted request.
-	resultTimeout = 10 * time.Second
+	// outcomeTimeout bounds the recording of the outcome of a granted request.
+	outcomeTimeout = 10 * time.Second
 )
 
-// Claims holds the functions that make and settle claims of idempotency keys;
-// see dedup.
+// Claims holds the functions that make claims of idempotency keys and record
+// their outcomes; see dedup.
 type Claims struct {
 	Claim   func(ctx context.Context, now time.Time, r dedup.Request) (dedup.Decision, error)
 	Finish  func(ctx context.Context, now time.Time, r dedup.Request, d dedup.Decision, state wire.ClaimState, answer string) error
@@ -37,8 +37,8 @@
 	now    func() time.Time
 	log    zerolog.Logger
 	meter  *meter.Registry
-	// pendingResults counts the claims whose results are being recorded.
-	pendingResults sync.WaitGroup
+	// pendingOutcomes counts the claims whose outcomes are being recorded.
+	pendingOutcomes sync.WaitGroup
 }
 
 func (s *claimStage) run(ctx context.Context, x *Exchange, next Next) error {
@@ -58,8 +58,8 @@
 	defer cancel()
 	r.GrantID = d.GrantID
 	err = next(ctx, x)
-	s.pendingResults.Add(1)
-	go s.recordResult(x, r, d, err)
+	s.pendingOutcomes.Add(1)
+	go s.recordOutcome(x, r, d, err)
 	return err
 }
 
@@ -81,7 +81,8 @@
 	return d, err
 }
 
-// refuse answers a request whose claim was not granted.
+// refuse ends a request whose claim was not granted, with the stored response of
+// an earlier request or with a failure.
 func (s *claimStage) refuse(x *Exchange, d dedup.Decision, err error) error {
 	switch d.Verdict {
 	case dedup.InProgress:
@@ -105,29 +106,29 @@
 // replay returns the stored response of a request that has run, or a failure
 // when the response was not stored.
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
-	var a hibiscuscart.Answer
-	if d.Response == "" || json.Unmarshal([]byte(d.Response), &a) != nil {
+	var response hibiscuscart.Answer
+	if d.Response == "" || json.Unmarshal([]byte(d.Response), &response) != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseAlreadyRan, "the request with this key already ran; its answer is not kept").WithField(HeaderIdempotencyKey)
 	}
 	x.replayed = true
-	x.response = a
+	x.response = response
 	if x.sink.WriteText != nil {
-		if err := x.sink.WriteText(a.Text); err != nil {
+		if err := x.sink.WriteText(response.Text); err != nil {
 			return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller went away").WithError(err)
 		}
 	}
-	if err := x.sink.WriteResponse(a); err != nil {
+	if err := x.sink.WriteResponse(response); err != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseCanceledAfterSend, "the caller went away").WithError(err)
 	}
 	return nil
 }
 
-// recordResult records the result of a granted request. When that fails, the
+// recordOutcome records the outcome of a granted request. When that fails, the
 // claim stays granted and later reads as unknown, so the request is never run
 // again.
-func (s *claimStage) recordResult(x *Exchange, r dedup.Request, d dedup.Decision, runErr error) {
-	defer s.pendingResults.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), resultTimeout)
+func (s *claimStage) recordOutcome(x *Exchange, r dedup.Request, d dedup.Decision, runErr error) {
+	defer s.pendingOutcomes.Done()
+	ctx, cancel := context.WithTimeout(context.Background(), outcomeTimeout)
 	defer cancel()
 	var err error
 	switch {
@@ -140,7 +141,7 @@
 	}
 	if err != nil {
 		s.meter.AddCounter("claim.not_settled", 1)
-		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("failed to record claim result")
+		s.log.Warn().Err(err).Str("request", x.request.ID).Msg("failed to record claim outcome")
 	}
 }
 
@@ -152,11 +153,11 @@
 	return string(data)
 }
 
-// waitForResults returns when all claim results are recorded, or when ctx ends.
-func (s *claimStage) waitForResults(ctx context.Context) {
+// waitForOutcomes returns when all claim outcomes are recorded, or when ctx ends.
+func (s *claimStage) waitForOutcomes(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.pendingResults.Wait()
+		s.pendingOutcomes.Wait()
 		close(done)
 	}()
 	select {
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -18,13 +18,13 @@
 )
 
 // callOnce sends a once-only call to a VM and returns its outcome, or "" when
-// the VM did not answer.
-func callOnce(w *demo.Deployment, vm, id string) string {
-	d := w.VMs()[vm]
-	if d == nil {
+// the VM did not respond.
+func callOnce(deployment *demo.Deployment, vm, id string) string {
+	daemon := deployment.VMs()[vm]
+	if daemon == nil {
 		return ""
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+d.Address()+"/services/desk/loans", strings.NewReader(loanCall(id)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+daemon.Address()+"/services/desk/loans", strings.NewReader(loanCall(id)))
 	if err != nil {
 		return ""
 	}
@@ -39,14 +39,14 @@
 
 // repeatCalls sends a call for each of many keys repeatedly, through random
 // VMs, until its outcome is "done", and records every outcome.
-func repeatCalls(w *demo.Deployment, keys int, vms []string, record func(id, outcome string)) *sync.WaitGroup {
+func repeatCalls(deployment *demo.Deployment, keys int, vms []string, record func(id, outcome string)) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range keys {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(i), 1))
 			id := fmt.Sprint("once", i)
 			for range 40 {
-				outcome := callOnce(w, vms[rng.IntN(len(vms))], id)
+				outcome := callOnce(deployment, vms[rng.IntN(len(vms))], id)
 				record(id, outcome)
 				if outcome == "done" {
 					return
@@ -63,11 +63,11 @@
 // crashes. No call may run twice, and no call whose only outcome was "not_run"
 // may have run.
 func TestClaimsUnderFaults(t *testing.T) {
-	w := startDeployment(t, nil)
+	deployment := startDeployment(t, nil)
 	const keys = 60
 	var mu sync.Mutex
 	outcomes := make(map[string]map[string]bool)
-	wg := repeatCalls(w, keys, []string{"one-1", "two-1"}, func(id, outcome string) {
+	wg := repeatCalls(deployment, keys, []string{"one-1", "two-1"}, func(id, outcome string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if outcomes[id] == nil {
@@ -75,17 +75,17 @@
 		}
 		outcomes[id][outcome] = true
 	})
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.3})
+	deployment.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.3})
 	time.Sleep(300 * time.Millisecond)
-	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
+	deployment.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	time.Sleep(500 * time.Millisecond)
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.1})
-	w.KillVM("two-1")
+	deployment.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.1})
+	deployment.KillVM("two-1")
 	wg.Wait()
 	done := 0
 	for i := range keys {
 		id := fmt.Sprint("once", i)
-		runs := w.Runs.Count(id)
+		runs := deployment.Runs.Count(id)
 		require.LessOrEqual(t, runs, 1, id)
 		seen := outcomes[id]
 		if seen["done"] {
@@ -103,31 +103,31 @@
 // sends the request. No other VM can determine which: the key is "in progress"
 // and then "unknown" to every caller, and never runs again.
 func TestGatewayCrashAfterGrant(t *testing.T) {
-	w := startDeployment(t, nil)
-	desk := w.Service("desk-1")
+	deployment := startDeployment(t, nil)
+	desk := deployment.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{Hang: true})
-	go callOnce(w, "one-1", "orphan")
-	require.Eventually(t, func() bool { return w.Runs.Count("orphan") == 1 }, testTimeout, 5*time.Millisecond)
-	w.KillVM("one-1")
+	go callOnce(deployment, "one-1", "orphan")
+	require.Eventually(t, func() bool { return deployment.Runs.Count("orphan") == 1 }, testTimeout, 5*time.Millisecond)
+	deployment.KillVM("one-1")
 	desk.SetFaults(stand.ServiceFaults{})
-	first := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
+	first := post(t, deployment, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	time.Sleep(3500 * time.Millisecond) // the longest time a call of this profile can be in progress
-	r := post(t, w, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
+	r := post(t, deployment, "two-1", "/services/desk/loans", loanCall("orphan"), entry.HeaderIdempotencyKey, "key-orphan")
 	require.Equal(t, "claim_unknown", r.problem.Title, r.body)
-	require.Equal(t, 1, w.Runs.Count("orphan"))
+	require.Equal(t, 1, deployment.Runs.Count("orphan"))
 }
 
 // A VM is killed during its graceful stop, with calls in progress. Their
 // callers lose the connection. Calls that had been sent stay "unknown" and do
 // not run again, and the other VM continues to serve.
 func TestKillDuringShutdown(t *testing.T) {
-	w := startDeployment(t, nil)
-	desk := w.Service("desk-1")
+	deployment := startDeployment(t, nil)
+	desk := deployment.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{Hang: true})
-	stopping := w.VMs()["one-1"]
+	stopping := deployment.VMs()["one-1"]
 	for i := range 5 {
-		go callOnce(w, "one-1", fmt.Sprint("shutdown", i))
+		go callOnce(deployment, "one-1", fmt.Sprint("shutdown", i))
 	}
 	require.Eventually(t, func() bool { return desk.Calls() == 5 }, testTimeout, 5*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -139,7 +139,7 @@
 		_ = stopping.Stop(ctx)
 	}()
 	require.Eventually(t, func() bool { return !stopping.Ready() }, testTimeout, time.Millisecond)
-	w.KillVM("one-1")
+	deployment.KillVM("one-1")
 	select {
 	case <-stopped:
 	case <-ctx.Done():
@@ -148,8 +148,8 @@
 	desk.SetFaults(stand.ServiceFaults{})
 	for i := range 5 {
 		id := fmt.Sprint("shutdown", i)
-		require.Equal(t, "unknown", callOnce(w, "two-1", id), id)
-		require.Equal(t, 1, w.Runs.Count(id), id)
+		require.Equal(t, "unknown", callOnce(deployment, "two-1", id), id)
+		require.Equal(t, 1, deployment.Runs.Count(id), id)
 	}
-	require.Equal(t, "done", callOnce(w, "two-1", "after"))
+	require.Equal(t, "done", callOnce(deployment, "two-1", "after"))
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -57,23 +57,23 @@
 // starts by reading all objects again and by writing every ledger, which fences
 // off the previous controller.
 type term struct {
-	ledgers    map[string]*ctrl.Reconciler
-	keepers    ctrl.ReplicaPins
-	budget     ctrl.Budget
-	newOrderID func() string
-	// keepersLoaded and budgetLoaded are set while keepers and budget match the
+	reconcilers map[string]*ctrl.Reconciler
+	replicaPins ctrl.ReplicaPins
+	budget      ctrl.Budget
+	newOrderID  func() string
+	// pinsLoaded and budgetLoaded are set while replicaPins and budget match the
 	// objects in the platform.
-	keepersLoaded, budgetLoaded bool
+	pinsLoaded, budgetLoaded bool
 }
 
 func (c *controller) newTerm() *term {
 	id := uuid.NewString()
 	domain := c.d.config.FailureDomain
 	return &term{
-		ledgers:    make(map[string]*ctrl.Reconciler),
-		keepers:    ctrl.ReplicaPins{FailureDomain: domain, Controller: id},
-		budget:     ctrl.Budget{FailureDomain: domain, ModelLimit: c.d.config.MaxModelLoads, AdapterLimit: c.d.config.MaxAdapterLoads},
-		newOrderID: ctrl.NewOrderIDGenerator(id),
+		reconcilers: make(map[string]*ctrl.Reconciler),
+		replicaPins: ctrl.ReplicaPins{FailureDomain: domain, Controller: id},
+		budget:      ctrl.Budget{FailureDomain: domain, ModelLimit: c.d.config.MaxModelLoads, AdapterLimit: c.d.config.MaxAdapterLoads},
+		newOrderID:  ctrl.NewOrderIDGenerator(id),
 	}
 }
 
@@ -119,25 +119,25 @@
 // reconcile runs one control cycle: read the ledgers, plan, record intents,
 // send orders.
 func (c *controller) reconcile(ctx context.Context) error {
-	ledgers, err := c.loadLedgers(ctx)
+	reconcilers, err := c.loadReconcilers(ctx)
 	if err != nil {
 		return err
 	}
-	result := c.plan(ledgers)
-	if err := c.updateKeepers(ctx, ledgers, result); err != nil {
+	result := c.plan(reconcilers)
+	if err := c.updateReplicaPins(ctx, reconcilers, result); err != nil {
 		return err
 	}
-	allowance, err := c.allocateBudget(ctx, ledgers, result)
+	quota, err := c.allocateBudget(ctx, reconcilers, result)
 	if err != nil {
 		return err
 	}
-	return c.applyPlan(ctx, ledgers, result, allowance)
+	return c.applyPlan(ctx, reconcilers, result, quota)
 }
 
-// loadLedgers returns the domain's servers that are alive, with their ledgers
-// read.
-func (c *controller) loadLedgers(ctx context.Context) ([]*ctrl.Reconciler, error) {
-	var ledgers []*ctrl.Reconciler
+// loadReconcilers returns the reconcilers of the domain's servers that are
+// alive, with their ledgers read.
+func (c *controller) loadReconcilers(ctx context.Context) ([]*ctrl.Reconciler, error) {
+	var reconcilers []*ctrl.Reconciler
 	now := c.d.now()
 	for _, server := range c.d.fleet.Servers() {
 		if server.Backend != wire.ServerBackendEngine || server.FailureDomain != c.d.config.FailureDomain {
@@ -146,20 +146,20 @@
 		if _, at := c.d.fleet.Report(server.Name); at.IsZero() || now.Sub(at) > maxReportAge {
 			continue
 		}
-		ledger := c.term.ledgers[server.Name]
-		if ledger == nil {
-			ledger = &ctrl.Reconciler{MaxReportAge: maxReportAge}
-			c.term.ledgers[server.Name] = ledger
+		reconciler := c.term.reconcilers[server.Name]
+		if reconciler == nil {
+			reconciler = &ctrl.Reconciler{MaxReportAge: maxReportAge}
+			c.term.reconcilers[server.Name] = reconciler
 		}
-		ledger.Server, ledger.MaxOrderDelay = server, maxOrderDelay(server)
-		if ledger.FencingToken() == 0 {
-			if err := c.loadLedger(ctx, ledger); err != nil {
+		reconciler.Server, reconciler.MaxOrderDelay = server, maxOrderDelay(server)
+		if reconciler.FencingToken() == 0 {
+			if err := c.loadLedger(ctx, reconciler); err != nil {
 				return nil, err
 			}
 		}
-		ledgers = append(ledgers, ledger)
+		reconcilers = append(reconcilers, reconciler)
 	}
-	return ledgers, nil
+	return reconcilers, nil
 }
 
 func maxOrderDelay(server wire.Server) time.Duration {
@@ -227,13 +227,13 @@
 }
 
 // loadLedger reads a server's ledger.
-func (c *controller) loadLedger(ctx context.Context, b *ctrl.Reconciler) error {
+func (c *controller) loadLedger(ctx context.Context, r *ctrl.Reconciler) error {
 	var l wire.Ledger
-	version, err := c.readObject(ctx, kindLedger, b.Server.Name, &l)
+	version, err := c.readObject(ctx, kindLedger, r.Server.Name, &l)
 	if err != nil {
 		return fmt.Errorf("read ledger: %w", err)
 	}
-	b.Reset(version, l)
+	r.Reset(version, l)
 	return nil
 }
 
@@ -255,15 +255,15 @@
 
 // applyPlan records the intents that follow from the plan and sends the orders.
 // The intents are computed for one server after the other, as they share the
-// allowance. The calls are made concurrently.
-func (c *controller) applyPlan(ctx context.Context, ledgers []*ctrl.Reconciler, result planResult, allowance *ctrl.LoadQuota) error {
+// quota. The calls are made concurrently.
+func (c *controller) applyPlan(ctx context.Context, reconcilers []*ctrl.Reconciler, result planResult, quota *ctrl.LoadQuota) error {
 	var calls sync.WaitGroup
-	errs := make(chan error, len(ledgers))
-	for _, b := range ledgers {
-		report, _ := c.d.fleet.Report(b.Server.Name)
-		wanted := result.Artifacts(result.models, b.Server.Name)
-		next, changed := b.Reconcile(c.d.now(), report, wanted, c.mayRemove(b, result), allowance, c.term.newOrderID)
-		calls.Go(func() { errs <- c.updateServer(ctx, b, next, changed) })
+	errs := make(chan error, len(reconcilers))
+	for _, r := range reconcilers {
+		report, _ := c.d.fleet.Report(r.Server.Name)
+		wanted := result.Artifacts(result.models, r.Server.Name)
+		next, changed := r.Reconcile(c.d.now(), report, wanted, c.mayRemove(r, result), quota, c.term.newOrderID)
+		calls.Go(func() { errs <- c.updateServer(ctx, r, next, changed) })
 	}
 	calls.Wait()
 	close(errs)
@@ -274,34 +274,34 @@
 	return errors.Join(all...)
 }
 
-func (c *controller) updateServer(ctx context.Context, b *ctrl.Reconciler, next wire.Ledger, changed bool) error {
+func (c *controller) updateServer(ctx context.Context, r *ctrl.Reconciler, next wire.Ledger, changed bool) error {
 	if changed {
-		version, err := c.d.store.Put(ctx, kindLedger, b.Server.Name, b.Version(), next)
+		version, err := c.d.store.Put(ctx, kindLedger, r.Server.Name, r.Version(), next)
 		if err != nil {
 			// The update may have failed, or only its response may have been
 			// lost. The ledger is read again before anything else is ordered.
-			b.Reset(0, wire.Ledger{})
-			return fmt.Errorf("write ledger of %s: %w", b.Server.Name, err)
+			r.Reset(0, wire.Ledger{})
+			return fmt.Errorf("write ledger of %s: %w", r.Server.Name, err)
 		}
-		b.Committed(version)
+		r.Committed(version)
 	}
-	return c.sendOrders(ctx, b)
+	return c.sendOrders(ctx, r)
 }
 
 // sendOrders sends the due orders of a server.
-func (c *controller) sendOrders(ctx context.Context, b *ctrl.Reconciler) error {
-	for _, order := range b.DueOrders(c.d.now()) {
-		// For servers that ignore fencing numbers, this check alone stops
+func (c *controller) sendOrders(ctx context.Context, r *ctrl.Reconciler) error {
+	for _, order := range r.DueOrders(c.d.now()) {
+		// For servers that ignore fencing tokens, this check alone stops
 		// orders of a former controller. It misses a pause right after the
 		// check, which must be shorter than the maximum order delay that the
 		// next controller waits for.
 		if !c.leaseKeeper.Held(c.d.now()) {
 			return nil
 		}
-		err := c.order(ctx, b, order)
-		var oldFence *engine.StaleFenceError
-		if errors.As(err, &oldFence) {
-			b.Reset(0, wire.Ledger{})
+		err := c.order(ctx, r, order)
+		var staleTokenErr *engine.StaleFenceError
+		if errors.As(err, &staleTokenErr) {
+			r.Reset(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
 		}
 		if err != nil {
@@ -313,8 +313,8 @@
 	return nil
 }
 
-func (c *controller) order(ctx context.Context, b *ctrl.Reconciler, order wire.Order) error {
+func (c *controller) order(ctx context.Context, r *ctrl.Reconciler, order wire.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return c.d.engines.Order(ctx, b.Server.Address, order, b.FencingToken())
+	return c.d.engines.Order(ctx, r.Server.Address, order, r.FencingToken())
 }
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -54,7 +54,7 @@
 	activeConfig *activeConfig
 	baseCtx      context.Context
 	fleet        *fleet.View
-	modelLoads   *modelLoads
+	offeredLoads *offeredLoads
 	admission    *admissionStage
 	claims       *claimStage
 	claimer      *claimer
@@ -94,7 +94,7 @@
 		log:     c.Log.With().Str("node", c.Name).Str("failure_domain", c.FailureDomain).Logger(),
 		store:   &store.Client{BaseURL: c.PlatformURL, Key: c.PlatformKey, VMName: c.Name, Timeout: c.PlatformTimeout, HTTP: c.PlatformHTTP},
 		engines: &engine.Client{HTTP: c.BackendHTTP}, plain: &plain.Client{HTTP: c.BackendHTTP, MaxResponseBytes: c.Limits.ResponseBytes},
-		profiles: &profs.View{}, fleet: &fleet.View{}, modelLoads: &modelLoads{},
+		profiles: &profs.View{}, fleet: &fleet.View{}, offeredLoads: &offeredLoads{},
 	}
 	d.activeConfig = &activeConfig{profiles: d.profiles}
 	d.baseCtx = context.Background()
@@ -118,7 +118,7 @@
 // newPipeline joins the stages that handle a request.
 func (d *Daemon) newPipeline() Next {
 	account := &accountingStage{now: d.now, log: d.log, meter: d.meter}
-	profile := &profileStage{view: d.profiles, modelLoads: d.modelLoads}
+	profile := &profileStage{view: d.profiles, offeredLoads: d.offeredLoads}
 	policy := route.Policy{Domain: d.config.FailureDomain}
 	rng := rand.New(rand.NewPCG(d.config.RandomSeed, 1))
 	relay := &relayStage{
@@ -127,7 +127,7 @@
 			return policy.Choose(rng, c, prefix, tried)
 		},
 		budget: &retry.Budget{RetriesPerRequest: d.config.RetryShare}, backoff: retry.Backoff{Initial: retryInitialBackoff, Max: retryMaxBackoff},
-		engines: d.engines, plain: d.plain, now: d.now, meter: d.meter, modelLoads: d.modelLoads,
+		engines: d.engines, plain: d.plain, now: d.now, meter: d.meter, offeredLoads: d.offeredLoads,
 		rng: rng,
 	}
 	if d.config.Baseline {
@@ -140,8 +140,8 @@
 	return Chain(account.run, profile.run, d.admission.run, d.claims.run, relay.run)
 }
 
-// freeSlots returns this VM's share of the free slots of the servers that hold
-// a model, and whether the number is known.
+// freeSlots returns this VM's share of the free slots of the servers that have
+// loaded a model, and whether the number is known.
 func (d *Daemon) freeSlots(p hibiscuscart.Profile, model string) (int, bool) {
 	if p.IsService() {
 		return 0, false
@@ -254,7 +254,7 @@
 	pause.For(ctx, drainDelay)
 	d.refusing.Store(true)
 	err := d.callerServer.Shutdown(ctx)
-	d.claims.waitForResults(ctx)
+	d.claims.waitForOutcomes(ctx)
 	d.cancel()
 	d.Kill()
 	d.jobs.Wait()
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -40,13 +40,13 @@
 // stream, WriteResponse once at the end.
 type Sink struct {
 	WriteText     func(text string) error
-	WriteResponse func(a hibiscuscart.Answer) error
+	WriteResponse func(r hibiscuscart.Answer) error
 }
 
 // discardErrors returns a Sink that ignores failed writes to the caller.
 func (s Sink) discardErrors() Sink {
-	sink := Sink{WriteResponse: func(a hibiscuscart.Answer) error {
-		_ = s.WriteResponse(a)
+	sink := Sink{WriteResponse: func(r hibiscuscart.Answer) error {
+		_ = s.WriteResponse(r)
 		return nil
 	}}
 	if s.WriteText != nil {
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -20,10 +20,10 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-func engines(w *demo.Deployment) []*stand.Engine {
+func engines(deployment *demo.Deployment) []*stand.Engine {
 	var all []*stand.Engine
-	for _, s := range w.Servers() {
-		if e := w.Engine(s.Name); e != nil {
+	for _, s := range deployment.Servers() {
+		if e := deployment.Engine(s.Name); e != nil {
 			all = append(all, e)
 		}
 	}
@@ -34,76 +34,76 @@
 // including the end frame. The gateway resumes the run on its engine: the
 // caller gets each token once and the request runs once.
 func TestStreamCutAtEachFrame(t *testing.T) {
-	w := startDeployment(t, nil)
+	deployment := startDeployment(t, nil)
 	const tokens = 8
 	id := func(cut int) string { return fmt.Sprint("cut", cut) }
 	for cut := 1; cut <= tokens+1; cut++ {
 		var done atomic.Bool
-		for _, e := range engines(w) {
+		for _, e := range engines(deployment) {
 			e.DisconnectBefore = func(_ string, sequence int) bool { return sequence == cut && done.CompareAndSwap(false, true) }
 		}
 		body := strings.Replace(completion("issue/n", id(cut), tokens), "{", `{"stream":true,`, 1)
-		r := post(t, w, "one-1", "/v1/completions", body, entry.HeaderIdempotencyKey, id(cut))
-		text, whole := r.streamText()
-		require.True(t, whole, r.body)
+		r := post(t, deployment, "one-1", "/v1/completions", body, entry.HeaderIdempotencyKey, id(cut))
+		text, complete := r.streamText()
+		require.True(t, complete, r.body)
 		require.Equal(t, expectedText("n", id(cut), tokens), text)
-		require.Equal(t, 1, w.Runs.Count(id(cut)))
+		require.Equal(t, 1, deployment.Runs.Count(id(cut)))
 	}
 }
 
 // Frames of other attempts and repeated frames arrive among the frames of an
 // attempt. The caller must get only its own response, once.
 func TestForeignAndRepeatedFrames(t *testing.T) {
-	w := startDeployment(t, nil)
-	for _, e := range engines(w) {
+	deployment := startDeployment(t, nil)
+	for _, e := range engines(deployment) {
 		e.SetFaults(stand.EngineFaults{ForeignFrameShare: 0.5, DuplicateShare: 0.5})
 	}
 	for i := range 20 {
 		id := fmt.Sprint("crossed", i)
-		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", id, 16))
+		r := post(t, deployment, "one-1", "/v1/completions", completion("draft/m", id, 16))
 		require.Equal(t, expectedText("m", id, 16), r.text(t))
 	}
-	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_foreign"))
-	require.Positive(t, w.VMs()["one-1"].Metrics().CounterValue("relay.frames_repeated"))
+	require.Positive(t, deployment.VMs()["one-1"].Metrics().CounterValue("relay.frames_foreign"))
+	require.Positive(t, deployment.VMs()["one-1"].Metrics().CounterValue("relay.frames_repeated"))
 }
 
 // The server that runs an idempotent request crashes in the middle of the
 // stream. The run can not be resumed. It starts again on another server,
 // transparently: the caller gets each token once.
 func TestServerCrashInStream(t *testing.T) {
-	w := startDeployment(t, nil)
-	waitReplicas(t, w, "m", 2)
+	deployment := startDeployment(t, nil)
+	waitReplicas(t, deployment, "m", 2)
 	const tokens = 200
 	var killed atomic.Bool
-	for _, s := range w.Servers() {
-		if e := w.Engine(s.Name); e != nil {
+	for _, s := range deployment.Servers() {
+		if e := deployment.Engine(s.Name); e != nil {
 			e.DisconnectBefore = func(_ string, sequence int) bool {
 				if sequence != 3 || !killed.CompareAndSwap(false, true) {
 					return false
 				}
-				w.KillServer(s.Name)
+				deployment.KillServer(s.Name)
 				return true
 			}
 		}
 	}
 	body := strings.Replace(completion("draft/m", "dies", tokens), "{", `{"stream":true,`, 1)
-	r := post(t, w, "one-1", "/v1/completions", body)
-	text, whole := r.streamText()
-	require.True(t, whole, r.body)
+	r := post(t, deployment, "one-1", "/v1/completions", body)
+	text, complete := r.streamText()
+	require.True(t, complete, r.body)
 	require.Equal(t, expectedText("m", "dies", tokens), text)
-	require.Equal(t, 2, w.Runs.Count("dies"))
+	require.Equal(t, 2, deployment.Runs.Count("dies"))
 }
 
-func waitReplicas(t *testing.T, w *demo.Deployment, model string, replicas int) {
+func waitReplicas(t *testing.T, deployment *demo.Deployment, model string, replicas int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		n := 0
-		for _, e := range engines(w) {
+		for _, e := range engines(deployment) {
 			if e.IsLoaded(model, "") {
 				n++
 			}
 		}
-		return n >= replicas && w.Overcommits() == 0
+		return n >= replicas && deployment.Overcommits() == 0
 	}, testTimeout, 20*time.Millisecond)
 	time.Sleep(500 * time.Millisecond) // until the VMs have polled the engines
 }
@@ -112,54 +112,54 @@
 // "unknown", also when it repeats the key, and the call has run once. A retry
 // by the gateway would run it twice.
 func TestLostResponseOfOnceOnlyCall(t *testing.T) {
-	w := startDeployment(t, nil)
-	desk := w.Service("desk-1")
+	deployment := startDeployment(t, nil)
+	desk := deployment.Service("desk-1")
 	desk.SetFaults(stand.ServiceFaults{LostReplyShare: 1})
-	first := post(t, w, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
+	first := post(t, deployment, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
 	for _, vm := range []string{"one-1", "two-1"} {
 		require.Eventually(t, func() bool {
-			again := post(t, w, vm, "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
+			again := post(t, deployment, vm, "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 			return again.problem.Title == "claim_unknown" && again.problem.Outcome == "unknown"
 		}, testTimeout, 20*time.Millisecond)
 	}
-	require.Equal(t, 1, w.Runs.Count("lost"))
+	require.Equal(t, 1, deployment.Runs.Count("lost"))
 }
 
 // A request with a used key gets the stored response, through any VM, and does
 // not run again. The key with another body is an error.
 func TestRepeatedIdempotencyKey(t *testing.T) {
-	w := startDeployment(t, nil)
-	first := post(t, w, "one-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
+	deployment := startDeployment(t, nil)
+	first := post(t, deployment, "one-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, 200, first.status, first.body)
-	var second reply
+	var second response
 	require.Eventually(t, func() bool {
-		second = post(t, w, "two-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
+		second = post(t, deployment, "two-1", "/services/desk/loans", loanCall("rep"), entry.HeaderIdempotencyKey, "k")
 		return second.problem.Title != "claim_in_progress"
 	}, testTimeout, 20*time.Millisecond)
 	require.Equal(t, first.body, second.body)
-	other := post(t, w, "two-1", "/services/desk/loans", loanCall("other"), entry.HeaderIdempotencyKey, "k")
+	other := post(t, deployment, "two-1", "/services/desk/loans", loanCall("other"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, 422, other.status)
 	require.Equal(t, "not_run", other.problem.Outcome)
-	require.Equal(t, 1, w.Runs.Count("rep"))
-	require.Equal(t, 0, w.Runs.Count("other"))
+	require.Equal(t, 1, deployment.Runs.Count("rep"))
+	require.Equal(t, 0, deployment.Runs.Count("other"))
 }
 
 // The store applies the claim and its response is lost. The gateway reads the
 // claim, finds its own grant and sends the request, once.
 func TestLostClaimResponse(t *testing.T) {
-	w := startDeployment(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.5})
+	deployment := startDeployment(t, nil)
+	deployment.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id)
+		r := post(t, deployment, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id)
 		if r.status == 200 {
-			require.Equal(t, 1, w.Runs.Count(id))
+			require.Equal(t, 1, deployment.Runs.Count(id))
 			continue
 		}
 		require.Equal(t, "not_run", r.problem.Outcome, r.body)
-		require.Equal(t, 0, w.Runs.Count(id))
+		require.Equal(t, 0, deployment.Runs.Count(id))
 	}
 }
 
@@ -167,21 +167,21 @@
 // at once with "not_run" and a Retry-After header; other requests are served.
 // After the outage the refused key can be used.
 func TestPlatformOutage(t *testing.T) {
-	w := startDeployment(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
+	deployment := startDeployment(t, nil)
+	deployment.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	for range 3 {
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k")
+		r := post(t, deployment, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k")
 		require.Equal(t, 503, r.status, r.body)
 		require.Equal(t, "not_run", r.problem.Outcome)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 	}
-	served := post(t, w, "one-1", "/v1/completions", completion("draft/m", "away2", 8))
+	served := post(t, deployment, "one-1", "/v1/completions", completion("draft/m", "away2", 8))
 	require.Equal(t, 200, served.status, served.body)
-	w.Platform.SetFaults(stand.PlatformFaults{})
+	deployment.Platform.SetFaults(stand.PlatformFaults{})
 	require.Eventually(t, func() bool {
-		return post(t, w, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k").status == 200
+		return post(t, deployment, "one-1", "/services/desk/loans", loanCall("away"), entry.HeaderIdempotencyKey, "k").status == 200
 	}, testTimeout, 50*time.Millisecond)
-	require.Equal(t, 1, w.Runs.Count("away"))
+	require.Equal(t, 1, deployment.Runs.Count("away"))
 }
 
 // A caller disconnects in the middle of a stream. The gateway cancels the run
@@ -189,10 +189,10 @@
 // continues instead, and its response is returned when the caller repeats the
 // key.
 func TestCallerDisconnect(t *testing.T) {
-	w := startDeployment(t, nil)
+	deployment := startDeployment(t, nil)
 	disconnect := func(body string, headers ...string) {
 		ctx, cancel := context.WithCancel(context.Background())
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.VMs()["one-1"].Address()+"/v1/completions", strings.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+deployment.VMs()["one-1"].Address()+"/v1/completions", strings.NewReader(body))
 		require.NoError(t, err)
 		for i := 0; i+1 < len(headers); i += 2 {
 			req.Header.Set(headers[i], headers[i+1])
@@ -205,7 +205,7 @@
 		_ = resp.Body.Close()
 	}
 	canceled := func() (n int64) {
-		for _, e := range engines(w) {
+		for _, e := range engines(deployment) {
 			n += e.Counts().Canceled
 		}
 		return n
@@ -216,62 +216,62 @@
 	body := strings.Replace(completion("issue/n", "gone-once", 100), "{", `{"stream":true,`, 1)
 	disconnect(body, entry.HeaderIdempotencyKey, "k")
 	require.Eventually(t, func() bool {
-		again := post(t, w, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderIdempotencyKey, "k")
+		again := post(t, deployment, "two-1", "/v1/completions", completion("issue/n", "gone-once", 100), entry.HeaderIdempotencyKey, "k")
 		return again.status == 200 && again.text(t) == expectedText("n", "gone-once", 100)
 	}, testTimeout, 50*time.Millisecond)
-	require.Equal(t, 1, w.Runs.Count("gone-once"))
+	require.Equal(t, 1, deployment.Runs.Count("gone-once"))
 	require.Equal(t, int64(1), canceled())
 }
 
 // A draining server refuses its first request. The request goes to another
 // server, and no further request is sent to the draining one.
 func TestDrainingServer(t *testing.T) {
-	w := startDeployment(t, nil)
-	waitReplicas(t, w, "m", 2)
-	w.Engine("llm-1").SetFaults(stand.EngineFaults{Draining: true})
+	deployment := startDeployment(t, nil)
+	waitReplicas(t, deployment, "m", 2)
+	deployment.Engine("llm-1").SetFaults(stand.EngineFaults{Draining: true})
 	for i := range 20 {
-		r := post(t, w, "one-1", "/v1/completions", completion("draft/m", fmt.Sprint("leave", i), 4))
+		r := post(t, deployment, "one-1", "/v1/completions", completion("draft/m", fmt.Sprint("leave", i), 4))
 		require.Equal(t, 200, r.status, r.body)
 	}
-	require.Zero(t, w.Engine("llm-1").Counts().Started)
-	require.LessOrEqual(t, w.VMs()["one-1"].Metrics().CounterValue("relay.failed.refused"), int64(1))
+	require.Zero(t, deployment.Engine("llm-1").Counts().Started)
+	require.LessOrEqual(t, deployment.VMs()["one-1"].Metrics().CounterValue("relay.failed.refused"), int64(1))
 }
 
 // A VM is stopped while it streams. Every request in progress completes, new
 // ones are refused with "not_run", and then the process ends.
 func TestGracefulStop(t *testing.T) {
-	w := startDeployment(t, nil)
-	address := w.VMs()["one-1"].Address()
+	deployment := startDeployment(t, nil)
+	address := deployment.VMs()["one-1"].Address()
 	const streams = 20
-	results := make(chan reply, streams)
+	results := make(chan response, streams)
 	for i := range streams {
 		go func() {
 			body := strings.Replace(completion("draft/m", fmt.Sprint("stop", i), 300), "{", `{"stream":true,`, 1)
 			resp, err := http.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader(body))
 			if err != nil {
-				results <- reply{body: err.Error()}
+				results <- response{body: err.Error()}
 				return
 			}
 			defer resp.Body.Close()
 			var text strings.Builder
 			_, err = io.Copy(&text, resp.Body)
-			results <- reply{status: resp.StatusCode, body: text.String() + fmt.Sprint(err)}
+			results <- response{status: resp.StatusCode, body: text.String() + fmt.Sprint(err)}
 		}()
 	}
 	require.Eventually(t, func() bool {
 		n := int64(0)
-		for _, e := range engines(w) {
+		for _, e := range engines(deployment) {
 			n += e.Counts().Started
 		}
 		return n == streams
 	}, testTimeout, time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	require.NoError(t, w.StopVM(ctx, "one-1"))
+	require.NoError(t, deployment.StopVM(ctx, "one-1"))
 	for range streams {
 		r := <-results
-		_, whole := r.streamText()
-		require.True(t, whole, r.body)
+		_, complete := r.streamText()
+		require.True(t, complete, r.body)
 	}
 	_, err := http.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader("{}"))
 	require.Error(t, err, "the VM still accepts connections after StopVM")
@@ -281,16 +281,16 @@
 // retired. It gets both changes from its peer, and a delayed copy of the old
 // document does not reactivate the retired profile.
 func TestProfileUpdateThroughPeers(t *testing.T) {
-	w := startDeployment(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{DisconnectedVMs: []string{"two-1"}})
+	deployment := startDeployment(t, nil)
+	deployment.Platform.SetFaults(stand.PlatformFaults{DisconnectedVMs: []string{"two-1"}})
 	docs := smallProfiles()
 	docs[0].MaxTokens = 5
 	docs[1].Retired = true
-	require.NoError(t, w.ApplyProfile(docs[0]))
-	require.NoError(t, w.ApplyProfile(docs[1]))
+	require.NoError(t, deployment.ApplyProfile(docs[0]))
+	require.NoError(t, deployment.ApplyProfile(docs[1]))
 	require.Eventually(t, func() bool {
-		changed := post(t, w, "two-1", "/v1/completions", completion("draft/m", "spread", 8))
-		retired := post(t, w, "two-1", "/v1/completions", completion("issue/n", "spread", 8), entry.HeaderIdempotencyKey, "k")
+		changed := post(t, deployment, "two-1", "/v1/completions", completion("draft/m", "spread", 8))
+		retired := post(t, deployment, "two-1", "/v1/completions", completion("issue/n", "spread", 8), entry.HeaderIdempotencyKey, "k")
 		return changed.status == 400 && retired.status == 410
 	}, testTimeout, 20*time.Millisecond)
 }
@@ -298,12 +298,12 @@
 // Two operators change one profile at the same time. One change is accepted;
 // the other gets a conflict with the current version.
 func TestConcurrentProfileUpdates(t *testing.T) {
-	w := startDeployment(t, nil)
-	obj, ok := w.Platform.Get(profs.ObjectKind, "draft")
+	deployment := startDeployment(t, nil)
+	obj, ok := deployment.Platform.Get(profs.ObjectKind, "draft")
 	require.True(t, ok)
 	doc, err := profs.Parse(obj.Value)
 	require.NoError(t, err)
-	operator := profs.NewOperator(w.StoreClient("operator"))
+	operator := profs.NewOperator(deployment.StoreClient("operator"))
 	errs := make(chan error, 2)
 	for i := range 2 {
 		changed := doc
@@ -324,15 +324,15 @@
 // A profile that does not fit on any server is refused with the required and
 // available sizes.
 func TestOversizedProfile(t *testing.T) {
-	w := startDeployment(t, nil)
-	operator := profs.NewOperator(w.StoreClient("operator"))
-	operator.CheckCapacity = profs.CapacityCheck(w.StoreClient("operator").List)
+	deployment := startDeployment(t, nil)
+	operator := profs.NewOperator(deployment.StoreClient("operator"))
+	operator.CheckCapacity = profs.CapacityCheck(deployment.StoreClient("operator").List)
 	doc := smallProfiles()[0]
 	doc.Models = append(doc.Models, wire.Model{Name: "huge", Version: 1, Bytes: 9 << 30})
 	_, err := operator.Apply(context.Background(), doc, -1)
 	require.ErrorContains(t, err, "huge (9663676416 bytes with its adapters) fits on no server")
 	var stored wire.Profile
-	obj, _ := w.Platform.Get(profs.ObjectKind, "draft")
+	obj, _ := deployment.Platform.Get(profs.ObjectKind, "draft")
 	require.NoError(t, json.Unmarshal(obj.Value, &stored))
 	require.Len(t, stored.Models, 1)
 }
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -13,7 +13,7 @@
 // Every invalid request must get a 4xx status that names the field and the
 // outcome "not_run", and must reach no backend server.
 func TestBadInput(t *testing.T) {
-	w := startDeployment(t, func(c *entry.Config) { c.CallersByKey = map[string]string{"kitchen-key": "kitchen"} })
+	deployment := startDeployment(t, func(c *entry.Config) { c.CallersByKey = map[string]string{"kitchen-key": "kitchen"} })
 	auth := []string{"Authorization", "Bearer kitchen-key"}
 	const plain, chat = "/v1/completions", "/v1/chat/completions"
 	cases := map[string]struct {
@@ -50,24 +50,24 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := post(t, w, "one-1", c.path, c.body, c.headers...)
+			r := post(t, deployment, "one-1", c.path, c.body, c.headers...)
 			require.Equal(t, c.status, r.status, r.body)
 			require.Equal(t, "not_run", r.problem.Outcome)
 			require.Equal(t, "not_run", r.header.Get("Hibiscuscart-Outcome"))
 			require.Equal(t, c.field, r.problem.Error.Param)
 		})
 	}
-	for _, s := range w.Servers() {
-		if e := w.Engine(s.Name); e != nil {
+	for _, s := range deployment.Servers() {
+		if e := deployment.Engine(s.Name); e != nil {
 			require.Zero(t, e.Counts().Started)
 			continue
 		}
-		require.Zero(t, w.Service(s.Name).Calls())
+		require.Zero(t, deployment.Service(s.Name).Calls())
 	}
 }
 
 func TestResponseFormats(t *testing.T) {
-	w := startDeployment(t, nil)
+	deployment := startDeployment(t, nil)
 	cases := map[string]struct {
 		path, body string
 		want       []string
@@ -81,16 +81,16 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := post(t, w, "one-1", c.path, c.body)
+			r := post(t, deployment, "one-1", c.path, c.body)
 			require.Equal(t, 200, r.status, r.body)
 			for _, part := range c.want {
 				require.Contains(t, r.body, part)
 			}
 		})
 	}
-	byHeader := post(t, w, "one-1", "/v1/completions", `{"model":"m","prompt":"x","max_tokens":8}`, entry.HeaderProfile, "draft")
+	byHeader := post(t, deployment, "one-1", "/v1/completions", `{"model":"m","prompt":"x","max_tokens":8}`, entry.HeaderProfile, "draft")
 	require.Equal(t, 200, byHeader.status)
-	models := send(t, w, http.MethodGet, "one-1", "/v1/models", "")
+	models := send(t, deployment, http.MethodGet, "one-1", "/v1/models", "")
 	require.Contains(t, models.body, `"draft/m:x"`)
-	require.Equal(t, 200, send(t, w, http.MethodGet, "one-1", "/services/desk/status", "").status, "a read-only call needs no idempotency key")
+	require.Equal(t, 200, send(t, deployment, http.MethodGet, "one-1", "/services/desk/status", "").status, "a read-only call needs no idempotency key")
 }
--- a/entry/links.go
+++ b/entry/links.go
@@ -97,9 +97,9 @@
 func (p *peers) linkTo(ctx context.Context, node string) *link.Conn {
 	address := ""
 	p.mu.Lock()
-	for _, b := range p.list.Heartbeats() {
-		if b.Node == node {
-			address = b.PeerAddress
+	for _, h := range p.list.Heartbeats() {
+		if h.Node == node {
+			address = h.PeerAddress
 		}
 	}
 	p.mu.Unlock()
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -123,7 +123,7 @@
 
 // gossipRound sends one round of heartbeats.
 func (p *peers) gossipRound(ctx context.Context) {
-	demand, models, hash := p.d.admission.demand(), p.d.modelLoads.snapshot(p.d.now()), p.d.activeConfig.Hash()
+	demand, models, hash := p.d.admission.demand(), p.d.offeredLoads.snapshot(p.d.now()), p.d.activeConfig.Hash()
 	now := p.d.now()
 	state := wire.HeartbeatStateAlive
 	if p.d.stopping.Load() {
@@ -156,13 +156,13 @@
 
 // heartbeatBytes estimates the encoded size of a heartbeat to within a few
 // bytes.
-func heartbeatBytes(b wire.Heartbeat) int {
+func heartbeatBytes(h wire.Heartbeat) int {
 	const fixedFieldBytes = 40
-	n := fixedFieldBytes + len(b.Node) + len(b.FailureDomain) + len(b.PeerAddress)
-	for _, d := range b.Demand {
+	n := fixedFieldBytes + len(h.Node) + len(h.FailureDomain) + len(h.PeerAddress)
+	for _, d := range h.Demand {
 		n += 6 + len(d.Name)
 	}
-	for _, m := range b.Models {
+	for _, m := range h.Models {
 		n += 8 + len(m.Model)
 	}
 	return n
@@ -187,15 +187,15 @@
 // VM, as it may still be serving. The caller holds p.mu.
 func (p *peers) sumRemoteDemand(now time.Time) *remoteDemand {
 	others := &remoteDemand{requests: make(map[string]int)}
-	for _, b := range p.list.Heartbeats() {
-		if b.State == wire.HeartbeatStateDead || b.Incarnation == 0 {
+	for _, h := range p.list.Heartbeats() {
+		if h.State == wire.HeartbeatStateDead || h.Incarnation == 0 {
 			continue
 		}
 		others.vms++
-		if !p.list.Alive(now, b.Node) {
+		if !p.list.Alive(now, h.Node) {
 			continue
 		}
-		for _, demand := range b.Demand {
+		for _, demand := range h.Demand {
 			others.requests[demand.Name] += demand.Requests
 		}
 	}
@@ -214,12 +214,12 @@
 			demand[domain][m.Model] += float64(m.Load) / loadScale
 		}
 	}
-	add(p.d.config.FailureDomain, p.d.modelLoads.snapshot(p.d.now()))
+	add(p.d.config.FailureDomain, p.d.offeredLoads.snapshot(p.d.now()))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.list.Heartbeats() {
-		if p.list.Alive(p.d.now(), b.Node) {
-			add(b.FailureDomain, b.Models)
+	for _, h := range p.list.Heartbeats() {
+		if p.list.Alive(p.d.now(), h.Node) {
+			add(h.FailureDomain, h.Models)
 		}
 	}
 	return demand
@@ -383,10 +383,10 @@
 	reply := &wire.FleetReply{Node: p.d.config.Name, Nodes: []wire.NodeStatus{own}, Servers: []wire.ServerStatus{}}
 	now := p.d.now()
 	p.mu.Lock()
-	for _, b := range p.list.Heartbeats() {
+	for _, h := range p.list.Heartbeats() {
 		reply.Nodes = append(reply.Nodes, wire.NodeStatus{
-			Node: b.Node, FailureDomain: b.FailureDomain, PeerAddress: b.PeerAddress,
-			State: nodeState(b, p.list.Alive(now, b.Node)), Versions: []wire.ProfileVersion{},
+			Node: h.Node, FailureDomain: h.FailureDomain, PeerAddress: h.PeerAddress,
+			State: nodeState(h, p.list.Alive(now, h.Node)), Versions: []wire.ProfileVersion{},
 		})
 	}
 	p.mu.Unlock()
@@ -396,11 +396,11 @@
 	return reply
 }
 
-func nodeState(b wire.Heartbeat, alive bool) wire.NodeStatusState {
+func nodeState(h wire.Heartbeat, alive bool) wire.NodeStatusState {
 	switch {
 	case !alive:
 		return wire.NodeStatusStateUnknown
-	case b.State == wire.HeartbeatStateLeaving:
+	case h.State == wire.HeartbeatStateLeaving:
 		return wire.NodeStatusStateLeaving
 	}
 	return wire.NodeStatusStateLive
--- a/entry/planning.go
+++ b/entry/planning.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	kindKeepers = "keepers"
-	nameKeepers = "all"
-	kindBudget  = "budgets"
-	nameBudget  = "weight_store"
+	kindReplicaPins = "keepers"
+	nameReplicaPins = "all"
+	kindBudget      = "budgets"
+	nameBudget      = "weight_store"
 	// staticReplicas is the number of replicas of a model in the static
 	// baseline.
 	staticReplicas = 2
 	// minUsedLoad is the load from which the swapping baseline considers a
 	// model used.
 	minUsedLoad = 0.05
-	// minLoadedTime is how long a loaded replica is kept at least: about ten
-	// times the duration of a load.
+	// minLoadedTime is the minimum time for which a loaded replica is kept: about
+	// ten times the duration of a load.
 	minLoadedTime = 8 * time.Second
 )
 
@@ -53,8 +53,8 @@
 }
 
 // plan returns the models that each server should hold.
-func (c *controller) plan(ledgers []*ctrl.Reconciler) planResult {
-	in := plan.Input{Servers: c.planServers(ledgers), Models: c.planModels()}
+func (c *controller) plan(reconcilers []*ctrl.Reconciler) planResult {
+	in := plan.Input{Servers: c.planServers(reconcilers), Models: c.planModels()}
 	result := planResult{models: in.Models}
 	switch c.d.config.Placement {
 	case "static":
@@ -70,7 +70,7 @@
 
 // staticPlacement returns the even placement of the static baseline.
 func (c *controller) staticPlacement(in plan.Input) plan.Output {
-	placement, _ := naive.Place(c.d.fleet.Servers(), c.d.naiveDemands(), staticReplicas)
+	placement, _ := naive.Place(c.d.fleet.Servers(), c.d.poolModels(), staticReplicas)
 	out := plan.Output{Placement: make(map[string][]string)}
 	for _, s := range in.Servers {
 		for _, a := range placement[s.Name] {
@@ -82,14 +82,14 @@
 	return out
 }
 
-// naiveDemands returns the models of the profiles in force, as demands of the
-// baselines.
-func (d *Daemon) naiveDemands() []naive.PoolModel {
-	var demands []naive.PoolModel
+// poolModels returns the models of the profiles in force, in the form that the
+// baselines use.
+func (d *Daemon) poolModels() []naive.PoolModel {
+	var models []naive.PoolModel
 	for _, m := range d.deployedModels() {
-		demands = append(demands, naive.PoolModel{Pool: m.pool, Model: m.model})
+		models = append(models, naive.PoolModel{Pool: m.pool, Model: m.model})
 	}
-	return demands
+	return models
 }
 
 // deployedModel is a model of the profiles in force.
@@ -139,10 +139,10 @@
 
 // planServers returns the live servers: those of the domain with the models in
 // their ledgers, the others with the models that they report.
-func (c *controller) planServers(ledgers []*ctrl.Reconciler) []plan.Server {
-	ledgersByServer := make(map[string]*ctrl.Reconciler)
-	for _, b := range ledgers {
-		ledgersByServer[b.Server.Name] = b
+func (c *controller) planServers(reconcilers []*ctrl.Reconciler) []plan.Server {
+	reconcilersByServer := make(map[string]*ctrl.Reconciler)
+	for _, r := range reconcilers {
+		reconcilersByServer[r.Server.Name] = r
 	}
 	var servers []plan.Server
 	for _, doc := range c.d.fleet.Servers() {
@@ -151,9 +151,9 @@
 		}
 		report, _ := c.d.fleet.Report(doc.Name)
 		s := plan.Server{Name: doc.Name, Domain: doc.FailureDomain, Pool: doc.Pool, MemoryBytes: doc.MemoryBytes, Slots: report.Slots}
-		if b := ledgersByServer[doc.Name]; b != nil && b.FencingToken() != 0 {
-			s.Models = b.Models()
-			s.RecentlyLoaded = b.LoadedSince(c.d.now().Add(-minLoadedTime))
+		if r := reconcilersByServer[doc.Name]; r != nil && r.FencingToken() != 0 {
+			s.Models = r.Models()
+			s.RecentlyLoaded = r.LoadedSince(c.d.now().Add(-minLoadedTime))
 		} else {
 			s.Models = residentModels(report)
 		}
@@ -172,58 +172,58 @@
 	return names
 }
 
-// updateKeepers brings the keepers up to date: loaded replicas are retained,
-// and replicas that the plan drops are released when another one stays.
-func (c *controller) updateKeepers(ctx context.Context, ledgers []*ctrl.Reconciler, p planResult) error {
-	k := &c.term.keepers
-	if !c.term.keepersLoaded {
+// updateReplicaPins updates the pins: loaded replicas are pinned, and replicas
+// that the plan drops are unpinned when another pinned replica stays.
+func (c *controller) updateReplicaPins(ctx context.Context, reconcilers []*ctrl.Reconciler, p planResult) error {
+	pins := &c.term.replicaPins
+	if !c.term.pinsLoaded {
 		var doc wire.Keepers
-		version, err := c.readObject(ctx, kindKeepers, nameKeepers, &doc)
+		version, err := c.readObject(ctx, kindReplicaPins, nameReplicaPins, &doc)
 		if err != nil {
-			return fmt.Errorf("read keepers: %w", err)
+			return fmt.Errorf("read replica pins: %w", err)
 		}
-		k.Reset(version, doc)
-		c.term.keepersLoaded = true
+		pins.Reset(version, doc)
+		c.term.pinsLoaded = true
 	}
-	if k.Superseded() {
-		return fmt.Errorf("another VM is now the controller of failure domain %s", k.FailureDomain)
+	if pins.Superseded() {
+		return fmt.Errorf("another VM is now the controller of failure domain %s", pins.FailureDomain)
 	}
-	servers, loaded, drop := c.localReplicas(ledgers, p)
-	next, changed := k.Propose(servers, loaded, drop, c.replicaAlive(p))
+	servers, loaded, toUnload := c.localReplicas(reconcilers, p)
+	next, changed := pins.Propose(servers, loaded, toUnload, c.replicaAlive(p))
 	if !changed {
 		return nil
 	}
-	version, err := c.d.store.Put(ctx, kindKeepers, nameKeepers, k.Version(), next)
+	version, err := c.d.store.Put(ctx, kindReplicaPins, nameReplicaPins, pins.Version(), next)
 	if err != nil {
-		c.term.keepersLoaded = false
+		c.term.pinsLoaded = false
 		if store.IsConflict(err) {
 			return nil
 		}
-		return fmt.Errorf("write keepers: %w", err)
+		return fmt.Errorf("write replica pins: %w", err)
 	}
-	k.Committed(version)
+	pins.Committed(version)
 	return nil
 }
 
 // localReplicas returns the domain's servers whose ledgers this controller has
 // written, the replicas loaded on them and the replicas that the plan drops.
-func (c *controller) localReplicas(ledgers []*ctrl.Reconciler, p planResult) (servers []string, loaded, drop []ctrl.Replica) {
-	for _, b := range ledgers {
-		if b.FencingToken() == 0 {
+func (c *controller) localReplicas(reconcilers []*ctrl.Reconciler, p planResult) (servers []string, loaded, toUnload []ctrl.Replica) {
+	for _, r := range reconcilers {
+		if r.FencingToken() == 0 {
 			continue
 		}
-		servers = append(servers, b.Server.Name)
+		servers = append(servers, r.Server.Name)
 		for _, m := range p.models {
-			replica := ctrl.Replica{Model: m.Name, Server: b.Server.Name}
-			if b.AllLoaded(m.Artifacts) || b.BaseLoaded(m.Name) && c.term.keepers.Pinned(replica) {
+			replica := ctrl.Replica{Model: m.Name, Server: r.Server.Name}
+			if r.AllLoaded(m.Artifacts) || r.BaseLoaded(m.Name) && c.term.replicaPins.Pinned(replica) {
 				loaded = append(loaded, replica)
 			}
-			if b.BaseLoaded(m.Name) && !slices.Contains(p.Placement[b.Server.Name], m.Name) {
-				drop = append(drop, replica)
+			if r.BaseLoaded(m.Name) && !slices.Contains(p.Placement[r.Server.Name], m.Name) {
+				toUnload = append(toUnload, replica)
 			}
 		}
 	}
-	return servers, loaded, drop
+	return servers, loaded, toUnload
 }
 
 // replicaAlive reports whether a replica is loaded, with all its adapters, on a
@@ -247,8 +247,8 @@
 
 // mayRemove allows the removal of artifacts that no profile deploys, of
 // versions whose successor is loaded on the same server, and of replicas that
-// the keepers do not retain.
-func (c *controller) mayRemove(b *ctrl.Reconciler, p planResult) func(ctrl.Artifact) bool {
+// are not pinned.
+func (c *controller) mayRemove(r *ctrl.Reconciler, p planResult) func(ctrl.Artifact) bool {
 	return func(a ctrl.Artifact) bool {
 		deployed := false
 		for _, m := range p.models {
@@ -257,37 +257,37 @@
 					continue
 				}
 				deployed = true
-				if artifact.Version > a.Version && b.AllLoaded([]ctrl.Artifact{artifact}) {
+				if artifact.Version > a.Version && r.AllLoaded([]ctrl.Artifact{artifact}) {
 					return true
 				}
 			}
 		}
-		return !deployed || c.term.keepers.MayUnload(ctrl.Replica{Model: a.Model, Server: b.Server.Name})
+		return !deployed || c.term.replicaPins.MayUnload(ctrl.Replica{Model: a.Model, Server: r.Server.Name})
 	}
 }
 
-// allocateBudget claims the domain's share of the concurrent loads from the
-// weight store.
-func (c *controller) allocateBudget(ctx context.Context, ledgers []*ctrl.Reconciler, p planResult) (*ctrl.LoadQuota, error) {
+// allocateBudget acquires the domain's share of the concurrent loads from the
+// weight store. It returns the loads that may start now, or nil for no limit.
+func (c *controller) allocateBudget(ctx context.Context, reconcilers []*ctrl.Reconciler, p planResult) (*ctrl.LoadQuota, error) {
 	budget := &c.term.budget
 	if budget.ModelLimit == 0 {
 		return nil, nil
 	}
-	var wants, inTransit ctrl.LoadQuota
-	for _, b := range ledgers {
-		models, adapters := b.LoadingCounts()
-		inTransit.Models += models
-		inTransit.Adapters += adapters
-		for _, a := range b.Missing(p.Artifacts(p.models, b.Server.Name)) {
+	var wanted, inProgress ctrl.LoadQuota
+	for _, r := range reconcilers {
+		models, adapters := r.LoadingCounts()
+		inProgress.Models += models
+		inProgress.Adapters += adapters
+		for _, a := range r.Missing(p.Artifacts(p.models, r.Server.Name)) {
 			if a.Adapter == "" {
-				wants.Models++
+				wanted.Models++
 			} else {
-				wants.Adapters++
+				wanted.Adapters++
 			}
 		}
 	}
-	wants.Models += inTransit.Models
-	wants.Adapters += inTransit.Adapters
+	wanted.Models += inProgress.Models
+	wanted.Adapters += inProgress.Adapters
 	if !c.term.budgetLoaded {
 		var doc wire.Budget
 		version, err := c.readObject(ctx, kindBudget, nameBudget, &doc)
@@ -297,7 +297,7 @@
 		budget.Reset(version, doc)
 		c.term.budgetLoaded = true
 	}
-	if next, changed := budget.Propose(wants, inTransit); changed {
+	if next, changed := budget.Propose(wanted, inProgress); changed {
 		version, err := c.d.store.Put(ctx, kindBudget, nameBudget, budget.Version(), next)
 		switch {
 		case store.IsConflict(err):
@@ -313,5 +313,5 @@
 	if !c.term.budgetLoaded {
 		share = ctrl.LoadQuota{}
 	}
-	return &ctrl.LoadQuota{Models: max(share.Models-inTransit.Models, 0), Adapters: max(share.Adapters-inTransit.Adapters, 0)}, nil
+	return &ctrl.LoadQuota{Models: max(share.Models-inProgress.Models, 0), Adapters: max(share.Adapters-inProgress.Adapters, 0)}, nil
 }
--- a/entry/poll.go
+++ b/entry/poll.go
@@ -36,11 +36,11 @@
 func (d *Daemon) pollServer(ctx context.Context, server wire.Server) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	load := d.engines.LoadReport
+	fetchReport := d.engines.LoadReport
 	if server.Backend == wire.ServerBackendService {
-		load = d.plain.LoadReport
+		fetchReport = d.plain.LoadReport
 	}
-	report, err := load(ctx, server.Address)
+	report, err := fetchReport(ctx, server.Address)
 	if err != nil {
 		d.meter.AddCounter("poll.failed", 1)
 		return
--- a/entry/profile.go
+++ b/entry/profile.go
@@ -13,8 +13,8 @@
 // profileStage resolves the profile, validates the request against it and sets
 // the deadline.
 type profileStage struct {
-	view       *profs.View
-	modelLoads *modelLoads
+	view         *profs.View
+	offeredLoads *offeredLoads
 }
 
 func (s *profileStage) run(ctx context.Context, x *Exchange, next Next) error {
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
 	if x.modelName != "" {
-		s.modelLoads.recordArrival(x.request.ArrivedAt, x.modelName)
+		s.offeredLoads.recordArrival(x.request.ArrivedAt, x.modelName)
 	}
 	return next(ctx, x)
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -34,7 +34,7 @@
 	// defaultRetryAfter is the retry delay sent to callers after a transient
 	// failure.
 	defaultRetryAfter = time.Second
-	// A stream is considered dead once it is silent for longer than these
+	// A stream counts as stalled once it is silent for longer than these
 	// multiples of its latency targets.
 	firstTokenTimeoutFactor = 4
 	tokenGapTimeoutFactor   = 20
@@ -51,14 +51,14 @@
 	// selectCandidate chooses among candidates; it is called under mu.
 	selectCandidate func(candidates []fleet.Candidate, prefix uint64, tried []string) (fleet.Candidate, bool)
 	// maxResumes is how often one run is resumed.
-	maxResumes int
-	budget     *retry.Budget
-	backoff    retry.Backoff
-	engines    *engine.Client
-	plain      *plain.Client
-	now        func() time.Time
-	meter      *meter.Registry
-	modelLoads *modelLoads
+	maxResumes   int
+	budget       *retry.Budget
+	backoff      retry.Backoff
+	engines      *engine.Client
+	plain        *plain.Client
+	now          func() time.Time
+	meter        *meter.Registry
+	offeredLoads *offeredLoads
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -122,9 +122,9 @@
 	return s.backoff.Wait(s.rng, attempt)
 }
 
-// chooseServer returns a server that holds what the request needs. While there
-// is none, for example while a model is loading, it searches again until half
-// of the time of the request has passed.
+// chooseServer returns a server that has loaded what the request needs. While
+// there is none, for example while a model is loading, it searches again until
+// half of the time of the request has passed.
 func (s *relayStage) chooseServer(ctx context.Context, x *Exchange, tried []string) (fleet.Candidate, error) {
 	_, span := spans.Start(ctx, "route")
 	c, err := s.findServer(ctx, x, tried)
@@ -162,7 +162,7 @@
 }
 
 // attempt sends the request to one server.
-func (s *relayStage) attempt(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
+func (s *relayStage) attempt(ctx context.Context, x *Exchange, c fleet.Candidate, assembly *relay.Assembly) error {
 	now := s.now()
 	// A VM may be paused after its claim was granted and resume after the key
 	// has expired and was granted to another VM. It must then not send the
@@ -176,18 +176,18 @@
 		attribute.String("attempt", x.attemptID), attribute.String("server", c.Name), attribute.String("model", x.modelName))
 	s.fleet.BeginRequest(now, c.Name)
 	s.meter.AddCounter("relay.attempts", 1)
-	err := s.send(ctx, x, c, asm)
+	err := s.send(ctx, x, c, assembly)
 	s.recordResult(x, c, err)
 	spans.End(span, err)
 	return err
 }
 
-func (s *relayStage) send(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
+func (s *relayStage) send(ctx context.Context, x *Exchange, c fleet.Candidate, assembly *relay.Assembly) error {
 	var err error
 	if x.profile.IsService() {
 		err = s.sendServiceCall(ctx, x, c)
 	} else {
-		err = s.runGeneration(ctx, x, c, asm)
+		err = s.runGeneration(ctx, x, c, assembly)
 	}
 	if err == nil || hibiscuscart.AsFailure(err).Outcome() != hibiscuscart.OutcomeNotRun {
 		x.maybeSent = true
@@ -211,7 +211,7 @@
 	}
 	now := s.now()
 	if err == nil && x.modelName != "" {
-		s.modelLoads.recordServiceTime(x.modelName, now.Sub(x.sentAt))
+		s.offeredLoads.recordServiceTime(x.modelName, now.Sub(x.sentAt))
 	}
 	s.fleet.EndRequest(now, c.Name, healthy)
 }
@@ -228,13 +228,13 @@
 }
 
 func (s *relayStage) sendServiceCall(ctx context.Context, x *Exchange, c fleet.Candidate) error {
-	answer, err := s.plain.Do(ctx, c.Address, x.attemptID, plain.Call{
+	response, err := s.plain.Do(ctx, c.Address, x.attemptID, plain.Call{
 		Method: x.request.Method, Path: x.request.Path, ContentType: x.request.ContentType, Body: x.request.Body,
 	})
 	if err != nil {
 		return err
 	}
-	x.response = hibiscuscart.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
+	x.response = hibiscuscart.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body}
 	return s.deliverResponse(x)
 }
 
@@ -247,9 +247,9 @@
 
 // runGeneration starts a generation once and resumes it on its engine when the
 // stream breaks.
-func (s *relayStage) runGeneration(ctx context.Context, x *Exchange, c fleet.Candidate, asm *relay.Assembly) error {
-	asm.Restart(x.attemptID)
-	err := s.runWithStallTimeout(ctx, x, asm, func(ctx context.Context, frame frameHandler) error {
+func (s *relayStage) runGeneration(ctx context.Context, x *Exchange, c fleet.Candidate, assembly *relay.Assembly) error {
+	assembly.Restart(x.attemptID)
+	err := s.runWithStallTimeout(ctx, x, assembly, func(ctx context.Context, frame frameHandler) error {
 		return s.engines.Generate(ctx, c.Address, x.attemptID, s.newGeneration(x), frame)
 	})
 	for n := 1; n <= s.maxResumes && resumable(err); n++ {
@@ -257,13 +257,13 @@
 		if !pause.For(ctx, s.backoffDelay(n)) {
 			break
 		}
-		resumeErr := s.runWithStallTimeout(ctx, x, asm, func(ctx context.Context, frame frameHandler) error {
-			return s.engines.Resume(ctx, c.Address, x.attemptID, asm.LastSequence(), frame)
+		resumeErr := s.runWithStallTimeout(ctx, x, assembly, func(ctx context.Context, frame frameHandler) error {
+			return s.engines.Resume(ctx, c.Address, x.attemptID, assembly.LastSequence(), frame)
 		})
 		err = resumeResult(err, resumeErr)
 	}
 	if err == nil {
-		x.response = hibiscuscart.Answer{Text: asm.Text(), FinishReason: asm.FinishReason(), Tokens: asm.DeliveredFrames()}
+		x.response = hibiscuscart.Answer{Text: assembly.Text(), FinishReason: assembly.FinishReason(), Tokens: assembly.DeliveredFrames()}
 		return s.deliverResponse(x)
 	}
 	if hibiscuscart.AsFailure(err).Outcome() == hibiscuscart.OutcomeUnknown {
@@ -306,8 +306,8 @@
 }
 
 // handleFrame processes one frame of a stream.
-func (s *relayStage) handleFrame(x *Exchange, asm *relay.Assembly, f hibiscuscart.Frame) error {
-	verdict, text, err := asm.Accept(f)
+func (s *relayStage) handleFrame(x *Exchange, assembly *relay.Assembly, f hibiscuscart.Frame) error {
+	verdict, text, err := assembly.Accept(f)
 	if err != nil {
 		return fmt.Errorf("assemble stream: %w", err)
 	}
@@ -345,7 +345,7 @@
 type frameHandler = func(hibiscuscart.Frame) error
 
 // runWithStallTimeout runs a stream and cancels it when it stalls.
-func (s *relayStage) runWithStallTimeout(ctx context.Context, x *Exchange, asm *relay.Assembly, stream func(context.Context, frameHandler) error) error {
+func (s *relayStage) runWithStallTimeout(ctx context.Context, x *Exchange, assembly *relay.Assembly, stream func(context.Context, frameHandler) error) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stallTimer := time.AfterFunc(stallTimeout(x.profile.FirstTokenTarget(), firstTokenTimeoutFactor), func() { cancel(errStalled) })
@@ -353,7 +353,7 @@
 	gapTimeout := stallTimeout(x.profile.BetweenTokensTarget(), tokenGapTimeoutFactor)
 	err := stream(streamCtx, func(f hibiscuscart.Frame) error {
 		stallTimer.Reset(gapTimeout)
-		return s.handleFrame(x, asm, f)
+		return s.handleFrame(x, assembly, f)
 	})
 	if err != nil && ctx.Err() == nil && errors.Is(context.Cause(streamCtx), errStalled) {
 		return hibiscuscart.Fail(hibiscuscart.CauseLostInStream, "the stream went silent").WithError(err)
--- a/entry/sinks.go
+++ b/entry/sinks.go
@@ -79,27 +79,27 @@
 	w.http.WriteHeader(status)
 }
 
-func (w *responseWriter) writeServiceResponse(a hibiscuscart.Answer) error {
+func (w *responseWriter) writeServiceResponse(r hibiscuscart.Answer) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
-	w.writeHeader(a.ContentType, a.Status)
-	if _, err := w.http.Write(a.Body); err != nil {
+	w.writeHeader(r.ContentType, r.Status)
+	if _, err := w.http.Write(r.Body); err != nil {
 		return fmt.Errorf("write response: %w", err)
 	}
 	return nil
 }
 
-func (w *responseWriter) writeJSONResponse(a hibiscuscart.Answer) error {
+func (w *responseWriter) writeJSONResponse(r hibiscuscart.Answer) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
 	w.writeHeader("application/json", http.StatusOK)
-	body := w.newCompletion(choice{Finish: &a.FinishReason})
+	body := w.newCompletion(choice{Finish: &r.FinishReason})
 	if w.request.Kind == hibiscuscart.KindChat {
-		body.Choices[0].Message = &hibiscuscart.Message{Role: "assistant", Content: a.Text}
+		body.Choices[0].Message = &hibiscuscart.Message{Role: "assistant", Content: r.Text}
 	} else {
-		body.Choices[0].Text = &a.Text
+		body.Choices[0].Text = &r.Text
 	}
-	body.Usage = &usage{CompletionTokens: a.Tokens, TotalTokens: a.Tokens}
+	body.Usage = &usage{CompletionTokens: r.Tokens, TotalTokens: r.Tokens}
 	if err := json.NewEncoder(w.http).Encode(body); err != nil {
 		return fmt.Errorf("write response: %w", err)
 	}
@@ -133,8 +133,8 @@
 	return w.writeEvent(w.newCompletion(c))
 }
 
-func (w *responseWriter) writeStreamEnd(a hibiscuscart.Answer) error {
-	last := choice{Finish: &a.FinishReason}
+func (w *responseWriter) writeStreamEnd(r hibiscuscart.Answer) error {
+	last := choice{Finish: &r.FinishReason}
 	if w.request.Kind == hibiscuscart.KindChat {
 		last.Delta = &delta{}
 	} else {
--- a/entry/spans_test.go
+++ b/entry/spans_test.go
@@ -20,12 +20,12 @@
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(recorder)))
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(trace.NewTracerProvider()) })
-	w := startDeployment(t, nil)
+	deployment := startDeployment(t, nil)
 	const traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 	const requests = 8
 	for i := range requests {
 		id := fmt.Sprint("traced", i)
-		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
+		r := post(t, deployment, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id, "traceparent", "00-"+traceID+"-00f067aa0ba902b7-01")
 		require.Equal(t, 200, r.status, r.body)
 	}
 	names := make(map[string]int)
--- a/entry/testdata_test.go
+++ b/entry/testdata_test.go
@@ -71,13 +71,13 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	w, err := demo.Start(ctx, demo.Options{
+	deployment, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: smallProfiles(), Preload: true, Seed: 1, Log: zerolog.Nop(), AdjustVM: adjust,
 	})
 	require.NoError(t, err)
-	t.Cleanup(w.Close)
-	require.NoError(t, w.WaitReady(ctx))
-	return w
+	t.Cleanup(deployment.Close)
+	require.NoError(t, deployment.WaitReady(ctx))
+	return deployment
 }
 
 func smallProfiles() []wire.Profile {
@@ -92,8 +92,8 @@
 	return []wire.Profile{draft, issue, desk}
 }
 
-// reply is the HTTP response to a request.
-type reply struct {
+// response is the HTTP response to a request.
+type response struct {
 	status  int
 	header  http.Header
 	body    string
@@ -107,16 +107,16 @@
 }
 
 // post sends a request to a VM; headers are given as name, value pairs.
-func post(t *testing.T, w *demo.Deployment, vm, path, body string, headers ...string) reply {
+func post(t *testing.T, deployment *demo.Deployment, vm, path, body string, headers ...string) response {
 	t.Helper()
-	return send(t, w, http.MethodPost, vm, path, body, headers...)
+	return send(t, deployment, http.MethodPost, vm, path, body, headers...)
 }
 
-func send(t *testing.T, w *demo.Deployment, method, vm, path, body string, headers ...string) reply {
+func send(t *testing.T, deployment *demo.Deployment, method, vm, path, body string, headers ...string) response {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.VMs()[vm].Address()+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+deployment.VMs()[vm].Address()+path, strings.NewReader(body))
 	require.NoError(t, err)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Add(headers[i], headers[i+1])
@@ -126,13 +126,13 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	r := reply{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	r := response{status: resp.StatusCode, header: resp.Header, body: string(text)}
 	_ = json.Unmarshal(text, &r.problem)
 	return r
 }
 
 // text returns the text of a complete completion response.
-func (r reply) text(t *testing.T) string {
+func (r response) text(t *testing.T) string {
 	t.Helper()
 	var body struct {
 		Choices []struct {
@@ -146,16 +146,16 @@
 
 // streamText returns the text of a stream of a plain completion, and whether
 // the stream was complete.
-func (r reply) streamText() (string, bool) {
+func (r response) streamText() (string, bool) {
 	var text strings.Builder
-	whole := false
+	complete := false
 	for line := range strings.SplitSeq(r.body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			whole = true
+			complete = true
 			continue
 		}
 		var body struct {
@@ -167,7 +167,7 @@
 			text.WriteString(body.Choices[0].Text)
 		}
 	}
-	return text.String(), whole
+	return text.String(), complete
 }
 
 func completion(model, id string, tokens int) string {
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -9,17 +9,17 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// modelLoads measures the offered load of each model: the arrival rate times
+// offeredLoads measures the offered load of each model: the arrival rate times
 // the service time. Counting the requests in progress and waiting instead would
 // mistake a queue for demand: the queue grows as long as there are too few
 // servers, and the count then asks for far more servers than are needed.
-type modelLoads struct {
+type offeredLoads struct {
 	mu    sync.Mutex
-	loads map[string]*offeredLoad
+	loads map[string]*modelLoad
 }
 
-// offeredLoad is the load offered for one model.
-type offeredLoad struct {
+// modelLoad is the offered load of one model.
+type modelLoad struct {
 	arrivals    admit.ArrivalRate
 	serviceTime time.Duration
 }
@@ -28,43 +28,43 @@
 // progress.
 const loadScale = 1000
 
-func (u *modelLoads) load(name string) *offeredLoad {
-	if u.loads == nil {
-		u.loads = make(map[string]*offeredLoad)
+func (l *offeredLoads) forModel(name string) *modelLoad {
+	if l.loads == nil {
+		l.loads = make(map[string]*modelLoad)
 	}
-	o := u.loads[name]
-	if o == nil {
-		o = &offeredLoad{}
-		u.loads[name] = o
+	m := l.loads[name]
+	if m == nil {
+		m = &modelLoad{}
+		l.loads[name] = m
 	}
-	return o
+	return m
 }
 
 // recordArrival counts a request for a model.
-func (u *modelLoads) recordArrival(now time.Time, model string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.load(model).arrivals.Observe(now)
+func (l *offeredLoads) recordArrival(now time.Time, model string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.forModel(model).arrivals.Observe(now)
 }
 
 // recordServiceTime records the time that a server took for a request.
-func (u *modelLoads) recordServiceTime(model string, duration time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	o := u.load(model)
-	if o.serviceTime == 0 {
-		o.serviceTime = duration
+func (l *offeredLoads) recordServiceTime(model string, duration time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	m := l.forModel(model)
+	if m.serviceTime == 0 {
+		m.serviceTime = duration
 	}
-	o.serviceTime += time.Duration(admit.SmoothingFactor * float64(duration-o.serviceTime))
+	m.serviceTime += time.Duration(admit.SmoothingFactor * float64(duration-m.serviceTime))
 }
 
 // snapshot returns the offered load of each model, in thousandths.
-func (u *modelLoads) snapshot(now time.Time) []wire.ModelDemand {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (l *offeredLoads) snapshot(now time.Time) []wire.ModelDemand {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	demand := []wire.ModelDemand{}
-	for name, o := range u.loads {
-		load := o.arrivals.PerSecond(now) * o.serviceTime.Seconds()
+	for name, m := range l.loads {
+		load := m.arrivals.PerSecond(now) * m.serviceTime.Seconds()
 		if n := int(math.Round(load * loadScale)); n > 0 {
 			demand = append(demand, wire.ModelDemand{Model: name, Load: n})
 		}
