--- a/conns/pool.go
+++ b/conns/pool.go
@@ -47,10 +47,10 @@
 	keepAliveInterval = time.Second
 )
 
-// Dial opens a TCP connection that detects a dead peer. Closing it discards
-// undelivered bytes. Otherwise bytes delayed by a network partition would
-// arrive when the partition heals, and the peer would run a request or an order
-// that was abandoned long ago.
+// Dial opens a TCP connection that detects an unreachable peer. Closing it
+// discards undelivered bytes. Otherwise bytes delayed by a network partition
+// would arrive when the partition heals, and the peer would run a request or an
+// order that was abandoned long ago.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	probes := net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2}
 	d := net.Dialer{KeepAliveConfig: probes, Control: func(_, _ string, c syscall.RawConn) error {
@@ -116,13 +116,13 @@
 type stallReader struct{ *Conn }
 
 // Read implements io.Reader.
-func (w stallReader) Read(p []byte) (int, error) {
+func (r stallReader) Read(p []byte) (int, error) {
 	for {
-		if w.stallTimeout > 0 {
-			_ = w.net.SetReadDeadline(time.Now().Add(w.stallTimeout))
+		if r.stallTimeout > 0 {
+			_ = r.net.SetReadDeadline(time.Now().Add(r.stallTimeout))
 		}
-		n, err := w.net.Read(p)
-		if n > 0 || w.stallTimeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.abortOnStall() {
+		n, err := r.net.Read(p)
+		if n > 0 || r.stallTimeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.abortOnStall() {
 			return n, err
 		}
 	}
@@ -176,8 +176,8 @@
 	return observed
 }
 
-// Pool keeps idle connections by key. A key identifies one run of one server
-// process. The zero value is ready to use.
+// Pool keeps idle connections by key. A key identifies one instance of one
+// backend server. The zero value is ready to use.
 type Pool struct {
 	// DialFunc opens a connection; nil uses the function Dial.
 	DialFunc func(ctx context.Context, address string) (net.Conn, error)
--- a/conns/pool_test.go
+++ b/conns/pool_test.go
@@ -206,7 +206,7 @@
 	require.Same(t, c, p.Get(later, "k", false))
 }
 
-// A connection is taken from the pool and put back unused. Its expiry must not
+// A connection is removed from the pool and put back unused. Its expiry must not
 // move, or a request that can not be repeated could use an aged connection and
 // be lost.
 func TestPutUnusedKeepsExpiry(t *testing.T) {
--- a/store/client.go
+++ b/store/client.go
@@ -239,7 +239,7 @@
 
 func statusError(method string, resp *http.Response) error {
 	respBody, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
-	message := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(respBody))
+	statusErr := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(respBody))
 	switch resp.StatusCode {
 	case http.StatusNotFound:
 		return trace.NotFound("object does not exist")
@@ -254,13 +254,13 @@
 	case http.StatusGone:
 		return &GoneError{}
 	case http.StatusServiceUnavailable:
-		return &UnavailableError{Err: message}
+		return &UnavailableError{Err: statusErr}
 	case http.StatusUnauthorized, http.StatusForbidden:
-		return trace.AccessDenied("%s", message)
+		return trace.AccessDenied("%s", statusErr)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		return trace.BadParameter("%s", message)
+		return trace.BadParameter("%s", statusErr)
 	}
-	return classifyCallError(method, true, message)
+	return classifyCallError(method, true, statusErr)
 }
 
 func parseRetryAfter(h http.Header) time.Duration {
--- a/store/errors.go
+++ b/store/errors.go
@@ -19,7 +19,7 @@
 }
 
 // ResponseLostError reports that the response was lost. The change may have
-// taken effect; read the object to find out.
+// taken effect; reading the object shows whether it has.
 type ResponseLostError struct{ Err error }
 
 // Error implements error.
