--- a/fleet/server.go
+++ b/fleet/server.go
@@ -51,8 +51,8 @@
 	s.loadChanges = append(s.loadChanges, loadChange{at: now, delta: delta})
 }
 
-// discardCounted discards the changes that a report taken at the given time includes.
-func (s *server) discardCounted(takenAt time.Time) {
+// discardIncluded discards the changes that a report taken at the given time includes.
+func (s *server) discardIncluded(takenAt time.Time) {
 	kept := s.loadChanges[:0]
 	for _, c := range s.loadChanges {
 		if c.at.After(takenAt) {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -1,5 +1,5 @@
-// Package fleet keeps a VM's view of the backend servers: which servers exist, what they
-// have loaded, how loaded they are and which are healthy. Load reports lag, so the view
+// Package fleet keeps a VM's view of the backend servers: which servers exist, which models
+// they have loaded, how busy they are and which are healthy. Load reports lag, so the view
 // corrects them with the VM's own requests. It does no I/O and reads no clock.
 package fleet
 
@@ -14,13 +14,13 @@
 
 // Defaults of a View.
 const (
-	defaultReportLag      = 200 * time.Millisecond
-	defaultSilenceTimeout = 3 * time.Second
-	initialEjection       = time.Second
-	maxEjection           = 30 * time.Second
-	failuresToEject       = 3
-	notLoadedTTL          = 500 * time.Millisecond
-	fullTTL               = 100 * time.Millisecond
+	defaultMaxReportAge = 200 * time.Millisecond
+	defaultSilentAfter  = 3 * time.Second
+	initialEjection     = time.Second
+	maxEjection         = 30 * time.Second
+	failuresToEject     = 3
+	notLoadedTTL        = 500 * time.Millisecond
+	fullTTL             = 100 * time.Millisecond
 	// fullFactor is the load, in multiples of the slots, that is assumed for a server which
 	// refused a request for lack of capacity.
 	fullFactor = 2
@@ -103,13 +103,13 @@
 	if s == nil {
 		return
 	}
-	lag := v.MaxReportAge
-	if lag == 0 {
-		lag = defaultReportLag
+	maxAge := v.MaxReportAge
+	if maxAge == 0 {
+		maxAge = defaultMaxReportAge
 	}
 	s.report, s.reportedAt = report, now
 	s.leaving = s.doc.Leaving || report.Draining
-	s.discardCounted(now.Add(-lag))
+	s.discardIncluded(now.Add(-maxAge))
 }
 
 // Report returns the last load report of a server and its arrival time, which is zero when
@@ -225,8 +225,8 @@
 }
 
 // Candidates returns the servers that meet the requirements and are not leaving, sorted by
-// name. When none of them is healthy it returns the unhealthy ones: ejecting the last copy
-// would make the model unreachable.
+// name. When none of them is healthy it returns the unhealthy ones: ejecting the last
+// replica would make the model unavailable.
 func (v *View) Candidates(now time.Time, required Requirements) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -274,7 +274,7 @@
 func (v *View) silent(now time.Time, s *server) bool {
 	silence := v.SilentAfter
 	if silence == 0 {
-		silence = defaultSilenceTimeout
+		silence = defaultSilentAfter
 	}
 	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) > silence
 }
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -59,7 +59,7 @@
 		"ejected":              {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a") }, want: []string{"b"}},
 		"prefill role":         {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a") }, want: []string{"b"}},
 		"all in prefill role":  {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { prefill(v, "a"); prefill(v, "b") }, want: []string{"a", "b"}},
-		"last copy stays":      {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
+		"last replica stays":   {need: fleet.Requirements{Pool: "llm", Model: "m"}, change: func(v *fleet.View) { eject(v, "a"); eject(v, "b") }, want: []string{"a", "b"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/link/codec.go
+++ b/link/codec.go
@@ -17,8 +17,8 @@
 // a new version.
 const Protocol = 3
 
-// handle encodes in canonical order, so that equal frames have equal bytes.
-var handle = newHandle()
+// cborHandle encodes in canonical order, so that equal frames have equal bytes.
+var cborHandle = newHandle()
 
 func newHandle() *codec.CborHandle {
 	h := new(codec.CborHandle)
@@ -30,7 +30,7 @@
 // Encode returns a frame in CBOR.
 func Encode(m *wire.Message) ([]byte, error) {
 	var data []byte
-	if err := codec.NewEncoderBytes(&data, handle).Encode(m); err != nil {
+	if err := codec.NewEncoderBytes(&data, cborHandle).Encode(m); err != nil {
 		return nil, fmt.Errorf("encode frame: %w", err)
 	}
 	return data, nil
@@ -40,7 +40,7 @@
 // does not have exactly one known member.
 func Decode(data []byte) (*wire.Message, error) {
 	m := new(wire.Message)
-	if err := codec.NewDecoderBytes(data, handle).Decode(m); err != nil {
+	if err := codec.NewDecoderBytes(data, cborHandle).Decode(m); err != nil {
 		return nil, trace.BadParameter("frame is not CBOR: %v", err)
 	}
 	if n := countMembers(m); n != 1 {
--- a/link/conn.go
+++ b/link/conn.go
@@ -32,12 +32,12 @@
 	ws        *websocket.Conn
 	peerHello wire.Hello
 	role      Role
-	count     func(sent, received int)
+	onBytes   func(sent, received int)
 }
 
 func (c *Conn) countBytes(sent, received int) {
-	if c.count != nil {
-		c.count(sent, received)
+	if c.onBytes != nil {
+		c.onBytes(sent, received)
 	}
 }
 
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return handshake(ctx, &Conn{ws: ws, role: RolePeer, count: d.CountBytes}, d.Hello(), d.MaxFrameBytes)
+	return handshake(ctx, &Conn{ws: ws, role: RolePeer, onBytes: d.CountBytes}, d.Hello(), d.MaxFrameBytes)
 }
 
 // Acceptor accepts links.
@@ -167,7 +167,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), handshakeTimeout)
-	conn, err := handshake(ctx, &Conn{ws: ws, role: role, count: a.CountBytes}, a.Hello(), a.MaxFrameBytes)
+	conn, err := handshake(ctx, &Conn{ws: ws, role: role, onBytes: a.CountBytes}, a.Hello(), a.MaxFrameBytes)
 	cancel()
 	if err != nil {
 		a.reportRefused(err)
--- a/link/conn_test.go
+++ b/link/conn_test.go
@@ -22,7 +22,7 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// Run the same cases every time.
+// A fixed seed makes every run test the same cases.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const peerKey, operatorKey = "peer-key-0123456789", "operator-key-0123456789"
@@ -191,40 +191,40 @@
 	writing chan struct{}
 }
 
-func (h *blockedConn) Write(p []byte) (int, error) {
+func (c *blockedConn) Write(p []byte) (int, error) {
 	select {
-	case h.writing <- struct{}{}:
+	case c.writing <- struct{}{}:
 	default:
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.Conn.Write(p)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.Conn.Write(p)
 }
 
 // The caller of a request leaves while the request's frame to another VM is being written.
 // The link must stay open, because all requests of the VM share it.
 func TestCanceledSendKeepsLink(t *testing.T) {
 	address, _, _ := accept(t)
-	var h *blockedConn
+	var blocked *blockedConn
 	d := &link.Dialer{Hello: hello(link.Protocol), Key: peerKey, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		h = &blockedConn{Conn: c, writing: make(chan struct{}, 1)}
-		return h, err
+		blocked = &blockedConn{Conn: c, writing: make(chan struct{}, 1)}
+		return blocked, err
 	}}
 	c, err := d.Dial(testContext(t), address)
 	require.NoError(t, err)
 	defer c.Close()
 	select {
-	case <-h.writing:
+	case <-blocked.writing:
 	default:
 	}
-	h.mu.Lock()
+	blocked.mu.Lock()
 	ctx, cancel := context.WithCancel(testContext(t))
 	sent := make(chan error, 1)
 	go func() { sent <- c.Send(ctx, &wire.Message{Pull: &wire.Pull{Names: []string{"first"}}}) }()
-	<-h.writing
+	<-blocked.writing
 	cancel()
-	h.mu.Unlock()
+	blocked.mu.Unlock()
 	require.NoError(t, <-sent)
 	require.Error(t, c.Send(ctx, &wire.Message{Pull: &wire.Pull{Names: []string{"never"}}}))
 	require.NoError(t, c.Send(testContext(t), &wire.Message{Pull: &wire.Pull{Names: []string{"second"}}}))
--- a/member/list.go
+++ b/member/list.go
@@ -29,8 +29,8 @@
 	defaultDeadAfter    = 8 * time.Second
 	defaultDiscardAfter = time.Minute
 	// remoteFactor multiplies the silence allowed for a VM of another domain. Its
-	// heartbeats share the batches with those of all other domains, and its own domain
-	// announces its failure.
+	// heartbeats share the batches with those of all other domains, and VMs of its own
+	// domain announce its failure.
 	remoteFactor = 30
 	// urgentFactor times log2 of the fleet size is how often a change is forwarded with
 	// priority.
@@ -61,8 +61,8 @@
 // entry is the state of one other VM.
 type entry struct {
 	heartbeat wire.Heartbeat
-	// heardAt is when the heartbeat's sequence last increased.
-	heardAt time.Time
+	// lastHeartbeatAt is when the heartbeat's sequence last increased.
+	lastHeartbeatAt time.Time
 	// urgentSends is how many more times the heartbeat is forwarded with priority.
 	urgentSends int
 	// sentRound is the round in which the heartbeat was last forwarded.
@@ -97,7 +97,7 @@
 	if e.heartbeat.State == wire.HeartbeatStateDead || e.heartbeat.FailureDomain != l.Domain {
 		return
 	}
-	if now.Sub(e.heardAt) > l.maxSilence(e) {
+	if now.Sub(e.lastHeartbeatAt) > l.maxSilence(e) {
 		e.heartbeat.State = wire.HeartbeatStateDead
 		e.urgentSends = l.urgentSendCount()
 	}
@@ -117,12 +117,12 @@
 
 // Merge applies heartbeats that another VM forwarded.
 func (l *List) Merge(now time.Time, heartbeats []wire.Heartbeat) {
-	for _, b := range heartbeats {
-		if b.Node == l.Name {
-			l.refute(b)
+	for _, h := range heartbeats {
+		if h.Node == l.Name {
+			l.refute(h)
 			continue
 		}
-		l.mergeOne(now, b)
+		l.mergeOne(now, h)
 	}
 }
 
@@ -134,38 +134,38 @@
 	}
 }
 
-func (l *List) mergeOne(now time.Time, b wire.Heartbeat) {
-	e := l.entries[b.Node]
+func (l *List) mergeOne(now time.Time, h wire.Heartbeat) {
+	e := l.entries[h.Node]
 	if e == nil {
-		l.add(now, b)
+		l.add(now, h)
 		return
 	}
 	switch {
-	case b.Incarnation > e.heartbeat.Incarnation:
+	case h.Incarnation > e.heartbeat.Incarnation:
 		e.urgentSends = l.urgentSendCount()
-	case b.Incarnation < e.heartbeat.Incarnation || e.heartbeat.State == wire.HeartbeatStateDead:
+	case h.Incarnation < e.heartbeat.Incarnation || e.heartbeat.State == wire.HeartbeatStateDead:
 		// The heartbeat is outdated. Only a higher incarnation reverts a death: a late copy
 		// of an earlier heartbeat must not make the VM alive again.
 		return
-	case b.State == wire.HeartbeatStateDead:
+	case h.State == wire.HeartbeatStateDead:
 		e.urgentSends = l.urgentSendCount()
-	case b.Sequence <= e.heartbeat.Sequence:
+	case h.Sequence <= e.heartbeat.Sequence:
 		return
-	case b.State != e.heartbeat.State:
+	case h.State != e.heartbeat.State:
 		e.urgentSends = l.urgentSendCount()
 	}
-	e.heartbeat = b
-	if b.State != wire.HeartbeatStateDead {
-		e.heardAt = now
+	e.heartbeat = h
+	if h.State != wire.HeartbeatStateDead {
+		e.lastHeartbeatAt = now
 	}
 }
 
-func (l *List) add(now time.Time, b wire.Heartbeat) {
+func (l *List) add(now time.Time, h wire.Heartbeat) {
 	if l.entries == nil {
 		l.entries = make(map[string]*entry)
 	}
-	e := &entry{heartbeat: b, heardAt: now}
-	l.entries[b.Node] = e
+	e := &entry{heartbeat: h, lastHeartbeatAt: now}
+	l.entries[h.Node] = e
 	e.urgentSends = l.urgentSendCount()
 }
 
@@ -195,7 +195,7 @@
 		e.inPlatformList = true
 	}
 	for name, e := range l.entries {
-		if !e.inPlatformList && now.Sub(e.heardAt) > l.maxSilence(e)+orDefault(l.DiscardAfter, defaultDiscardAfter) {
+		if !e.inPlatformList && now.Sub(e.lastHeartbeatAt) > l.maxSilence(e)+orDefault(l.DiscardAfter, defaultDiscardAfter) {
 			delete(l.entries, name)
 		}
 	}
@@ -207,7 +207,7 @@
 		return true
 	}
 	e := l.entries[name]
-	return e != nil && e.heartbeat.State != wire.HeartbeatStateDead && now.Sub(e.heardAt) <= l.maxSilence(e) && e.heartbeat.Incarnation > 0
+	return e != nil && e.heartbeat.State != wire.HeartbeatStateDead && now.Sub(e.lastHeartbeatAt) <= l.maxSilence(e) && e.heartbeat.Incarnation > 0
 }
 
 // ActiveVMs returns the VMs, including this one, that are alive and not leaving, sorted by
@@ -245,11 +245,11 @@
 func rendezvousTop(names []string, job string, count int) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
-		ha, hb := xxhash.Sum64String(job+"/"+a), xxhash.Sum64String(job+"/"+b)
+		hashA, hashB := xxhash.Sum64String(job+"/"+a), xxhash.Sum64String(job+"/"+b)
 		switch {
-		case ha > hb:
+		case hashA > hashB:
 			return -1
-		case ha < hb:
+		case hashA < hashB:
 			return 1
 		}
 		return 0
@@ -259,8 +259,8 @@
 
 // GossipTargets returns the addresses to which this round's heartbeats are forwarded: some
 // VMs of the domain and, when this VM is a bridge, some of other domains. The addresses
-// include one VM of the domain, and for a bridge one of another domain, that is dead or was
-// never heard, so that two partitions which count each other as dead reconnect.
+// include one VM of the domain, and for a bridge one of another domain, that is dead or has
+// sent no heartbeat yet, so that two partitions which count each other as dead reconnect.
 func (l *List) GossipTargets(now time.Time, rng *rand.Rand) []string {
 	targets, ownSilent, otherSilent := l.targets(now, rng, l.fanout())
 	targets = append(targets, sample(rng, ownSilent, 1)...)
--- a/member/list_test.go
+++ b/member/list_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func size(b wire.Heartbeat) int { return 60 + len(b.Node) + len(b.FailureDomain) + len(b.PeerAddress) }
+func size(h wire.Heartbeat) int { return 60 + len(h.Node) + len(h.FailureDomain) + len(h.PeerAddress) }
 
 // fleet runs the lists of several VMs over a network that loses, delays, duplicates and
 // reorders messages.
@@ -91,8 +91,8 @@
 	v.list.BeginRound(f.now, v.heartbeat)
 	targets := v.list.GossipTargets(f.now, f.rng)
 	batch := v.list.Batch(budget, size)
-	for _, b := range batch {
-		f.bytes += size(b) * len(targets)
+	for _, h := range batch {
+		f.bytes += size(h) * len(targets)
 	}
 	for _, to := range targets {
 		f.send(v.heartbeat.Node, to, batch)
@@ -151,8 +151,8 @@
 }
 
 func (f *fleet) doc(name string) wire.VM {
-	b := f.vms[name].heartbeat
-	return wire.VM{Name: name, FailureDomain: b.FailureDomain, PeerAddress: name}
+	h := f.vms[name].heartbeat
+	return wire.VM{Name: name, FailureDomain: h.FailureDomain, PeerAddress: name}
 }
 
 // VMs fail and restart while a fifth of the messages is lost and others are delayed,
@@ -211,7 +211,7 @@
 			f.blocked = func(from, to string) bool {
 				return from == "d0-0" && to == "d0-1" || both && from == "d0-1" && to == "d0-0"
 			}
-			f.rounds(10) // until each VM has heard all others
+			f.rounds(10) // until each VM has received the heartbeats of all others
 			for range 200 {
 				f.round()
 				f.requireAgreement(t, "broken link")
@@ -246,17 +246,17 @@
 
 func TestLateHeartbeatDoesNotRevive(t *testing.T) {
 	l := &member.List{Name: "a", Domain: "d", DeadAfter: silence}
-	beat := func(sequence int, state wire.HeartbeatState) wire.Heartbeat {
+	heartbeat := func(sequence int, state wire.HeartbeatState) wire.Heartbeat {
 		return wire.Heartbeat{Node: "b", FailureDomain: "d", Incarnation: 1, Sequence: sequence, State: state}
 	}
-	l.Merge(start, []wire.Heartbeat{beat(5, wire.HeartbeatStateAlive)})
+	l.Merge(start, []wire.Heartbeat{heartbeat(5, wire.HeartbeatStateAlive)})
 	require.True(t, l.Alive(start, "b"))
-	l.Merge(start, []wire.Heartbeat{beat(5, wire.HeartbeatStateDead)})
-	l.Merge(start, []wire.Heartbeat{beat(7, wire.HeartbeatStateAlive)})
+	l.Merge(start, []wire.Heartbeat{heartbeat(5, wire.HeartbeatStateDead)})
+	l.Merge(start, []wire.Heartbeat{heartbeat(7, wire.HeartbeatStateAlive)})
 	require.False(t, l.Alive(start, "b"))
-	reborn := beat(1, wire.HeartbeatStateAlive)
-	reborn.Incarnation = 2
-	l.Merge(start, []wire.Heartbeat{reborn})
+	restarted := heartbeat(1, wire.HeartbeatStateAlive)
+	restarted.Incarnation = 2
+	l.Merge(start, []wire.Heartbeat{restarted})
 	require.True(t, l.Alive(start, "b"))
 }
 
@@ -311,7 +311,7 @@
 	f.rounds(20)
 	perVM := float64(f.bytes) / float64(len(f.names)) / (20 * roundLength.Seconds())
 	require.Less(t, perVM, float64(budget)*7/roundLength.Seconds(), "a round sends at most seven frames")
-	for _, b := range f.vms["d0-0"].list.Batch(budget, size) {
-		require.NotEmpty(t, b.Node)
+	for _, h := range f.vms["d0-0"].list.Batch(budget, size) {
+		require.NotEmpty(t, h.Node)
 	}
 }
