--- a/conf/settings.go
+++ b/conf/settings.go
@@ -142,9 +142,9 @@
 	return names
 }
 
-// instanceNames returns the names from the sections of a repeatable type, in the
-// order of the file.
-func (s *Settings) instanceNames(sectionType string) []string {
+// namesOfSections returns the names from the sections of a repeatable type, in
+// the order of the file.
+func (s *Settings) namesOfSections(sectionType string) []string {
 	var names []string
 	for _, section := range s.file.SectionStrings() {
 		if prefix, name, ok := strings.Cut(section, " "); ok && prefix == sectionType {
@@ -163,7 +163,7 @@
 // VMs returns the entry VMs in the order of the file.
 func (s *Settings) VMs() []VM {
 	var vms []VM
-	for _, name := range s.instanceNames("vm") {
+	for _, name := range s.namesOfSections("vm") {
 		vms = append(vms, VM{name: name, settings: s})
 	}
 	return vms
@@ -205,7 +205,7 @@
 // Pools returns the pools in the order of the file.
 func (s *Settings) Pools() []Pool {
 	var pools []Pool
-	for _, name := range s.instanceNames("pool") {
+	for _, name := range s.namesOfSections("pool") {
 		pools = append(pools, Pool{name: name, settings: s})
 	}
 	return pools
@@ -230,10 +230,10 @@
 // Slots returns the maximum batch size of a server in streams.
 func (p Pool) Slots() int { return p.settings.Int(p.section(), "slots") }
 
-// FirstTokenDelay returns the time to the first token of a simulated server.
+// FirstTokenDelay returns the time to the first token of a stand-in engine.
 func (p Pool) FirstTokenDelay() time.Duration { return p.settings.Duration(p.section(), "first_token") }
 
-// TokenInterval returns the time between two tokens of a simulated server.
+// TokenInterval returns the time between two tokens of a stand-in engine.
 func (p Pool) TokenInterval() time.Duration {
 	return p.settings.Duration(p.section(), "between_tokens")
 }
--- a/httpx/failure.go
+++ b/httpx/failure.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// SendFailure returns the Failure for a call that received no answer. Its cause
+// SendFailure returns the Failure for a call that received no response. Its cause
 // depends on written, which reports whether a byte of the request may have been
 // written: a request of which nothing was written has not run.
 func SendFailure(ctx context.Context, written bool, err error) *hibiscuscart.Failure {
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -18,33 +18,33 @@
 func New() *Registry { return &Registry{registry: metrics.NewRegistry()} }
 
 // AddCounter adds n to a counter.
-func (s *Registry) AddCounter(name string, n int64) {
-	metrics.GetOrRegisterCounter(name, s.registry).Inc(n)
+func (r *Registry) AddCounter(name string, n int64) {
+	metrics.GetOrRegisterCounter(name, r.registry).Inc(n)
 }
 
 // CounterValue returns the value of a counter.
-func (s *Registry) CounterValue(name string) int64 {
-	return metrics.GetOrRegisterCounter(name, s.registry).Count()
+func (r *Registry) CounterValue(name string) int64 {
+	return metrics.GetOrRegisterCounter(name, r.registry).Count()
 }
 
 // SetGauge sets a gauge to v.
-func (s *Registry) SetGauge(name string, v int64) {
-	metrics.GetOrRegisterGauge(name, s.registry).Update(v)
+func (r *Registry) SetGauge(name string, v int64) {
+	metrics.GetOrRegisterGauge(name, r.registry).Update(v)
 }
 
 // RecordDuration records a duration in a timer.
-func (s *Registry) RecordDuration(name string, d time.Duration) {
-	metrics.GetOrRegisterTimer(name, s.registry).Update(d)
+func (r *Registry) RecordDuration(name string, d time.Duration) {
+	metrics.GetOrRegisterTimer(name, r.registry).Update(d)
 }
 
 // ServeHTTP serves the metrics as JSON.
-func (s *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	metrics.WriteJSONOnce(s.registry, w)
+	metrics.WriteJSONOnce(r.registry, w)
 }
 
 // ServeText serves the metrics as text, with one value per line.
-func (s *Registry) ServeText(w http.ResponseWriter, _ *http.Request) {
+func (r *Registry) ServeText(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	metrics.WriteOnce(s.registry, w)
+	metrics.WriteOnce(r.registry, w)
 }
--- a/profs/fits.go
+++ b/profs/fits.go
@@ -15,8 +15,8 @@
 
 // CapacityCheck returns a check that rejects a document if its models do not fit
 // on the pool's servers together with the models of the other profiles. It
-// requires free memory for a second copy of the largest model, so that a model
-// can be moved by loading the new copy before unloading the old one.
+// requires free memory for a second replica of the largest model, so that a model
+// can be moved by loading the new replica before unloading the old one.
 func CapacityCheck(list func(ctx context.Context, kind string) (store.Listing, error)) func(context.Context, wire.Profile) error {
 	return func(ctx context.Context, doc wire.Profile) error {
 		servers, err := list(ctx, "servers")
@@ -73,8 +73,8 @@
 }
 
 // checkPacking places the models on the servers by first fit, in descending order
-// of size. It returns an error if a model or a second copy of the largest model
-// does not fit.
+// of size. It returns an error if a model or a second replica of the largest
+// model does not fit.
 func checkPacking(servers []wire.Server, sizes map[string]int) error {
 	if len(servers) == 0 {
 		return trace.BadParameter("pool has no servers")
--- a/profs/operate.go
+++ b/profs/operate.go
@@ -88,7 +88,7 @@
 	return o.write(ctx, doc, version)
 }
 
-// write makes the conditional update. If its answer is lost, write reads the
+// write makes the conditional update. If its response is lost, write reads the
 // object back to determine the result.
 func (o *Operator) write(ctx context.Context, doc wire.Profile, ifVersion int) (int, error) {
 	version, err := o.Put(ctx, ObjectKind, doc.Name, ifVersion, doc)
