--- a/answer.go
+++ b/answer.go
@@ -1,6 +1,6 @@
 package hibiscuscart
 
-// Answer is a complete answer: generated text, or the response of a plain
+// Answer is a complete response: generated text, or the response of a plain
 // HTTP service.
 type Answer struct {
 	Text         string `json:"text,omitempty"`
--- a/cause.go
+++ b/cause.go
@@ -81,7 +81,7 @@
 }
 
 // StatusClientClosedRequest is the status logged when a caller closes its
-// connection before the answer. No caller receives it.
+// connection before the response. No caller receives it.
 const StatusClientClosedRequest = 499
 
 func (c Cause) info() causeInfo {
--- a/failure.go
+++ b/failure.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Failure is the error of a request that ended without a complete answer. The
+// Failure is the error of a request that ended without a complete response. The
 // zero value is an internal error with an unknown outcome.
 type Failure struct {
 	cause      Cause
--- a/frame.go
+++ b/frame.go
@@ -1,6 +1,6 @@
 package hibiscuscart
 
-// Frame is one part of an answer that is streamed from a backend server to the
+// Frame is one part of a response that is streamed from a backend server to the
 // caller.
 type Frame struct {
 	// Attempt identifies the attempt that produced the frame.
@@ -11,6 +11,6 @@
 	Text string
 	// FinishReason is the reason why generation stopped; set on the last text frame.
 	FinishReason string
-	// End marks the last frame of a complete answer.
+	// End marks the last frame of a complete response.
 	End bool
 }
--- a/outcome.go
+++ b/outcome.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// OutcomeHeader is the response header that carries the Outcome of a request
-// that ended without a complete answer.
+// OutcomeHeader is the response header that carries the Outcome of a request. A
+// stream that has started has none, because its headers are sent before its end.
 const OutcomeHeader = "Hibiscuscart-Outcome"
 
 // Outcome is what a caller may conclude about a request that has ended.
@@ -16,7 +16,7 @@
 	OutcomeUnknown Outcome = iota
 	// OutcomeNotRun means that the request provably reached no backend server.
 	OutcomeNotRun
-	// OutcomeDone means that the request ran and its answer is complete.
+	// OutcomeDone means that the request ran and its response is complete.
 	OutcomeDone
 )
 
--- a/profile.go
+++ b/profile.go
@@ -56,8 +56,8 @@
 // BetweenTokensTarget returns the target for the time between two tokens.
 func (p Profile) BetweenTokensTarget() time.Duration { return milliseconds(p.doc.BetweenTokensMs) }
 
-// AnswerTimeout returns the target for the time to the complete answer. A request
-// is aborted after this time.
+// AnswerTimeout returns the target for the time to the complete response. A
+// request is canceled after this time.
 func (p Profile) AnswerTimeout() time.Duration { return milliseconds(p.doc.WholeAnswerMs) }
 
 // RunsAllowed returns how many times a request may be executed: 1 if requests
@@ -77,7 +77,7 @@
 // QueueLimit returns how many requests may be queued on each VM.
 func (p Profile) QueueLimit() int { return p.doc.QueueLimit }
 
-// MaxTokens returns the maximum number of tokens of an answer.
+// MaxTokens returns the maximum number of tokens of a response.
 func (p Profile) MaxTokens() int { return p.doc.MaxTokens }
 
 // KeyRetention returns how long an idempotency key is retained.
