--- a/answer.go
+++ b/answer.go
@@ -1,8 +1,8 @@
 package hibiscuscart
 
-// Answer is a complete response: generated text, or the response of a plain
-// HTTP service.
-type Answer struct {
+// Response is the complete response to a request: generated text, or what a
+// plain HTTP service returned.
+type Response struct {
 	Text         string `json:"text,omitempty"`
 	FinishReason string `json:"finish,omitempty"`
 	Tokens       int    `json:"tokens,omitempty"`
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -47,7 +47,7 @@
 func BenchmarkPipe(b *testing.B) {
 	w := newOverheadWorld(b)
 	d := w.VMs()["domain-1-1"]
-	sink := entry.Sink{WriteText: func(string) error { return nil }, WriteResponse: func(hibiscuscart.Answer) error { return nil }}
+	sink := entry.Sink{WriteText: func(string) error { return nil }, WriteResponse: func(hibiscuscart.Response) error { return nil }}
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Now()
--- a/entry/account.go
+++ b/entry/account.go
@@ -51,7 +51,7 @@
 
 // metTargets reports whether the response met the profile's latency targets.
 func (x *Exchange) metTargets(duration time.Duration) bool {
-	if duration > x.profile.AnswerTimeout() {
+	if duration > x.profile.ResponseTimeout() {
 		return false
 	}
 	if x.firstTokenAt.IsZero() {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -48,7 +48,7 @@
 	r := dedup.Request{
 		Key:      dedup.Key{Profile: x.request.Profile, Caller: x.request.Caller, Key: x.request.IdempotencyKey},
 		BodyHash: x.request.BodyHash(), GrantID: x.request.ID,
-		InProgressTimeout: x.profile.AnswerTimeout() + time.Second, Retention: x.profile.KeyRetention(),
+		InProgressTimeout: x.profile.ResponseTimeout() + time.Second, Retention: x.profile.KeyRetention(),
 	}
 	d, err := s.claim(ctx, r)
 	if d.Verdict != dedup.Granted {
@@ -106,7 +106,7 @@
 // replay returns the stored response of a request that has run, or a failure
 // when the response was not stored.
 func (s *claimStage) replay(x *Exchange, d dedup.Decision) error {
-	var response hibiscuscart.Answer
+	var response hibiscuscart.Response
 	if d.Response == "" || json.Unmarshal([]byte(d.Response), &response) != nil {
 		return hibiscuscart.Fail(hibiscuscart.CauseAlreadyRan, "the request with this key already ran; its answer is not kept").WithField(HeaderIdempotencyKey)
 	}
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -33,19 +33,19 @@
 	maxTokenGap  time.Duration
 	tokenCount   int
 	replayed     bool
-	response     hibiscuscart.Answer
+	response     hibiscuscart.Response
 }
 
 // Sink writes a response to the caller. WriteText is called for each part of a
 // stream, WriteResponse once at the end.
 type Sink struct {
 	WriteText     func(text string) error
-	WriteResponse func(r hibiscuscart.Answer) error
+	WriteResponse func(r hibiscuscart.Response) error
 }
 
 // discardErrors returns a Sink that ignores failed writes to the caller.
 func (s Sink) discardErrors() Sink {
-	sink := Sink{WriteResponse: func(r hibiscuscart.Answer) error {
+	sink := Sink{WriteResponse: func(r hibiscuscart.Response) error {
 		_ = s.WriteResponse(r)
 		return nil
 	}}
--- a/entry/profile.go
+++ b/entry/profile.go
@@ -42,7 +42,7 @@
 		return hibiscuscart.Fail(hibiscuscart.CauseProfileRetired, "the profile %q is retired", req.Profile).WithField("model")
 	}
 	x.profile = p
-	x.deadline = req.ArrivedAt.Add(p.AnswerTimeout())
+	x.deadline = req.ArrivedAt.Add(p.ResponseTimeout())
 	if p.IsService() != (req.Kind == hibiscuscart.KindPassThrough) {
 		return badInput("model", "the profile %q is not served through this interface", req.Profile)
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -141,7 +141,7 @@
 	if need.NoModel {
 		need.PromptPrefix = 0
 	}
-	searchDeadline := x.request.ArrivedAt.Add(x.profile.AnswerTimeout() / 2)
+	searchDeadline := x.request.ArrivedAt.Add(x.profile.ResponseTimeout() / 2)
 	for {
 		now := s.now()
 		candidates := s.fleet.Candidates(now, need)
@@ -234,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	x.response = hibiscuscart.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body}
+	x.response = hibiscuscart.Response{Status: response.Status, ContentType: response.ContentType, Body: response.Body}
 	return s.deliverResponse(x)
 }
 
@@ -263,7 +263,7 @@
 		err = resumeResult(err, resumeErr)
 	}
 	if err == nil {
-		x.response = hibiscuscart.Answer{Text: assembly.Text(), FinishReason: assembly.FinishReason(), Tokens: assembly.DeliveredFrames()}
+		x.response = hibiscuscart.Response{Text: assembly.Text(), FinishReason: assembly.FinishReason(), Tokens: assembly.DeliveredFrames()}
 		return s.deliverResponse(x)
 	}
 	if hibiscuscart.AsFailure(err).Outcome() == hibiscuscart.OutcomeUnknown {
--- a/entry/sinks.go
+++ b/entry/sinks.go
@@ -79,7 +79,7 @@
 	w.http.WriteHeader(status)
 }
 
-func (w *responseWriter) writeServiceResponse(r hibiscuscart.Answer) error {
+func (w *responseWriter) writeServiceResponse(r hibiscuscart.Response) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
 	w.writeHeader(r.ContentType, r.Status)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func (w *responseWriter) writeJSONResponse(r hibiscuscart.Answer) error {
+func (w *responseWriter) writeJSONResponse(r hibiscuscart.Response) error {
 	w.extendDeadline()
 	w.http.Header().Set(hibiscuscart.OutcomeHeader, hibiscuscart.OutcomeDone.String())
 	w.writeHeader("application/json", http.StatusOK)
@@ -133,7 +133,7 @@
 	return w.writeEvent(w.newCompletion(c))
 }
 
-func (w *responseWriter) writeStreamEnd(r hibiscuscart.Answer) error {
+func (w *responseWriter) writeStreamEnd(r hibiscuscart.Response) error {
 	last := choice{Finish: &r.FinishReason}
 	if w.request.Kind == hibiscuscart.KindChat {
 		last.Delta = &delta{}
--- a/profile.go
+++ b/profile.go
@@ -56,9 +56,9 @@
 // BetweenTokensTarget returns the target for the time between two tokens.
 func (p Profile) BetweenTokensTarget() time.Duration { return milliseconds(p.doc.BetweenTokensMs) }
 
-// AnswerTimeout returns the target for the time to the complete response. A
+// ResponseTimeout returns the target for the time to the complete response. A
 // request is canceled after this time.
-func (p Profile) AnswerTimeout() time.Duration { return milliseconds(p.doc.WholeAnswerMs) }
+func (p Profile) ResponseTimeout() time.Duration { return milliseconds(p.doc.WholeAnswerMs) }
 
 // RunsAllowed returns how many times a request may be executed: 1 if requests
 // are not idempotent.
