--- a/admit/gate.go
+++ b/admit/gate.go
@@ -82,7 +82,7 @@
 	return g.evictFor(t)
 }
 
-// missesDeadline reports whether t can not be answered before its deadline. It
+// missesDeadline reports whether t cannot be answered before its deadline. It
 // assumes that a ticket that will miss its target is served with the capacity
 // that new arrivals leave free.
 func (g *Gate) missesDeadline(now time.Time, t Ticket) bool {
@@ -94,7 +94,7 @@
 }
 
 // Expire lowers the rank of waiting requests that have missed their targets.
-// It removes and returns those that can not be answered before their deadlines
+// It removes and returns those that cannot be answered before their deadlines
 // either; they must be refused.
 func (g *Gate) Expire(now time.Time) []Ticket {
 	var missed, refused []Ticket
@@ -163,7 +163,7 @@
 
 // evictFor evicts a ticket from a full queue in favor of t. In the lowest rank
 // it evicts the last ticket of the caller with the most tickets relative to
-// its weight, so a flood by one caller can not displace the requests of
+// its weight, so a flood by one caller cannot displace the requests of
 // others.
 func (g *Gate) evictFor(t Ticket) (Verdict, *Ticket) {
 	lowest := t.Rank()
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -1,7 +1,7 @@
 // Package admit decides which requests of a profile may be in progress at a
 // VM, which wait and which are refused. It limits concurrency, queues a
 // limited number of requests fairly among callers, and refuses early those
-// that can not be answered in time. It does no I/O and reads no clock.
+// that cannot be answered in time. It does no I/O and reads no clock.
 package admit
 
 import (
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -84,7 +84,7 @@
 	// reused is set once the connection has been in the pool.
 	reused bool
 	// expiresAt is when the connection is too old for any request, safeUntil
-	// when it is too old for a request that can not be repeated.
+	// when it is too old for a request that cannot be repeated.
 	expiresAt, safeUntil time.Time
 	// stallTimeout is how long a read waits before it calls abortOnStall; 0
 	// waits for as long as the connection lasts.
@@ -102,7 +102,7 @@
 // SetStallTimeout makes each read that waits for longer than timeout call
 // abort, and again after every further timeout. The read fails only when abort
 // returns true: a silent server may still respond, and a request should abandon
-// it only when another server is available. The readers of net/http can not
+// it only when another server is available. The readers of net/http cannot
 // continue after a failed read, so they must not see the deadline. A timeout of
 // 0 disables the check.
 func (c *Conn) SetStallTimeout(timeout time.Duration, abort func() bool) {
--- a/conns/pool_test.go
+++ b/conns/pool_test.go
@@ -191,7 +191,7 @@
 }
 
 // A server closes idle connections after some seconds without announcing the
-// timeout. A request that can not be repeated must not use an aged connection,
+// timeout. A request that cannot be repeated must not use an aged connection,
 // where it could be lost. A repeatable one must, as a new connection costs the
 // server more.
 func TestAgedConnectionsServeRepeatableRequestsOnly(t *testing.T) {
@@ -207,7 +207,7 @@
 }
 
 // A connection is removed from the pool and put back unused. Its expiry must not
-// move, or a request that can not be repeated could use an aged connection and
+// move, or a request that cannot be repeated could use an aged connection and
 // be lost.
 func TestPutUnusedKeepsExpiry(t *testing.T) {
 	address, _ := listen(t)
--- a/ctrl/budget.go
+++ b/ctrl/budget.go
@@ -47,7 +47,7 @@
 }
 
 // Propose returns the next object, given the loads that the domain wants and
-// those in progress. The domain can not return the share of loads in progress.
+// those in progress. The domain cannot return the share of loads in progress.
 // Propose reports whether the object must be written.
 func (b *Budget) Propose(wanted, inProgress LoadQuota) (wire.Budget, bool) {
 	current := b.ownShare()
--- a/ctrl/replica_pins.go
+++ b/ctrl/replica_pins.go
@@ -11,7 +11,7 @@
 // unloaded. The controller of each failure domain adds and removes the pins of
 // its own domain's servers, and unpins a loaded replica only while another
 // pinned replica of the model remains. As all controllers write one object by
-// conditional update, two domains can not unpin the last two replicas
+// conditional update, two domains cannot unpin the last two replicas
 // concurrently.
 //
 // FailureDomain and Controller must be set.
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -54,7 +54,7 @@
 	return &admissionStage{now: d.now, concurrencyShare: d.peers.concurrencyShare, freeSlots: d.freeSlots, queues: make(map[string]*admissionQueue), waiters: make(map[uint64]chan error)}
 }
 
-// runExpiry refuses waiting requests that can not be answered in time, until
+// runExpiry refuses waiting requests that cannot be answered in time, until
 // ctx ends.
 func (s *admissionStage) runExpiry(ctx context.Context) {
 	for pause.For(ctx, queueCheckInterval) {
@@ -145,7 +145,7 @@
 // setLimits bounds the requests in progress by the VM's share of the profile's
 // limit and by the free slots of the servers that have loaded the model. A
 // request that waits in this queue can still be refused in time or sent to
-// another server; one that waits at a server can not.
+// another server; one that waits at a server cannot.
 func (s *admissionStage) setLimits(q *admissionQueue) {
 	concurrency := s.concurrencyShare(q.profile, q.Running()+q.Waiting()+1)
 	if free, known := s.freeSlots(q.profile, q.model); known {
--- a/entry/claimer.go
+++ b/entry/claimer.go
@@ -86,7 +86,7 @@
 	return r
 }
 
-// claim requests a claim from the shard's owner. When the owner can not be
+// claim requests a claim from the shard's owner. When the owner cannot be
 // reached or does not reply, this VM writes the shard itself.
 func (c *claimer) claim(ctx context.Context, _ time.Time, r dedup.Request) (dedup.Decision, error) {
 	shard := c.shardOf(r.StoredKey())
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -64,7 +64,7 @@
 }
 
 // detach lets a granted request run to completion after its caller disconnects.
-// The request can not run again, so its response is stored and the caller can
+// The request cannot run again, so its response is stored and the caller can
 // fetch it with the same key.
 func detach(ctx context.Context, x *Exchange) (context.Context, context.CancelFunc) {
 	x.sink = x.sink.discardErrors()
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -68,7 +68,7 @@
 }
 
 // The server that runs an idempotent request crashes in the middle of the
-// stream. The run can not be resumed. It starts again on another server,
+// stream. The run cannot be resumed. It starts again on another server,
 // transparently: the caller gets each token once.
 func TestServerCrashInStream(t *testing.T) {
 	deployment := startDeployment(t, nil)
@@ -277,7 +277,7 @@
 	require.Error(t, err, "the VM still accepts connections after StopVM")
 }
 
-// A VM can not reach the platform while one profile is changed and another is
+// A VM cannot reach the platform while one profile is changed and another is
 // retired. It gets both changes from its peer, and a delayed copy of the old
 // document does not reactivate the retired profile.
 func TestProfileUpdateThroughPeers(t *testing.T) {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -44,7 +44,7 @@
 // errStalled is the cancellation cause of a stalled stream.
 var errStalled = errors.New("the stream stalled")
 
-// relayStage sends a request to a backend server, retries it where that can not
+// relayStage sends a request to a backend server, retries it where that cannot
 // exceed the allowed number of runs, and forwards the response to the caller.
 type relayStage struct {
 	fleet *fleet.View
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -33,7 +33,7 @@
 	delta int
 }
 
-// load returns the reported load, corrected by this VM's requests that the report can't
+// load returns the reported load, corrected by this VM's requests that the report cannot
 // include yet.
 func (s *server) load(now time.Time) int {
 	n := s.report.Running + s.report.Queued
--- a/link/conn.go
+++ b/link/conn.go
@@ -60,7 +60,7 @@
 }
 
 // SendEncoded writes a frame returned by Encode, so that a frame for many VMs is encoded
-// once. It ignores the end of ctx once the write has begun: a partly written frame can't be
+// once. It ignores the end of ctx once the write has begun: a partly written frame cannot be
 // undone, so canceling it would close the link. One request whose caller left or whose
 // timeout ended would then disconnect its VM from all others.
 func (c *Conn) SendEncoded(ctx context.Context, data []byte) error {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Receive reads one frame. After an error the link can't be used any more. For a refused
+// Receive reads one frame. After an error the link cannot be used any more. For a refused
 // frame it sends a refusal to the other side and returns a trace.BadParameter error.
 func (c *Conn) Receive(ctx context.Context) (*wire.Message, error) {
 	_, data, err := c.ws.Read(ctx)
--- a/link/keys.go
+++ b/link/keys.go
@@ -26,7 +26,7 @@
 }
 
 // Role returns the role that the key of a request grants. The comparison takes constant
-// time, so that a key can't be guessed byte by byte.
+// time, so that a key cannot be guessed byte by byte.
 func (k Keys) Role(r *http.Request) Role {
 	given := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	peer := keysEqual(given, k.Peer)
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -136,7 +136,7 @@
 }
 
 // pipeDialer returns a dial function whose connections h serves over in-memory
-// pipes, as synctest can not detect that a goroutine is blocked on a socket. It
+// pipes, as synctest cannot detect that a goroutine is blocked on a socket. It
 // counts the calls.
 func pipeDialer(t *testing.T, h http.HandlerFunc, calls *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 	t.Helper()
