--- a/conns/pool.go
+++ b/conns/pool.go
@@ -47,10 +47,10 @@
 	keepAliveInterval = time.Second
 )
 
-// Dial opens a TCP connection that detects a dead peer. Closing it discards
-// undelivered bytes. Otherwise bytes delayed by a network partition would
-// arrive when the partition heals, and the peer would run a request or an order
-// that was abandoned long ago.
+// Dial opens a TCP connection that detects an unreachable peer. Closing it
+// discards undelivered bytes. Otherwise bytes delayed by a network partition
+// would arrive when the partition heals, and the peer would run a request or an
+// order that was abandoned long ago.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	probes := net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2}
 	d := net.Dialer{KeepAliveConfig: probes, Control: func(_, _ string, c syscall.RawConn) error {
@@ -84,7 +84,7 @@
 	// reused is set once the connection has been in the pool.
 	reused bool
 	// expiresAt is when the connection is too old for any request, safeUntil
-	// when it is too old for a request that can not be repeated.
+	// when it is too old for a request that cannot be repeated.
 	expiresAt, safeUntil time.Time
 	// stallTimeout is how long a read waits before it calls abortOnStall; 0
 	// waits for as long as the connection lasts.
@@ -102,7 +102,7 @@
 // SetStallTimeout makes each read that waits for longer than timeout call
 // abort, and again after every further timeout. The read fails only when abort
 // returns true: a silent server may still respond, and a request should abandon
-// it only when another server is available. The readers of net/http can not
+// it only when another server is available. The readers of net/http cannot
 // continue after a failed read, so they must not see the deadline. A timeout of
 // 0 disables the check.
 func (c *Conn) SetStallTimeout(timeout time.Duration, abort func() bool) {
@@ -116,13 +116,13 @@
 type stallReader struct{ *Conn }
 
 // Read implements io.Reader.
-func (w stallReader) Read(p []byte) (int, error) {
+func (r stallReader) Read(p []byte) (int, error) {
 	for {
-		if w.stallTimeout > 0 {
-			_ = w.net.SetReadDeadline(time.Now().Add(w.stallTimeout))
+		if r.stallTimeout > 0 {
+			_ = r.net.SetReadDeadline(time.Now().Add(r.stallTimeout))
 		}
-		n, err := w.net.Read(p)
-		if n > 0 || w.stallTimeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.abortOnStall() {
+		n, err := r.net.Read(p)
+		if n > 0 || r.stallTimeout == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.abortOnStall() {
 			return n, err
 		}
 	}
@@ -176,8 +176,8 @@
 	return observed
 }
 
-// Pool keeps idle connections by key. A key identifies one run of one server
-// process. The zero value is ready to use.
+// Pool keeps idle connections by key. A key identifies one instance of one
+// backend server. The zero value is ready to use.
 type Pool struct {
 	// DialFunc opens a connection; nil uses the function Dial.
 	DialFunc func(ctx context.Context, address string) (net.Conn, error)
--- a/link/conn.go
+++ b/link/conn.go
@@ -32,12 +32,12 @@
 	ws        *websocket.Conn
 	peerHello wire.Hello
 	role      Role
-	count     func(sent, received int)
+	onBytes   func(sent, received int)
 }
 
 func (c *Conn) countBytes(sent, received int) {
-	if c.count != nil {
-		c.count(sent, received)
+	if c.onBytes != nil {
+		c.onBytes(sent, received)
 	}
 }
 
@@ -60,7 +60,7 @@
 }
 
 // SendEncoded writes a frame returned by Encode, so that a frame for many VMs is encoded
-// once. It ignores the end of ctx once the write has begun: a partly written frame can't be
+// once. It ignores the end of ctx once the write has begun: a partly written frame cannot be
 // undone, so canceling it would close the link. One request whose caller left or whose
 // timeout ended would then disconnect its VM from all others.
 func (c *Conn) SendEncoded(ctx context.Context, data []byte) error {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Receive reads one frame. After an error the link can't be used any more. For a refused
+// Receive reads one frame. After an error the link cannot be used any more. For a refused
 // frame it sends a refusal to the other side and returns a trace.BadParameter error.
 func (c *Conn) Receive(ctx context.Context) (*wire.Message, error) {
 	_, data, err := c.ws.Read(ctx)
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	return handshake(ctx, &Conn{ws: ws, role: RolePeer, count: d.CountBytes}, d.Hello(), d.MaxFrameBytes)
+	return handshake(ctx, &Conn{ws: ws, role: RolePeer, onBytes: d.CountBytes}, d.Hello(), d.MaxFrameBytes)
 }
 
 // Acceptor accepts links.
@@ -167,7 +167,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), handshakeTimeout)
-	conn, err := handshake(ctx, &Conn{ws: ws, role: role, count: a.CountBytes}, a.Hello(), a.MaxFrameBytes)
+	conn, err := handshake(ctx, &Conn{ws: ws, role: role, onBytes: a.CountBytes}, a.Hello(), a.MaxFrameBytes)
 	cancel()
 	if err != nil {
 		a.reportRefused(err)
