--- a/replay/load_reports.go
+++ b/replay/load_reports.go
@@ -7,7 +7,7 @@
 )
 
 // Each VM has the exact load of its own requests. It receives the load of the other VMs in its
-// domain from the domain's relay, and that of the other domains from the relay and the
+// failure domain from the domain's relay, and that of the other domains from the relay and the
 // controller. The frames at each level carry what their sender had received by then.
 
 const (
@@ -20,7 +20,7 @@
 	minVMsForRelays = 20
 )
 
-// hubLoads holds the loads received by the hubs, the relays and the controller.
+// hubLoads holds the loads that the hubs, which are the relays and the controller, have received.
 type hubLoads struct {
 	// domainLoads are the sums of each domain's VMs, as last reported to the controller.
 	domainLoads []map[string]pick.Load
--- a/replay/pattern.go
+++ b/replay/pattern.go
@@ -62,7 +62,7 @@
 	// Priority is the priority at a server, 0 being the most urgent.
 	Priority int
 	// Objective is the time to the first event, and MaxEventGap the longest pause between later
-	// events, within which an answer is worth Worth. Other complete answers are worth LateWorth.
+	// events, within which a response is worth Worth. Other complete responses are worth LateWorth.
 	Objective, MaxEventGap time.Duration
 	Worth, LateWorth       float64
 	// CallerTimeout is the time after which a caller that has received no event disconnects.
@@ -92,8 +92,8 @@
 	// number of concurrent loads up to which each runs at full speed.
 	StoreLoadsPerSecond float64
 	FullSpeedLoads      int
-	// CrossDomainLatency is the one-way latency between a VM and a server in another domain, and
-	// IntraDomainLatency the one within a domain.
+	// CrossDomainLatency is the one-way latency between a VM and a server in another failure
+	// domain, and IntraDomainLatency the one within a failure domain.
 	CrossDomainLatency, IntraDomainLatency time.Duration
 	// RetriesPerRequest and ExtraRetries set the retry budget: the retries allowed per request, and in
 	// addition to these in each budget window, summed over all VMs.
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -115,8 +115,8 @@
 	require.Zero(t, c.cachedTokens(newRequest(1, 5)))
 }
 
-// Guards against a policy change that lowers the worth of answers under the worst load: demand
-// shifts to models with one copy each during bursts, a quarter of the servers is down for two
+// Guards against a policy change that lowers the worth of responses under the worst load: demand
+// shifts to models with one replica each during bursts, a quarter of the servers is down for two
 // seconds, and a sixth is slow. The policies were chosen by these figures.
 func TestWorstLoad(t *testing.T) {
 	const fewSeeds, manySeeds = 4, 20
--- a/replay/request.go
+++ b/replay/request.go
@@ -67,7 +67,7 @@
 	})
 }
 
-// deliverEnd sends the end of the answer to the VM.
+// deliverEnd sends the end of the response to the VM.
 func (a *attempt) deliverEnd() {
 	sim := a.request.vm.sim
 	longestPause := a.batchRequest.MaxEventGap()
--- a/replay/server.go
+++ b/replay/server.go
@@ -16,11 +16,11 @@
 	sim    *simulation
 	index  int
 	domain string
-	// startCount is the number of starts, and id identifies the current one.
-	startCount int
-	id         string
-	down       bool
-	batch      *batch.Server
+	// instanceCount is the number of instances so far, and id identifies the current one.
+	instanceCount int
+	id            string
+	down          bool
+	batch         *batch.Server
 	// stepScheduled is set while the end of the current step is in the event queue.
 	stepScheduled bool
 	loaded        map[int]bool
@@ -51,8 +51,8 @@
 }
 
 func (s *server) start() {
-	s.startCount++
-	s.id = fmt.Sprintf("s%04d-%d", s.index, s.startCount)
+	s.instanceCount++
+	s.id = fmt.Sprintf("s%04d-%d", s.index, s.instanceCount)
 	spec := s.sim.pattern.Fleet.ServerSpec
 	s.batch = &batch.Server{Spec: spec}
 	s.loaded, s.order, s.sequence, s.hostCache = make(map[int]bool), nil, 0, nil
@@ -108,9 +108,9 @@
 	for _, a := range s.sim.sortAttempts(attempts) {
 		a.fail()
 	}
-	startCount := s.startCount
+	instance := s.instanceCount
 	s.sim.scheduleAfter(downtime, func() {
-		if s.startCount == startCount {
+		if s.instanceCount == instance {
 			s.start()
 			s.sim.publishEntry(s)
 		}
@@ -292,7 +292,7 @@
 	})
 }
 
-// addModel adds a loaded model, with copies in the host memory cache and on disk.
+// addModel adds a loaded model, and its weights to the caches in host memory and on disk.
 func (s *server) addModel(m int) {
 	f := &s.sim.pattern.Fleet
 	s.loaded[m] = true
--- a/replay/simulation.go
+++ b/replay/simulation.go
@@ -134,7 +134,7 @@
 }
 
 // placeInitialModels distributes the servers over the models of classes with ActiveModels set, in
-// proportion to their shares of the demand, and then places each model without a copy on one server.
+// proportion to their shares of the demand, and then places each model without a replica on one server.
 func (sim *simulation) placeInitialModels() {
 	f := &sim.pattern.Fleet
 	total := make([]float64, len(f.Models))
@@ -165,7 +165,7 @@
 	}
 }
 
-// placeModel adds a copy on the server with the most free memory that has not loaded the model.
+// placeModel adds a replica on the server with the most free memory that has not loaded the model.
 func (sim *simulation) placeModel(m int) {
 	var best *server
 	for _, s := range sim.servers {
--- a/replay/tally.go
+++ b/replay/tally.go
@@ -84,7 +84,7 @@
 	t.predictionErrors = append(t.predictionErrors, observed-a.choice.PredictedTime)
 }
 
-func (t *Tally) recordAnswer(_ time.Duration, r *request) {
+func (t *Tally) recordResponse(_ time.Duration, r *request) {
 	late := ""
 	switch {
 	case r.firstEventAt-r.firstArrivedAt > r.class.Objective && r.isRetry:
@@ -174,10 +174,10 @@
 		fmt.Fprintf(&b, "  %-14s worth %.3f of %d\n", name, c.Worth(), c.Requests)
 	}
 	fmt.Fprintf(&b, "  with an adapter worth %.3f of %d; %d adapter orders\n", t.adapterRequests.Worth(), t.adapterRequests.Requests, t.adapterOrders)
-	order := slices.SortedFunc(maps.Keys(t.reasons), func(a, b string) int {
+	reasons := slices.SortedFunc(maps.Keys(t.reasons), func(a, b string) int {
 		return cmp.Or(cmp.Compare(t.reasons[b], t.reasons[a]), cmp.Compare(a, b))
 	})
-	for _, reason := range order {
+	for _, reason := range reasons {
 		fmt.Fprintf(&b, "  %6d %s\n", t.reasons[reason], reason)
 	}
 	return b.String()
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -264,7 +264,7 @@
 	})
 }
 
-// fail ends a request without an answer.
+// fail ends a request without a complete response.
 func (v *vm) fail(r *request, reason string) {
 	if r.ended {
 		return
@@ -281,10 +281,10 @@
 	}
 	r.ended = true
 	delete(v.pending, r)
-	v.sim.tally.recordAnswer(v.sim.now, r)
+	v.sim.tally.recordResponse(v.sim.now, r)
 }
 
-// takeDemand returns the demand since the last call.
+// takeDemand returns and resets the demand since the last call.
 func (v *vm) takeDemand() []steer.ModelDemand {
 	list := make([]steer.ModelDemand, 0, len(v.demand))
 	for _, d := range v.demand {
