--- a/trail/log.go
+++ b/trail/log.go
@@ -82,7 +82,7 @@
 	vms      map[textID]bool
 	requests []Request
 	orders   []order
-	// failedAttempts counts the attempts that a server did not answer, by server and reason.
+	// failedAttempts counts the failed attempts, by server and reason.
 	failedAttempts map[failedAttempt]int
 	// timeline holds the lines of the request selected by RequestID.
 	timeline []timelineLine
--- a/trail/request.go
+++ b/trail/request.go
@@ -11,11 +11,11 @@
 
 // The outcomes.
 const (
-	// InTime is a complete answer within the objective and without a pause beyond the limit.
+	// InTime is a complete response within the objective and without a pause beyond the limit.
 	InTime Outcome = iota
-	// Late is a complete answer that missed the objective or exceeded the pause limit.
+	// Late is a complete response that missed the objective or exceeded the pause limit.
 	Late
-	// Lost means that there was no complete answer.
+	// Lost means that there was no complete response.
 	Lost
 )
 
@@ -32,7 +32,7 @@
 	longestPause, admissionWait, duration float32
 }
 
-// Causes of late answers. The causes of lost answers are the reasons in the log lines.
+// Causes of late responses. The causes of lost requests are the reasons in the log lines.
 const (
 	causeRetried       = "sent more than once"
 	causeAdmission     = "waited at the VM for server capacity"
--- a/trail/tables.go
+++ b/trail/tables.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// firstEventTime returns the time to the first event, or the duration if the answer is no stream.
+// firstEventTime returns the time to the first event, or the duration if the response is no stream.
 func (r *Request) firstEventTime() float32 {
 	if r.streamed {
 		return r.firstEvent
--- a/trail/trail_test.go
+++ b/trail/trail_test.go
@@ -17,14 +17,14 @@
 
 const recordedLog = "testdata/site.log"
 
-// readRecordedLog reads the log of a deployment with simulated backend servers: three VMs, 180
-// requests, a model server that restarts, interrupted streams, and lost answers.
-func readRecordedLog(t *testing.T, follow string) *trail.Log {
+// readRecordedLog reads the log of a deployment with backend server stand-ins: three VMs, 180
+// requests, a model server that restarts, interrupted streams, and lost responses.
+func readRecordedLog(t *testing.T, requestID string) *trail.Log {
 	t.Helper()
 	f, err := os.Open(recordedLog)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, f.Close()) }()
-	l := &trail.Log{RequestID: follow}
+	l := &trail.Log{RequestID: requestID}
 	require.NoError(t, l.Read(recordedLog, f))
 	return l
 }
