--- a/stand/answer.go
+++ b/stand/answer.go
@@ -37,7 +37,7 @@
 var markerPattern = regexp.MustCompile(`\[req ([A-Za-z0-9_.-]+)\]`)
 
 // Marker returns the text that a load generator includes in a request so that
-// the fakes can count its executions.
+// the stand-ins can count its executions.
 func Marker(id string) string { return "[req " + id + "]" }
 
 // markedRequestID returns the request ID in the marker of a text, or "" if the
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -22,7 +22,7 @@
 	DuplicateResponses int
 	// Rejections is how many requests are rejected without execution.
 	Rejections int
-	// LostOrderReplies is how many orders are executed without a reply.
+	// LostOrderReplies is how many orders are executed without a response.
 	LostOrderReplies int
 	// ForgedResponses is how many requests get a response without the proof that it comes
 	// from this server.
@@ -53,8 +53,8 @@
 	return true
 }
 
-// Backend is a fake backend server of the platform. It executes requests that the
-// gateway forwards unchanged, holds models and adapters in limited memory, and
+// Backend is a stand-in for a backend server of the platform. It executes requests that
+// the gateway forwards unchanged, loads models and adapters into limited memory, and
 // accepts orders with an expected sequence number. It implements no wire protocol;
 // another package exposes it over HTTP. ID, Service and the limits must be set.
 type Backend struct {
@@ -91,7 +91,7 @@
 	// crashCount counts the executed requests with CrashBody.
 	crashCount    int
 	pendingFaults *PendingFaults
-	// startedAt is the time of the last restart with the same ID; zero before the first restart.
+	// startedAt is the start time of the current instance; zero before the first restart.
 	startedAt time.Time
 }
 
@@ -212,20 +212,20 @@
 	return steer.Report{Born: b.startedAt, Models: b.loadedModelsLocked(), Busy: b.orderInProgress, Sequence: b.orderSequence}
 }
 
-// HandleOrder handles an order. It also reports whether the reply is to be dropped.
+// HandleOrder handles an order. It also reports whether the response is to be dropped.
 func (b *Backend) HandleOrder(o steer.Order) (steer.OrderResult, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	dropReply := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostOrderReplies })
+	dropResponse := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostOrderReplies })
 	if b.orderInProgress || o.ExpectedSequence != b.orderSequence {
-		return steer.Conflict, dropReply
+		return steer.Conflict, dropResponse
 	}
 	if o.Adapter != "" {
-		return b.applyAdapterOrderLocked(o), dropReply
+		return b.applyAdapterOrderLocked(o), dropResponse
 	}
 	_, loaded := b.models[o.Model]
 	if loaded != o.Unload {
-		return steer.Done, dropReply
+		return steer.Done, dropResponse
 	}
 	b.orderSequence++
 	b.orderInProgress = true
@@ -233,7 +233,7 @@
 		b.checkMemoryLocked(b.ModelSizeMB[o.Model])
 	}
 	go b.executeOrder(b.startedAt, o)
-	return steer.Accepted, dropReply
+	return steer.Accepted, dropResponse
 }
 
 // checkMemoryLocked records an overcommit when the loaded models and addedMB exceed the
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -58,8 +58,8 @@
 	PeakBytes     int64 `json:"peak_bytes"`
 }
 
-// Engine is a fake model engine. The zero value is ready for use: 80 GiB of
-// memory, 32 slots, no check of fencing numbers.
+// Engine is a stand-in for a model engine. The zero value is ready for use: 80 GiB
+// of memory, 32 slots, no check of fencing tokens.
 type Engine struct {
 	Name string
 	// MemoryBytes is the accelerator memory; KVBytes of it are reserved for the
@@ -94,7 +94,7 @@
 
 	mu            sync.Mutex
 	faults        EngineFaults
-	fencingNumber int
+	fencingToken  int
 	role          string
 	residents     map[residentKey]*resident
 	appliedOrders map[string]bool
@@ -106,7 +106,7 @@
 
 type engineCounters struct {
 	started, finished, canceled, tokens                   atomic.Int64
-	overcommits, staleFences                              atomic.Int64
+	overcommits, staleTokens                              atomic.Int64
 	loads, unloads, disconnects, delayedOrders, peakBytes atomic.Int64
 }
 
@@ -159,7 +159,7 @@
 	c := &e.counts
 	return EngineCounts{
 		Started: c.started.Load(), Finished: c.finished.Load(), Canceled: c.canceled.Load(),
-		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), StaleFences: c.staleFences.Load(),
+		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), StaleFences: c.staleTokens.Load(),
 		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Disconnects: c.disconnects.Load(),
 		DelayedOrders: c.delayedOrders.Load(), PeakBytes: c.peakBytes.Load(),
 	}
@@ -237,8 +237,8 @@
 }
 
 // checkMemoryLocked counts an overcommit when the memory in use exceeds the
-// capacity. A real engine would fail here; the fake continues so that overcommits
-// can be counted.
+// capacity. A real engine would fail here; the stand-in continues so that
+// overcommits can be counted.
 func (e *Engine) checkMemoryLocked() {
 	used := e.usedMemoryLocked()
 	if used > e.MemoryBytes {
@@ -271,7 +271,7 @@
 	report := wire.LoadReport{
 		Running: max(running-queued, 0), Queued: queued, Slots: e.Slots,
 		MemoryBytes: e.MemoryBytes, UsedBytes: e.usedMemoryLocked(),
-		Draining: e.faults.Draining, Role: e.role, Fence: e.fencingNumber,
+		Draining: e.faults.Draining, Role: e.role, Fence: e.fencingToken,
 		Residents: []wire.Resident{},
 	}
 	for k, r := range e.residents {
--- a/stand/engine_http.go
+++ b/stand/engine_http.go
@@ -32,7 +32,7 @@
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Report()) })
 	mux.HandleFunc("GET /events", e.cacheEvents)
 	mux.HandleFunc("POST /orders", e.order)
-	mux.HandleFunc("PUT /fence", e.raiseFence)
+	mux.HandleFunc("PUT /fence", e.raiseFencingToken)
 	mux.HandleFunc("PUT /control/faults", e.controlFaults)
 	mux.HandleFunc("GET /control/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Counts()) })
 	mux.HandleFunc("GET /control/runs", func(w http.ResponseWriter, _ *http.Request) { writeRuns(w, e.Runs) })
@@ -236,29 +236,29 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	fence, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
+	fencingToken, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
 	}
-	if e.injectOrderFault(order, fence) {
+	if e.injectOrderFault(order, fencingToken) {
 		closeConnection(w)
 		return
 	}
-	if err := e.Apply(order, fence); err != nil {
+	if err := e.Apply(order, fencingToken); err != nil {
 		writeProblem(w, http.StatusPreconditionFailed, err.Error())
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (e *Engine) raiseFence(w http.ResponseWriter, r *http.Request) {
-	fence, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
+func (e *Engine) raiseFencingToken(w http.ResponseWriter, r *http.Request) {
+	fencingToken, err := strconv.Atoi(r.Header.Get(headerFencingNumber))
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
 	}
-	if err := e.RaiseFencingNumber(fence); err != nil {
+	if err := e.RaiseFencingNumber(fencingToken); err != nil {
 		writeProblem(w, http.StatusPreconditionFailed, err.Error())
 		return
 	}
--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// The weight store slows down loads beyond its number at full speed. A load with
-// a canceled context fails.
+// The weight store limits the rate at which loads start and slows down loads beyond
+// its number at full speed. A load whose context is canceled before the start fails
+// and uses no capacity.
 func TestWeightStoreSlowdown(t *testing.T) {
 	s := &stand.WeightStore{LoadsPerSecond: 1000, FullSpeedModelLoads: 1, ModelLoadTime: 20 * time.Millisecond}
 	began := time.Now()
--- a/stand/objects.go
+++ b/stand/objects.go
@@ -17,11 +17,11 @@
 type ObjectStoreFaults struct {
 	// UnavailableTo lists the callers whose calls are rejected; "*" rejects all callers.
 	UnavailableTo []string
-	// LostReplies is how many of the next changes are applied without a reply.
+	// LostReplies is how many of the next changes are applied without a response.
 	LostReplies int
 }
 
-// ObjectStore is a fake of the platform's object store: one revision counter,
+// ObjectStore is a stand-in for the platform's object store: one revision counter,
 // conditional changes and long-poll watches over a history. It implements no wire
 // protocol; another package exposes it over HTTP. The zero value is ready for use.
 type ObjectStore struct {
@@ -62,15 +62,15 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.calls++
-	for _, away := range o.faults.UnavailableTo {
-		if away == "*" || away == caller {
+	for _, unavailableTo := range o.faults.UnavailableTo {
+		if unavailableTo == "*" || unavailableTo == caller {
 			return false
 		}
 	}
 	return true
 }
 
-// DropReply reports whether the reply to the last change is to be dropped.
+// DropReply reports whether the response to the last change is to be dropped.
 func (o *ObjectStore) DropReply() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/stand/orders.go
+++ b/stand/orders.go
@@ -8,41 +8,41 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// staleFenceError reports that a call had a fencing number below the highest
+// staleTokenError reports that a call had a fencing token below the highest
 // one received.
-type staleFenceError struct{ current int }
+type staleTokenError struct{ current int }
 
-func (e *staleFenceError) Error() string {
+func (e *staleTokenError) Error() string {
 	return fmt.Sprintf("the fencing number is now %d", e.current)
 }
 
-// RaiseFencingNumber sets the fencing number. It returns an error if the number is lower
+// RaiseFencingNumber sets the fencing token. It returns an error if the token is lower
 // than the current one.
-func (e *Engine) RaiseFencingNumber(number int) error {
+func (e *Engine) RaiseFencingNumber(token int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.checkFencingNumberLocked(number)
+	return e.checkFencingTokenLocked(token)
 }
 
-func (e *Engine) checkFencingNumberLocked(number int) error {
+func (e *Engine) checkFencingTokenLocked(token int) error {
 	if !e.ChecksFencing {
 		return nil
 	}
-	if number < e.fencingNumber {
-		e.counts.staleFences.Add(1)
-		return &staleFenceError{current: e.fencingNumber}
+	if token < e.fencingToken {
+		e.counts.staleTokens.Add(1)
+		return &staleTokenError{current: e.fencingToken}
 	}
-	e.fencingNumber = number
+	e.fencingToken = token
 	return nil
 }
 
 // Apply executes an order. A repeated order has no effect.
-func (e *Engine) Apply(order wire.Order, fencingNumber int) error {
+func (e *Engine) Apply(order wire.Order, fencingToken int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.checkFencingNumberLocked(fencingNumber); err != nil {
+	if err := e.checkFencingTokenLocked(fencingToken); err != nil {
 		return err
 	}
 	if e.appliedOrders[order.Order] {
@@ -116,7 +116,7 @@
 
 // injectOrderFault loses or delays an order, depending on the faults. It reports
 // whether the order's connection breaks.
-func (e *Engine) injectOrderFault(order wire.Order, fencingNumber int) bool {
+func (e *Engine) injectOrderFault(order wire.Order, fencingToken int) bool {
 	faults := e.Faults()
 	if e.shouldInject(faults.LostOrderShare) {
 		return true
@@ -125,6 +125,6 @@
 		return false
 	}
 	e.counts.delayedOrders.Add(1)
-	time.AfterFunc(time.Duration(faults.OrderDelayMs)*time.Millisecond, func() { _ = e.Apply(order, fencingNumber) })
+	time.AfterFunc(time.Duration(faults.OrderDelayMs)*time.Millisecond, func() { _ = e.Apply(order, fencingToken) })
 	return true
 }
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -45,7 +45,7 @@
 	LostReplies int64 `json:"lost"`
 }
 
-// Platform is a fake of the platform's object API. The zero value is ready for
+// Platform is a stand-in for the platform's object API. The zero value is ready for
 // use, with the rate limits that the platform is specified to have.
 type Platform struct {
 	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 is the
--- a/stand/runs.go
+++ b/stand/runs.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// RunCounter counts how often each marked request was executed by the fakes that share
+// RunCounter counts how often each marked request was executed by the stand-ins that share
 // it. The zero value is ready for use.
 type RunCounter struct {
 	mu   sync.Mutex
--- a/stand/service.go
+++ b/stand/service.go
@@ -34,7 +34,7 @@
 	Digest string `json:"digest"`
 }
 
-// Service is a fake plain service, which executes a call each time it is sent.
+// Service is a stand-in for a plain service, which executes a call each time it is sent.
 // The zero value is ready for use.
 type Service struct {
 	Name string
--- a/stand/weights.go
+++ b/stand/weights.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// WeightStore is a fake weight store. The zero value is ready for use, with the load
-// limits of the example deployment vadodara and a model load time of half a second.
+// WeightStore is a stand-in for the weight store. The zero value is ready for use, with
+// the load limits of the example deployment vadodara and a model load time of half a second.
 type WeightStore struct {
 	// LoadsPerSecond is the maximum rate at which model loads start.
 	LoadsPerSecond float64
@@ -28,7 +28,7 @@
 	mu                 sync.Mutex
 	activeModelLoads   int
 	activeAdapterLoads int
-	completedLoads     int
+	endedLoads         int
 }
 
 func (s *WeightStore) init() {
@@ -54,7 +54,7 @@
 func (s *WeightStore) CompletedLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.completedLoads
+	return s.endedLoads
 }
 
 // Fetch loads the weights for an order and returns when the load is complete.
@@ -100,7 +100,7 @@
 func (s *WeightStore) endLoad(order wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.completedLoads++
+	s.endedLoads++
 	if order.Adapter != "" {
 		s.activeAdapterLoads--
 		return
