--- a/demo/backends.go
+++ b/demo/backends.go
@@ -10,7 +10,7 @@
 )
 
 // AddBackend starts a backend server of a service. The index determines its ID, its failure domain
-// and, for a model server, the model that it holds at the start.
+// and, for a model server, the model that is loaded at the start.
 func (s *Site) AddBackend(service string, index int) (*stand.Backend, error) {
 	b := &stand.Backend{
 		ID: fmt.Sprintf("%s-%d", service, index), Service: service, Domain: fmt.Sprintf("domain-%d", index%siteDefaultCount), Slots: 8, ProcessingTime: siteWorkTime, Runs: s.Runs,
--- a/demo/check.go
+++ b/demo/check.go
@@ -106,9 +106,9 @@
 // CheckExecutions checks outcomes against the executions that the servers recorded, once all
 // requests have ended. A violation is an at-most-once request that ran twice, an at-most-once
 // request that ran although its caller got status 503 (not run), or a success that no server ran.
-func (c *Checks) CheckExecutions(outcomes []Outcome, ledger *stand.RunLog) {
+func (c *Checks) CheckExecutions(outcomes []Outcome, runs *stand.RunLog) {
 	for _, o := range outcomes {
-		executions := len(ledger.Servers(o.ID))
+		executions := len(runs.Servers(o.ID))
 		if o.Kind.AtMostOnce && executions > 1 {
 			c.AddViolation("%s %s: ran %d times", o.Kind.Name, o.ID, executions)
 		}
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -34,10 +34,10 @@
 	MaxVMsPerDomain int
 	// MaxVMs limits the total number of entry VMs; 0 means no limit.
 	MaxVMs int
-	// Preload starts the deployment with one copy of each model loaded, as in a deployment that has
+	// Preload starts the deployment with one replica of each model loaded, as in a deployment that has
 	// been running.
 	Preload bool
-	// PreloadCopies is the number of copies of each model that Preload loads; 0 means one.
+	// PreloadCopies is the number of replicas of each model that Preload loads; 0 means one.
 	PreloadCopies int
 	// AdjustEngine changes an engine stand-in before it starts.
 	AdjustEngine func(*stand.Engine)
@@ -69,7 +69,7 @@
 
 // Start starts a deployment. The caller must call Close.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
-	w := &Deployment{
+	d := &Deployment{
 		Platform: &stand.Platform{
 			WritesPerSecond: o.Settings.Float("platform", "writes_per_second"),
 			ReadsPerSecond:  o.Settings.Float("platform", "reads_per_second"),
@@ -80,12 +80,12 @@
 		engines: make(map[string]*stand.Engine), services: make(map[string]*stand.Service),
 		httpServers: make(map[string]*http.Server), vms: make(map[string]*entry.Daemon), killed: make(map[string]bool),
 	}
-	w.Platform.Random = w.randomFloat
-	if err := w.start(ctx); err != nil {
-		w.Close()
+	d.Platform.Random = d.randomFloat
+	if err := d.start(ctx); err != nil {
+		d.Close()
 		return nil, err
 	}
-	return w, nil
+	return d, nil
 }
 
 // NewWeightStore returns a stand-in for the weight store in the settings.
@@ -182,15 +182,15 @@
 	}
 }
 
-// preloadModels makes PreloadCopies copies of each model resident on the engines.
+// preloadModels makes PreloadCopies replicas of each model resident on the engines.
 func (d *Deployment) preloadModels() {
-	var demands []naive.PoolModel
+	var models []naive.PoolModel
 	for _, doc := range d.options.Profiles {
 		for _, m := range doc.Models {
-			demands = append(demands, naive.PoolModel{Pool: doc.Pool, Model: m})
+			models = append(models, naive.PoolModel{Pool: doc.Pool, Model: m})
 		}
 	}
-	placement, _ := naive.Place(d.servers, demands, max(d.options.PreloadCopies, 1))
+	placement, _ := naive.Place(d.servers, models, max(d.options.PreloadCopies, 1))
 	for server, artifacts := range placement {
 		for _, a := range artifacts {
 			d.engines[server].SetResident(a.Model, a.Adapter, a.Version, a.Bytes)
--- a/demo/drive.go
+++ b/demo/drive.go
@@ -90,7 +90,7 @@
 		fmt.Fprintf(out, "%-8s %8d %8d\n", k.Name, sent[k.Name], served[k.Name])
 	}
 	fmt.Fprintf(out, "violated guarantees: %d\n", len(violations))
-	for _, b := range violations {
-		fmt.Fprintln(out, "  "+b)
+	for _, violation := range violations {
+		fmt.Fprintln(out, "  "+violation)
 	}
 }
--- a/demo/limit_test.go
+++ b/demo/limit_test.go
@@ -26,7 +26,7 @@
 func sendLoad(ctx context.Context, s *demo.Site, method, path, model string) []callResult {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	var answers []callResult
+	var results []callResult
 	end := time.Now().Add(loadDuration)
 	for v, address := range s.VMAddresses() {
 		wait.Go(func() {
@@ -35,14 +35,14 @@
 					got := call(ctx, s, address, fmt.Sprintf("%s-%d-%d-%d", model, v, i, end.UnixNano()), method, path, model)
 					mu.Lock()
 					defer mu.Unlock()
-					answers = append(answers, got)
+					results = append(results, got)
 				})
 				time.Sleep(loadInterval)
 			}
 		})
 	}
 	wait.Wait()
-	return answers
+	return results
 }
 
 // Guards against all VMs together sending a server more requests than its rate limit allows, or no
--- a/demo/run.go
+++ b/demo/run.go
@@ -41,22 +41,22 @@
 	if err != nil {
 		return 0, err
 	}
-	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
+	d, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
 	if err != nil {
 		return 0, fmt.Errorf("start deployment: %w", err)
 	}
-	defer w.Close()
+	defer d.Close()
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(readyCtx); err != nil {
+	if err := d.WaitReady(readyCtx); err != nil {
 		return 0, err
 	}
-	w.printUsage(o.Out, settings, profiles)
+	d.printUsage(o.Out, settings, profiles)
 	if o.LoadDuration == 0 {
 		<-ctx.Done()
 		return 0, nil
 	}
-	summary := w.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
+	summary := d.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
 	if err := summary.WriteTable(o.Out); err != nil {
 		return 0, err
 	}
--- a/demo/site.go
+++ b/demo/site.go
@@ -287,25 +287,25 @@
 	if err != nil {
 		return fmt.Errorf("parse settings of a VM: %w", err)
 	}
-	n := &siteVM{settings: settings}
+	vm := &siteVM{settings: settings}
 	s.mu.Lock()
-	s.vms = append(s.vms, n)
+	s.vms = append(s.vms, vm)
 	s.mu.Unlock()
 	return s.StartNode(ctx, i)
 }
 
 // StartNode starts the i-th VM. It also restarts a VM after StopNode or KillNode.
 func (s *Site) StartNode(ctx context.Context, i int) error {
-	n := s.vms[i]
+	vm := s.vms[i]
 	client := &http.Client{Transport: &http.Transport{}}
-	n.closeIdleConnections = client.CloseIdleConnections
-	n.node = node.New(node.Config{
-		Settings: n.settings, HeaderNames: &platform.HeaderNames,
+	vm.closeIdleConnections = client.CloseIdleConnections
+	vm.node = node.New(node.Config{
+		Settings: vm.settings, HeaderNames: &platform.HeaderNames,
 		Objects: platform.NewStoreClient(client, s.storeAddress), Commands: platform.NewCommands(client),
 		ConfigKind: platform.ConfigKind, ConfigName: platform.ConfigName, ServerKind: platform.ServerKind,
 		DecodeTable: platform.DecodeTable, DecodeEntry: platform.DecodeEntry, CloseIdleStoreConns: client.CloseIdleConnections, Now: clock.Now, Log: s.options.Log,
 	})
-	if err := n.node.Start(context.WithoutCancel(ctx)); err != nil {
+	if err := vm.node.Start(context.WithoutCancel(ctx)); err != nil {
 		return fmt.Errorf("start VM %d: %w", i, err)
 	}
 	return nil
@@ -320,8 +320,8 @@
 // VMAddresses returns the caller-facing addresses of the VMs.
 func (s *Site) VMAddresses() []string {
 	var list []string
-	for _, n := range s.vms {
-		list = append(list, n.settings.Text("vm", "listen"))
+	for _, vm := range s.vms {
+		list = append(list, vm.settings.Text("vm", "listen"))
 	}
 	return list
 }
@@ -333,11 +333,11 @@
 func (s *Site) WaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
 		ready, leading := 0, 0
-		for _, n := range s.vms {
-			if n.node.Ready() {
+		for _, vm := range s.vms {
+			if vm.node.Ready() {
 				ready++
 			}
-			if n.node.Leading() {
+			if vm.node.Leading() {
 				leading++
 			}
 		}
@@ -351,10 +351,10 @@
 
 // Close kills all VMs and closes the store and the backend servers.
 func (s *Site) Close() {
-	for _, n := range s.vms {
-		if n.node != nil {
-			n.node.Kill()
-			n.closeIdleConnections()
+	for _, vm := range s.vms {
+		if vm.node != nil {
+			vm.node.Kill()
+			vm.closeIdleConnections()
 		}
 	}
 	s.mu.Lock()
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// loadedServerCount returns the number of servers that hold a model.
+// loadedServerCount returns the number of servers that have loaded a model.
 func loadedServerCount(s *demo.Site, model string) int {
 	n := 0
 	for _, b := range s.Backends(demo.SiteModelService) {
@@ -172,7 +172,7 @@
 	return n
 }
 
-// loadedOnBothServers sends a request for model m1 and reports whether two servers hold the model.
+// loadedOnBothServers sends a request for model m1 and reports whether two servers have loaded it.
 func loadedOnBothServers(ctx context.Context, s *demo.Site, n int) bool {
 	call(ctx, s, s.VMAddresses()[0], fmt.Sprintf("w%03d", n), "POST", "/draft/", "m1")
 	return loadedServerCount(s, "m1") == 2
@@ -191,7 +191,7 @@
 		}, testTimeout, 10*time.Millisecond)
 		require.Equal(t, 404, call(ctx, s, address, fmt.Sprintf("o%d", i), "GET", "/look/", "").status)
 	}
-	require.NoError(t, s.Configure(4, demo.SiteRoutes()), "the latest write applies, whatever its version number")
+	require.NoError(t, s.Configure(4, demo.SiteRoutes()), "the latest write applies, regardless of its version number")
 }
 
 // Guards against failed requests while the store is unavailable, and against VMs that miss later
@@ -217,8 +217,8 @@
 }
 
 // Guards against models that are no longer loaded after a controller failure. The VM that acts as the
-// controller is killed. Another VM must become the controller and load a model that no server holds,
-// for a request that waits for the model.
+// controller is killed. Another VM must become the controller and load a model that no server has
+// loaded, for a request that waits for the model.
 func TestControllerKilled(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
 	for i := range 3 {
@@ -241,16 +241,16 @@
 func TestGracefulStop(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{VMs: 2})
 	var wait sync.WaitGroup
-	answers := make([]callResult, 40)
-	for i := range answers {
+	results := make([]callResult, 40)
+	for i := range results {
 		wait.Go(func() {
-			answers[i] = call(ctx, s, s.VMAddresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
+			results[i] = call(ctx, s, s.VMAddresses()[0], fmt.Sprintf("p%d", i), "POST", "/draft/", "m1")
 		})
 	}
 	require.Eventually(t, func() bool { return len(s.Runs.Servers("p0")) > 0 }, testTimeout, time.Millisecond)
 	require.NoError(t, s.StopNode(0))
 	wait.Wait()
-	for i, got := range answers {
+	for i, got := range results {
 		if got.err != nil && got.status == 0 {
 			continue // The VM no longer accepted the connection.
 		}
@@ -289,7 +289,7 @@
 }
 
 // Guards against missing trace spans: each request has a span for the VM that accepts it, the choice
-// of a server, the query to the controller for a model that no server holds, and each attempt.
+// of a server, the query to the controller for a model that no server has loaded, and each attempt.
 func TestTraceSpans(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(recorder)))
--- a/demo/state.go
+++ b/demo/state.go
@@ -56,7 +56,7 @@
 }
 
 // UnreachableModels returns the models and adapters of the active profiles that no running engine
-// holds.
+// has loaded.
 func (d *Deployment) UnreachableModels() []ctrl.Artifact {
 	var missing []ctrl.Artifact
 	for _, obj := range d.Platform.List(profs.ObjectKind).Items {
@@ -90,8 +90,8 @@
 	return d.killed[server]
 }
 
-// SoleCopies returns the number of models and adapters that no running engine except the named one
-// holds.
+// SoleCopies returns the number of models and adapters on an engine that no other running engine has
+// loaded.
 func (d *Deployment) SoleCopies(server string) int {
 	e := d.engines[server]
 	if e == nil {
