--- a/soak/limit.go
+++ b/soak/limit.go
@@ -38,7 +38,7 @@
 	backend.SetRateLimit(0, false)
 }
 
-// sendLoad sends concurrent requests to a VM until ctx is done, then waits for the answers. Requests
+// sendLoad sends concurrent requests to a VM until ctx is done, then waits for the responses. Requests
 // in flight are not canceled.
 func (r *run) sendLoad(ctx context.Context, v int) {
 	client := &http.Client{Timeout: callTimeout}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -144,8 +144,8 @@
 		p.mu.Lock()
 		mode, open := p.mode, len(p.conns) > 0
 		p.mu.Unlock()
-		held := mode == Stall || mode == StallResponses && response || mode == Delay && waited < addedDelay
-		if !held {
+		blocked := mode == Stall || mode == StallResponses && response || mode == Delay && waited < addedDelay
+		if !blocked {
 			return true
 		}
 		if !open {
