--- a/load/answer.go
+++ b/load/answer.go
@@ -100,7 +100,7 @@
 	return name
 }
 
-// ExpectedTokens returns the tokens that the fake engine generates for an arrival.
+// ExpectedTokens returns the tokens that the engine stand-in generates for an arrival.
 func ExpectedTokens(class Class, a Arrival) []string {
 	prompt := a.Prompt
 	if class.Kind == KindStream {
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,6 +1,6 @@
 // Package load generates open-loop load: it sends requests on a seeded schedule,
 // whether or not earlier ones have completed. It compares each response with the
-// one that the fakes of package stand generate for this request.
+// one that the stand-ins of package stand generate for this request.
 package load
 
 import (
--- a/load/run.go
+++ b/load/run.go
@@ -26,7 +26,7 @@
 	Targets func() []string
 	// Progress, when set, is called every second.
 	Progress func(done time.Duration, sent, answered int)
-	// TimeoutMargin is added to the profile's time for the whole answer to get the
+	// TimeoutMargin is added to the profile's time for the complete response to get the
 	// timeout of a request; 0 is 5 seconds.
 	TimeoutMargin time.Duration
 
--- a/load/summary.go
+++ b/load/summary.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuscart/hibiscuscart"
 )
 
-// Violations counts the violated guarantees that callers and fakes observed. All
-// must be 0.
+// Violations counts the violated guarantees that callers and stand-ins observed.
+// All must be 0.
 type Violations struct {
 	Overcommits       int `json:"overcommits"`
 	DoubleRuns        int `json:"double_runs"`
@@ -25,9 +25,9 @@
 }
 
 // TotalViolations returns the total number of violations.
-func (p Violations) TotalViolations() int {
-	return p.Overcommits + p.DoubleRuns + p.LostAnswers + p.WrongAnswers + p.FalseNotRun +
-		p.UnreachableModels + p.CutOffInShutdown + p.ConfigReverts
+func (v Violations) TotalViolations() int {
+	return v.Overcommits + v.DoubleRuns + v.LostAnswers + v.WrongAnswers + v.FalseNotRun +
+		v.UnreachableModels + v.CutOffInShutdown + v.ConfigReverts
 }
 
 // ClassSummary is the summary of one class, or of all classes.
@@ -83,7 +83,7 @@
 }
 
 // Summarize summarizes results. runs maps each request to its number of executions,
-// as counted by the fakes.
+// as counted by the stand-ins.
 func Summarize(classes []Class, results []Result, runs map[string]int) Summary {
 	s := Summary{Failures: make(map[string]int)}
 	total := newAggregator("total")
@@ -236,17 +236,17 @@
 func (s Summary) WriteTable(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tsent\twhole\tnot_run\tunknown\tattainment\tfirst token p50/p95/p99 ms\tbetween p50/p95/p99 ms\tanswer p50/p95/p99 ms\t")
-	for _, l := range append(s.Classes, s.Total) {
+	for _, class := range append(s.Classes, s.Total) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.4f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t\n",
-			l.Class, l.Sent, l.Complete, l.NotRun, l.Unknown, l.Attainment,
-			l.FirstTokenP50, l.FirstTokenP95, l.FirstTokenP99, l.TokenIntervalP50, l.TokenIntervalP95, l.TokenIntervalP99, l.ResponseP50, l.ResponseP95, l.ResponseP99)
+			class.Class, class.Sent, class.Complete, class.NotRun, class.Unknown, class.Attainment,
+			class.FirstTokenP50, class.FirstTokenP95, class.FirstTokenP99, class.TokenIntervalP50, class.TokenIntervalP95, class.TokenIntervalP99, class.ResponseP50, class.ResponseP95, class.ResponseP99)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("write table: %w", err)
 	}
-	p := s.Violations
+	violations := s.Violations
 	fmt.Fprintf(out, "violations: overcommits %d, double_runs %d, lost_answers %d, wrong_answers %d, false_not_run %d, unreachable_models %d, cut_off_in_shutdown %d, config_reverts %d\n",
-		p.Overcommits, p.DoubleRuns, p.LostAnswers, p.WrongAnswers, p.FalseNotRun, p.UnreachableModels, p.CutOffInShutdown, p.ConfigReverts)
+		violations.Overcommits, violations.DoubleRuns, violations.LostAnswers, violations.WrongAnswers, violations.FalseNotRun, violations.UnreachableModels, violations.CutOffInShutdown, violations.ConfigReverts)
 	for code, n := range s.Failures {
 		fmt.Fprintf(out, "failures: %s %d\n", code, n)
 	}
