--- a/naive/claims.go
+++ b/naive/claims.go
@@ -74,11 +74,11 @@
 	return dedup.Decision{Verdict: dedup.Unavailable, RetryAfter: dedup.UnavailableRetryAfter}
 }
 
-// Finish records the final state of a granted claim, and the answer if it is to be stored. If Finish
+// Finish records the final state of a granted claim, and the response if it is to be stored. If Finish
 // fails, the claim stays granted and later becomes unknown.
-func (c *Claims) Finish(ctx context.Context, now time.Time, r dedup.Request, d dedup.Decision, state wire.ClaimState, answer string) error {
+func (c *Claims) Finish(ctx context.Context, now time.Time, r dedup.Request, d dedup.Decision, state wire.ClaimState, response string) error {
 	claim := dedup.NewClaim(now, r)
-	claim.State, claim.Answer = state, answer
+	claim.State, claim.Answer = state, response
 	if _, err := c.Put(ctx, ClaimKind, r.StoredKey(), d.Version, claim); err != nil {
 		return fmt.Errorf("finish claim: %w", err)
 	}
--- a/naive/gate.go
+++ b/naive/gate.go
@@ -157,14 +157,14 @@
 	g.finishTags[t.Caller] = g.virtualTime + 1/float64(t.Weight)
 }
 
-// Finish records that a request has ended after the duration took, and returns the queued requests that
-// start now.
-func (g *Gate) Finish(took time.Duration) []admit.Ticket {
+// Finish records that a request has ended after a duration, and returns the queued requests that start
+// now.
+func (g *Gate) Finish(duration time.Duration) []admit.Ticket {
 	g.running--
 	if g.serviceTime == 0 {
-		g.serviceTime = took
+		g.serviceTime = duration
 	}
-	g.serviceTime += time.Duration(admit.SmoothingFactor * float64(took-g.serviceTime))
+	g.serviceTime += time.Duration(admit.SmoothingFactor * float64(duration-g.serviceTime))
 	var started []admit.Ticket
 	for g.running < g.Limits.Concurrency && len(g.waiting) > 0 {
 		best := 0
--- a/naive/lru.go
+++ b/naive/lru.go
@@ -9,8 +9,8 @@
 )
 
 // LRUPlacer places models like an LRU cache per failure domain. If callers in a domain request a
-// model that none of its servers holds, one of the servers loads it and evicts the models that were
-// least recently requested in that domain. The last copy of a model is never evicted. The zero
+// model that none of its servers has loaded, one of the servers loads it and evicts the models that
+// were least recently requested in that domain. The last replica of a model is never evicted. The zero
 // value is ready to use and has no recorded requests.
 type LRUPlacer struct {
 	lastUsed map[string]map[string]time.Time // by failure domain and model
@@ -34,8 +34,8 @@
 
 // Place returns the placement for the requests recorded by RecordUse.
 func (p *LRUPlacer) Place(now time.Time, in plan.Input) plan.Output {
-	singleCopies := plan.Make(plan.Input{Servers: in.Servers, Models: withoutDemand(in.Models), Replicas: 1})
-	placement := singleCopies.Placement
+	singleReplicas := plan.Make(plan.Input{Servers: in.Servers, Models: withoutDemand(in.Models), Replicas: 1})
+	placement := singleReplicas.Placement
 	for _, m := range in.Models {
 		for domain, models := range p.lastUsed {
 			if lastUse, ok := models[m.Name]; ok && now.Sub(lastUse) < recentUseWindow {
@@ -43,10 +43,10 @@
 			}
 		}
 	}
-	return plan.Output{Placement: placement, Unplaced: singleCopies.Unplaced}
+	return plan.Output{Placement: placement, Unplaced: singleReplicas.Unplaced}
 }
 
-// withoutDemand returns the models with zero demand, so that plan.Make places one copy of each.
+// withoutDemand returns the models with zero demand, so that plan.Make places one replica of each.
 func withoutDemand(models []plan.Model) []plan.Model {
 	all := slices.Clone(models)
 	for i := range all {
@@ -56,7 +56,7 @@
 }
 
 // loadIntoDomain adds a model to the server of a failure domain that needs the fewest evictions for it.
-// It does nothing if a server in the domain already holds the model.
+// It does nothing if the model is already placed on a server in the domain.
 func (p *LRUPlacer) loadIntoDomain(m plan.Model, domain string, in plan.Input, placement map[string][]string) {
 	var best plan.Server
 	var evictions []string
@@ -98,7 +98,7 @@
 		if freeBytes >= m.Bytes {
 			break
 		}
-		if copyCount(name, placement) < 2 {
+		if replicaCount(name, placement) < 2 {
 			continue
 		}
 		evictions = append(evictions, name)
@@ -107,8 +107,8 @@
 	return evictions, freeBytes >= m.Bytes
 }
 
-// copyCount returns the number of servers that hold a model.
-func copyCount(model string, placement map[string][]string) int {
+// replicaCount returns the number of servers on which a model is placed.
+func replicaCount(model string, placement map[string][]string) int {
 	n := 0
 	for _, names := range placement {
 		if slices.Contains(names, model) {
