--- a/engine/client.go
+++ b/engine/client.go
@@ -1,6 +1,6 @@
 // Package engine provides a client for model engines: streams of generated text
 // that can be resumed and canceled, load reports, cache events, orders with a
-// fencing number, and the export and import of the KV cache of a run.
+// fencing token, and the export and import of the KV cache of a run.
 package engine
 
 import (
@@ -168,12 +168,12 @@
 	return nil
 }
 
-// StaleFenceError reports that the engine has received a higher fencing number. The
+// StaleFenceError reports that the engine has received a higher fencing token. The
 // order had no effect, and its sender is no longer the controller.
 type StaleFenceError struct{}
 
 // Error implements error.
-func (e *StaleFenceError) Error() string { return "engine has received a higher fencing number" }
+func (e *StaleFenceError) Error() string { return "engine has received a higher fencing token" }
 
 // Cancel stops a run.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
@@ -203,22 +203,22 @@
 	return events, nil
 }
 
-// Order sends an order with a fencing number. A repeated order has no effect.
-func (c *Client) Order(ctx context.Context, address string, order wire.Order, fencingNumber int) error {
+// Order sends an order with a fencing token. A repeated order has no effect.
+func (c *Client) Order(ctx context.Context, address string, order wire.Order, fencingToken int) error {
 	var ignored struct{}
-	s := requestTo(address).Post("/orders").Set(HeaderFencingNumber, strconv.Itoa(fencingNumber)).BodyJSON(order)
+	s := requestTo(address).Post("/orders").Set(HeaderFencingNumber, strconv.Itoa(fencingToken)).BodyJSON(order)
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
 		return fmt.Errorf("send order %s: %w", order.Order, err)
 	}
 	return nil
 }
 
-// RaiseFencingNumber makes the engine reject orders with a lower fencing number.
-func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fencingNumber int) error {
+// RaiseFencingNumber makes the engine reject orders with a lower fencing token.
+func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fencingToken int) error {
 	var ignored struct{}
-	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fencingNumber))
+	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fencingToken))
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
-		return fmt.Errorf("raise fencing number to %d: %w", fencingNumber, err)
+		return fmt.Errorf("raise fencing token to %d: %w", fencingToken, err)
 	}
 	return nil
 }
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -61,11 +61,11 @@
 			defer s.Close()
 			c := plain.New()
 			c.MaxResponseBytes = tc.limit
-			answer, err := c.Do(context.Background(), s.Listener.Addr().String(), "a", plain.Call{Method: http.MethodPost, Path: "/x", Body: []byte("b")})
+			response, err := c.Do(context.Background(), s.Listener.Addr().String(), "a", plain.Call{Method: http.MethodPost, Path: "/x", Body: []byte("b")})
 			require.Equal(t, tc.ran, service.Calls())
 			if tc.cause == hibiscuscart.CauseDone {
 				require.NoError(t, err)
-				require.Contains(t, string(answer.Body), stand.BodyDigest([]byte("b")))
+				require.Contains(t, string(response.Body), stand.BodyDigest([]byte("b")))
 				return
 			}
 			require.Equal(t, tc.cause, hibiscuscart.AsFailure(err).Cause())
