--- a/bench/availability.go
+++ b/bench/availability.go
@@ -38,9 +38,9 @@
 			{Name: "desk", Profile: desk, Kind: load.KindService, Rate: 40, RepeatShare: 0.1},
 		},
 		duration: duration,
-		setUp: func(w *demo.Deployment) {
-			for _, doc := range w.Servers() {
-				if e := w.Engine(doc.Name); e != nil {
+		setUp: func(deployment *demo.Deployment) {
+			for _, doc := range deployment.Servers() {
+				if e := deployment.Engine(doc.Name); e != nil {
 					e.SetResident("draft-1", "", 1, 1<<30)
 					e.SetResident("draft-2", "", 1, 1<<30)
 				}
@@ -63,11 +63,11 @@
 
 // countVersionDecreases samples the version of a profile on every VM. The returned
 // function stops sampling and returns how often a version decreased.
-func countVersionDecreases(w *demo.Deployment, profile string) func() int {
+func countVersionDecreases(deployment *demo.Deployment, profile string) func() int {
 	lastVersions := make(map[*entry.Daemon]int)
 	return sampleSum(10*time.Millisecond, func() int {
 		decreases := 0
-		for _, d := range w.VMs() {
+		for _, d := range deployment.VMs() {
 			v := d.ProfileVersion(profile)
 			if v < lastVersions[d] {
 				decreases++
@@ -86,13 +86,13 @@
 	var report availabilityReport
 	var readyAfter time.Duration
 	var failure error
-	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
+	t.injectFaults = func(ctx context.Context, deployment *demo.Deployment) int {
 		pause.For(ctx, duration/8)
-		w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
+		deployment.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 		pause.For(ctx, duration/4)
-		readyAfter, failure = replaceVM(ctx, w, "domain-1-1")
+		readyAfter, failure = replaceVM(ctx, deployment, "domain-1-1")
 		pause.For(ctx, duration/4)
-		w.Platform.SetFaults(stand.PlatformFaults{})
+		deployment.Platform.SetFaults(stand.PlatformFaults{})
 		return 2
 	}
 	if err := t.runAvailability(ctx, o, "outage", &report); err != nil {
@@ -107,14 +107,14 @@
 
 // replaceVM stops a VM gracefully and starts a fresh one with the same name. It
 // returns the time until the new VM is ready.
-func replaceVM(ctx context.Context, w *demo.Deployment, name string) (time.Duration, error) {
+func replaceVM(ctx context.Context, deployment *demo.Deployment, name string) (time.Duration, error) {
 	stop, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	if err := w.StopVM(stop, name); err != nil {
+	if err := deployment.StopVM(stop, name); err != nil {
 		return 0, fmt.Errorf("stop %s: %w", name, err)
 	}
 	start := time.Now()
-	d, err := w.RestartVM(ctx, name)
+	d, err := deployment.RestartVM(ctx, name)
 	if err != nil {
 		return 0, err
 	}
@@ -132,10 +132,10 @@
 	var worstReady time.Duration
 	var failure error
 	names := []string{"domain-1-1", "domain-2-1", "domain-3-1", "domain-1-2", "domain-2-2", "domain-3-2"}
-	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
+	t.injectFaults = func(ctx context.Context, deployment *demo.Deployment) int {
 		for _, name := range names {
 			pause.For(ctx, duration/16)
-			ready, err := replaceVM(ctx, w, name)
+			ready, err := replaceVM(ctx, deployment, name)
 			if err != nil {
 				failure = err
 				return 0
@@ -164,30 +164,30 @@
 	var convergedAfter time.Duration
 	var failure error
 	reverts := 0
-	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
-		stop := countVersionDecreases(w, "draft")
+	t.injectFaults = func(ctx context.Context, deployment *demo.Deployment) int {
+		stop := countVersionDecreases(deployment, "draft")
 		defer func() { reverts = stop() }()
-		inside, outside := w.SplitHosts("domain-3")
-		cut := func(on, both bool) {
+		inside, outside := deployment.SplitHosts("domain-3")
+		setPartition := func(blocked, bothWays bool) {
 			for _, a := range inside {
 				for _, b := range outside {
-					w.SetPathBlocked(a, b, on)
-					w.SetPathBlocked(b, a, on && both)
+					deployment.SetPathBlocked(a, b, blocked)
+					deployment.SetPathBlocked(b, a, blocked && bothWays)
 				}
 			}
 		}
 		pause.For(ctx, duration/8)
-		cut(true, false)
+		setPartition(true, false)
 		pause.For(ctx, duration/8)
-		cut(true, true)
+		setPartition(true, true)
 		doc := t.profiles[0]
 		doc.Priority = 7
-		failure = w.ApplyProfile(doc)
+		failure = deployment.ApplyProfile(doc)
 		pause.For(ctx, duration/4)
-		cut(false, false)
-		obj, _ := w.Platform.Get("profiles", "draft")
+		setPartition(false, false)
+		obj, _ := deployment.Platform.Get("profiles", "draft")
 		start := time.Now()
-		if !waitUntil(ctx, func() bool { return countActive(w, "draft", obj.Version) == len(w.VMs()) }) {
+		if !waitUntil(ctx, func() bool { return countActive(deployment, "draft", obj.Version) == len(deployment.VMs()) }) {
 			failure = fmt.Errorf("the profile change is not active on all VMs after the partition")
 		}
 		convergedAfter = time.Since(start)
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,5 +1,5 @@
 // Package bench contains the named experiments. Each one runs a deployment of
-// entry VMs and simulated servers under load with injected faults, compares it
+// entry VMs and server stand-ins under load with injected faults, compares it
 // with a baseline, and returns a report.
 package bench
 
--- a/bench/control.go
+++ b/bench/control.go
@@ -32,8 +32,8 @@
 
 var errNoTakeover = errors.New("no VM took over the controller lease in time")
 
-// takeover kills the controller of a failure domain repeatedly, then a server that
-// holds the only copies of models.
+// takeover kills the controller of a failure domain repeatedly, then a server with
+// the only replicas of models.
 func takeover(ctx context.Context, o Options) (Report, error) {
 	spec := deploymentSpec{
 		domains: 1, vmsPerDomain: takeoverCount + 1, engines: 4, slots: 32, firstToken: 10 * time.Millisecond, betweenTokens: 2 * time.Millisecond,
@@ -43,15 +43,15 @@
 	for i := range profile.Models {
 		profile.Models[i].Bytes = 18 << 30
 	}
-	w, err := spec.start(ctx, o, []wire.Profile{profile}, nil)
+	deployment, err := spec.start(ctx, o, []wire.Profile{profile}, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer deployment.Close()
 	report := takeoverReport{CommonReport: CommonReport{Experiment: "takeover", Seed: o.Seed}}
 	totalMs := 0.0
 	for range takeoverCount {
-		tookMs, err := killController(ctx, w)
+		tookMs, err := killController(ctx, deployment)
 		if err != nil {
 			return nil, err
 		}
@@ -60,18 +60,18 @@
 		report.TakeoverWorstMs = max(report.TakeoverWorstMs, tookMs)
 	}
 	report.TakeoverMeanMs = totalMs / takeoverCount
-	report.ReachableAgainMs, err = killOnlyCopies(ctx, w)
+	report.ReachableAgainMs, err = killOnlyReplicas(ctx, deployment)
 	if err != nil {
 		return nil, err
 	}
 	report.FaultsInjected++
-	report.Overcommits, report.UnreachableModels = w.Overcommits(), len(w.UnreachableModels())
+	report.Overcommits, report.UnreachableModels = deployment.Overcommits(), len(deployment.UnreachableModels())
 	return report, report.violationError()
 }
 
 // leaseHolder returns the VM that holds the controller lease of the domain.
-func leaseHolder(w *demo.Deployment) string {
-	obj, _ := w.Platform.Get(leaseKind, "controller-"+takeoverDomain)
+func leaseHolder(deployment *demo.Deployment) string {
+	obj, _ := deployment.Platform.Get(leaseKind, "controller-"+takeoverDomain)
 	var record lease.Record
 	_ = json.Unmarshal(obj.Value, &record)
 	return record.Holder
@@ -79,36 +79,36 @@
 
 // killController kills the controller and returns the time until another VM holds
 // the lease, in milliseconds.
-func killController(ctx context.Context, w *demo.Deployment) (float64, error) {
-	if !waitUntil(ctx, func() bool { return leaseHolder(w) != "" }) {
+func killController(ctx context.Context, deployment *demo.Deployment) (float64, error) {
+	if !waitUntil(ctx, func() bool { return leaseHolder(deployment) != "" }) {
 		return 0, errNoTakeover
 	}
-	killed := leaseHolder(w)
+	killed := leaseHolder(deployment)
 	start := time.Now()
-	w.KillVM(killed)
-	if !waitUntil(ctx, func() bool { return leaseHolder(w) != killed && leaseHolder(w) != "" }) {
+	deployment.KillVM(killed)
+	if !waitUntil(ctx, func() bool { return leaseHolder(deployment) != killed && leaseHolder(deployment) != "" }) {
 		return 0, errNoTakeover
 	}
 	return float64(time.Since(start)) / float64(time.Millisecond), nil
 }
 
-// killOnlyCopies kills the server that holds the only copies of the most models.
-// It returns the time until every model has a copy again, in milliseconds.
-func killOnlyCopies(ctx context.Context, w *demo.Deployment) (float64, error) {
-	time.Sleep(2 * time.Second) // until the second copies that fit in memory are loaded
+// killOnlyReplicas kills the server with the only replicas of the most models. It
+// returns the time until every model has a replica again, in milliseconds.
+func killOnlyReplicas(ctx context.Context, deployment *demo.Deployment) (float64, error) {
+	time.Sleep(2 * time.Second) // until the second replicas that fit in memory are loaded
 	victim, most := "", 0
-	for _, doc := range w.Servers() {
-		if n := w.SoleCopies(doc.Name); n > most {
+	for _, doc := range deployment.Servers() {
+		if n := deployment.SoleCopies(doc.Name); n > most {
 			victim, most = doc.Name, n
 		}
 	}
 	if victim == "" {
-		return 0, errors.New("no server holds the only copy of a model")
+		return 0, errors.New("no server has the only replica of a model")
 	}
 	start := time.Now()
-	w.KillServer(victim)
-	if !waitUntil(ctx, func() bool { return len(w.UnreachableModels()) == 0 }) {
-		return 0, fmt.Errorf("%d models are still unreachable", len(w.UnreachableModels()))
+	deployment.KillServer(victim)
+	if !waitUntil(ctx, func() bool { return len(deployment.UnreachableModels()) == 0 }) {
+		return 0, fmt.Errorf("%d models are still unreachable", len(deployment.UnreachableModels()))
 	}
 	return float64(time.Since(start)) / float64(time.Millisecond), nil
 }
@@ -152,14 +152,14 @@
 	t := trial{
 		spec:     deploymentSpec{domains: 2, vmsPerDomain: 2, engines: 4, slots: placementSlots, firstToken: placementFirstToken, betweenTokens: placementBetweenTokens, orderLateness: 2 * time.Second},
 		profiles: []wire.Profile{profile}, classes: classes, duration: duration,
-		setUp: func(w *demo.Deployment) {
-			for _, doc := range w.Servers() {
-				w.Engine(doc.Name).SetFaults(stand.EngineFaults{LostOrderShare: 0.2, DelayedOrderShare: 0.3, OrderDelayMs: 900})
+		setUp: func(deployment *demo.Deployment) {
+			for _, doc := range deployment.Servers() {
+				deployment.Engine(doc.Name).SetFaults(stand.EngineFaults{LostOrderShare: 0.2, DelayedOrderShare: 0.3, OrderDelayMs: 900})
 			}
 		},
-		injectFaults: func(ctx context.Context, w *demo.Deployment) int {
+		injectFaults: func(ctx context.Context, deployment *demo.Deployment) int {
 			pause.For(ctx, duration/2)
-			w.KillVM(leaseHolder(w))
+			deployment.KillVM(leaseHolder(deployment))
 			return 1
 		},
 	}
@@ -167,12 +167,12 @@
 	if err != nil {
 		return nil, err
 	}
-	report := lateOrdersReport{CommonReport: t.commonReport("late_orders", o, result), Moves: result.world.LoadsAndUnloads(), Attainment: result.summary.Total.Attainment}
-	// The crash of the killed VM cuts off the answers in progress, which does not
+	report := lateOrdersReport{CommonReport: t.commonReport("late_orders", o, result), Moves: result.deployment.LoadsAndUnloads(), Attainment: result.summary.Total.Attainment}
+	// The crash of the killed VM cuts off the responses in progress, which does not
 	// violate the guarantee for a shutdown.
 	report.LostAnswers = 0
-	for _, doc := range result.world.Servers() {
-		report.LateOrders += result.world.Engine(doc.Name).Counts().DelayedOrders
+	for _, doc := range result.deployment.Servers() {
+		report.LateOrders += result.deployment.Engine(doc.Name).Counts().DelayedOrders
 	}
 	report.FaultsInjected += int(report.LateOrders)
 	return report, report.violationError()
--- a/bench/deploy.go
+++ b/bench/deploy.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := demo.Start(ctx, demo.Options{
+	deployment, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: profiles, Preload: true, Seed: o.Seed, Log: zerolog.Nop(), AdjustVM: adjustConfig,
 	})
 	if err != nil {
@@ -79,11 +79,11 @@
 	}
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(ready); err != nil {
-		w.Close()
+	if err := deployment.WaitReady(ready); err != nil {
+		deployment.Close()
 		return nil, err
 	}
-	return w, nil
+	return deployment, nil
 }
 
 // engineProfile returns a profile of small models that run on engines.
--- a/bench/flood.go
+++ b/bench/flood.go
@@ -30,7 +30,7 @@
 )
 
 // flood makes one caller send as many requests in half a second as the servers can
-// answer in about twelve seconds. A second caller sends few requests and a third
+// serve in about twelve seconds. A second caller sends few requests and a third
 // half of what the servers can handle. All use one profile.
 func flood(ctx context.Context, o Options) (Report, error) {
 	profile := engineProfile("label", 2, 3)
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -36,17 +36,17 @@
 		duration: duration,
 		setUp:    setResidentOnAllEngines("label-1"),
 	}
-	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
+	t.injectFaults = func(ctx context.Context, deployment *demo.Deployment) int {
 		pause.For(ctx, duration/4)
-		doc := w.Servers()[0]
+		doc := deployment.Servers()[0]
 		doc.Leaving = true
 		leftAt = time.Now()
-		_ = w.SetServer(doc)
+		_ = deployment.SetServer(doc)
 		for _, name := range []string{"domain-1-1", "domain-2-1"} {
 			pause.For(ctx, duration/4)
-			stopped[w.VMs()[name].Address()] = true
+			stopped[deployment.VMs()[name].Address()] = true
 			stop, cancel := context.WithTimeout(ctx, stopTimeout)
-			_ = w.StopVM(stop, name)
+			_ = deployment.StopVM(stop, name)
 			cancel()
 		}
 		return 3
@@ -58,13 +58,13 @@
 	report.CommonReport = t.commonReport("leave", o, system)
 	report.latencyReport = newLatencyReport(system.summary.Total, 4)
 	report.CutOffInShutdown = countCutOff(system.results, stopped)
-	report.NewWorkAfterLeaveMs = float64(system.world.Engine("llm-1").LastRunStart().Sub(leftAt)) / float64(time.Millisecond)
+	report.NewWorkAfterLeaveMs = float64(system.deployment.Engine("llm-1").LastRunStart().Sub(leftAt)) / float64(time.Millisecond)
 	clear(stopped)
-	t.injectFaults = func(ctx context.Context, w *demo.Deployment) int {
+	t.injectFaults = func(ctx context.Context, deployment *demo.Deployment) int {
 		for _, name := range []string{"domain-1-1", "domain-2-1"} {
 			pause.For(ctx, duration/3)
-			stopped[w.VMs()[name].Address()] = true
-			w.KillVM(name)
+			stopped[deployment.VMs()[name].Address()] = true
+			deployment.KillVM(name)
 		}
 		return 2
 	}
@@ -77,9 +77,9 @@
 }
 
 func setResidentOnAllEngines(model string) func(*demo.Deployment) {
-	return func(w *demo.Deployment) {
-		for _, doc := range w.Servers() {
-			if e := w.Engine(doc.Name); e != nil {
+	return func(deployment *demo.Deployment) {
+		for _, doc := range deployment.Servers() {
+			if e := deployment.Engine(doc.Name); e != nil {
 				e.SetResident(model, "", 1, 1<<30)
 			}
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// countCutOff counts the requests whose answer was cut off at a stopped VM.
+// countCutOff counts the requests whose response was cut off at a stopped VM.
 func countCutOff(results []load.Result, stopped map[string]bool) int {
 	n := 0
 	for _, r := range results {
--- a/bench/nodes.go
+++ b/bench/nodes.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := demo.Start(ctx, demo.Options{
+	deployment, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: fleetProfiles(), Preload: true, Seed: o.Seed, MaxVMs: n,
 		AdjustVM: func(c *entry.Config) { c.SeedVMs = nil },
 	})
@@ -70,14 +70,14 @@
 	}
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for len(w.ReadyAddresses()) < n {
+	for len(deployment.ReadyAddresses()) < n {
 		if ready.Err() != nil {
-			w.Close()
-			return nil, fmt.Errorf("%d of %d VMs became ready", len(w.ReadyAddresses()), n)
+			deployment.Close()
+			return nil, fmt.Errorf("%d of %d VMs became ready", len(deployment.ReadyAddresses()), n)
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
-	return w, nil
+	return deployment, nil
 }
 
 const fleetProfileCount = 30
@@ -108,25 +108,25 @@
 }
 
 func measureFleet(ctx context.Context, o Options, n int) (fleetCost, error) {
-	w, err := startFleet(ctx, o, n)
+	deployment, err := startFleet(ctx, o, n)
 	if err != nil {
 		return fleetCost{}, err
 	}
-	defer w.Close()
+	defer deployment.Close()
 	pause.For(ctx, controlSettleTime)
-	start, cpu, bytes, calls := time.Now(), cpuTime(), w.PeerBytes(), storeCalls(w)
+	start, cpu, bytes, calls := time.Now(), cpuTime(), deployment.PeerBytes(), storeCalls(deployment)
 	pause.For(ctx, controlMeasureTime)
 	seconds := time.Since(start).Seconds()
 	cost := fleetCost{
 		Nodes: n, CPUPercent: (cpuTime() - cpu).Seconds() / seconds / float64(n) * 100,
 		ResidentMB:          float64(residentBytes()) / (1 << 20) / float64(n),
-		BytesPerSecond:      float64(w.PeerBytes()-bytes) / seconds / float64(n),
-		StoreCallsPerSecond: float64(storeCalls(w)-calls)/seconds + float64(w.Platform.ActiveWatches()),
+		BytesPerSecond:      float64(deployment.PeerBytes()-bytes) / seconds / float64(n),
+		StoreCallsPerSecond: float64(storeCalls(deployment)-calls)/seconds + float64(deployment.Platform.ActiveWatches()),
 	}
-	for _, d := range w.VMs() {
+	for _, d := range deployment.VMs() {
 		cost.PairsNotAlive += n - len(d.ActiveVMs())
 	}
-	latencies, err := measurePropagation(ctx, w, n)
+	latencies, err := measurePropagation(ctx, deployment, n)
 	if err != nil {
 		return cost, err
 	}
@@ -134,8 +134,8 @@
 	return cost, nil
 }
 
-func storeCalls(w *demo.Deployment) int64 {
-	c := w.Platform.Counts()
+func storeCalls(deployment *demo.Deployment) int64 {
+	c := deployment.Platform.Counts()
 	return c.Reads + c.Writes
 }
 
@@ -166,19 +166,19 @@
 
 // measurePropagation changes a profile repeatedly and returns the times until each
 // change is active on all n VMs.
-func measurePropagation(ctx context.Context, w *demo.Deployment, n int) (*hdrhistogram.Histogram, error) {
+func measurePropagation(ctx context.Context, deployment *demo.Deployment, n int) (*hdrhistogram.Histogram, error) {
 	latencies := newMicrosecondHistogram()
 	doc := fleetProfiles()[0]
 	for i := range propagationChanges {
 		doc.Priority = i % 10
 		start := time.Now()
-		if err := w.ApplyProfile(doc); err != nil {
+		if err := deployment.ApplyProfile(doc); err != nil {
 			return nil, err
 		}
-		obj, _ := w.Platform.Get("profiles", doc.Name)
-		for countActive(w, doc.Name, obj.Version) < n {
+		obj, _ := deployment.Platform.Get("profiles", doc.Name)
+		for countActive(deployment, doc.Name, obj.Version) < n {
 			if time.Since(start) > propagationTimeout {
-				return nil, fmt.Errorf("profile change is active on %d of %d VMs after %v", countActive(w, doc.Name, obj.Version), n, propagationTimeout)
+				return nil, fmt.Errorf("profile change is active on %d of %d VMs after %v", countActive(deployment, doc.Name, obj.Version), n, propagationTimeout)
 			}
 			pause.For(ctx, 2*time.Millisecond)
 		}
@@ -187,9 +187,9 @@
 	return latencies, nil
 }
 
-func countActive(w *demo.Deployment, profile string, version int) int {
+func countActive(deployment *demo.Deployment, profile string, version int) int {
 	n := 0
-	for _, d := range w.VMs() {
+	for _, d := range deployment.VMs() {
 		if d.ProfileVersion(profile) >= version {
 			n++
 		}
@@ -208,21 +208,21 @@
 // failure domain cannot reach the platform.
 func spread(ctx context.Context, o Options) (Report, error) {
 	const n = 100
-	w, err := startFleet(ctx, o, n)
+	deployment, err := startFleet(ctx, o, n)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer deployment.Close()
 	pause.For(ctx, controlSettleTime/2)
-	faults := w.Platform.Faults()
-	for name, d := range w.VMs() {
+	faults := deployment.Platform.Faults()
+	for name, d := range deployment.VMs() {
 		if d.FailureDomain() == "domain-1" {
 			faults.DisconnectedVMs = append(faults.DisconnectedVMs, name)
 		}
 	}
-	w.Platform.SetFaults(faults)
+	deployment.Platform.SetFaults(faults)
 	pause.For(ctx, 2*time.Second)
-	latencies, err := measurePropagation(ctx, w, n)
+	latencies, err := measurePropagation(ctx, deployment, n)
 	if err != nil {
 		return nil, err
 	}
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -25,7 +25,7 @@
 	GatewayP99Ms float64 `json:"gateway_p99_ms"`
 	AddedP50Ms   float64 `json:"added_p50_ms"`
 	AddedP99Ms   float64 `json:"added_p99_ms"`
-	// The CPU times are those of the whole process: simulated engine, gateway and
+	// The CPU times are those of the whole process: engine stand-in, gateway and
 	// caller. The difference is the cost of the gateway and one more hop.
 	DirectCPUMicrosPerToken  float64 `json:"direct_cpu_us_per_token"`
 	GatewayCPUMicrosPerToken float64 `json:"gateway_cpu_us_per_token"`
@@ -42,17 +42,17 @@
 // at a time, so that no call queues behind another.
 func overhead(ctx context.Context, o Options) (Report, error) {
 	spec := deploymentSpec{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, firstToken: time.Millisecond, betweenTokens: 100 * time.Microsecond}
-	w, err := spec.start(ctx, o, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
+	deployment, err := spec.start(ctx, o, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	for _, doc := range w.Servers() {
-		e := w.Engine(doc.Name)
+	defer deployment.Close()
+	for _, doc := range deployment.Servers() {
+		e := deployment.Engine(doc.Name)
 		e.FirstTokenDelay, e.TokenInterval = time.Microsecond, time.Microsecond
 	}
 	direct, gateway := newMicrosecondHistogram(), newMicrosecondHistogram()
-	client := &overheadClient{world: w, engines: engine.New()}
+	client := &overheadClient{deployment: deployment, engines: engine.New()}
 	report := overheadReport{CommonReport: CommonReport{Experiment: "overhead", Seed: o.Seed}}
 	deadline := time.Now().Add(o.duration(5 * time.Second))
 	for n := 0; n < overheadMinPairs || time.Now().Before(deadline); n++ {
@@ -77,15 +77,15 @@
 }
 
 const (
-	longAnswers = 200
-	longTokens  = 200
+	longResponses = 200
+	longTokens    = 200
 )
 
-// measureCPU measures the CPU time per token of long answers.
+// measureCPU measures the CPU time per token of long responses.
 func (c *overheadClient) measureCPU(ctx context.Context, report *overheadReport) error {
 	var tokens int
 	start := cpuTime()
-	for n := range longAnswers {
+	for n := range longResponses {
 		count, err := c.callDirect(ctx, fmt.Sprint("long ", n), longTokens)
 		if err != nil {
 			return err
@@ -94,7 +94,7 @@
 	}
 	report.DirectCPUMicrosPerToken = float64((cpuTime() - start).Microseconds()) / float64(tokens)
 	start = cpuTime()
-	for n := range longAnswers {
+	for n := range longResponses {
 		if err := c.callGateway(ctx, fmt.Sprint("long ", n), longTokens); err != nil {
 			return err
 		}
@@ -114,9 +114,9 @@
 
 // overheadClient makes direct calls and calls through the gateway.
 type overheadClient struct {
-	world     *demo.Deployment
-	engines   *engine.Client
-	callCount int
+	deployment *demo.Deployment
+	engines    *engine.Client
+	callCount  int
 }
 
 // measurePair measures one direct call and one call through the gateway.
@@ -138,7 +138,7 @@
 func (c *overheadClient) callDirect(ctx context.Context, prompt string, tokens int) (int, error) {
 	c.callCount++
 	count := 0
-	err := c.engines.Generate(ctx, c.world.Servers()[0].Address, fmt.Sprint("direct-", c.callCount),
+	err := c.engines.Generate(ctx, c.deployment.Servers()[0].Address, fmt.Sprint("direct-", c.callCount),
 		engine.GenerateRequest{Model: "draft-1", Prompt: prompt, MaxTokens: tokens},
 		func(hibiscuscart.Frame) error {
 			count++
@@ -150,10 +150,10 @@
 	return count, nil
 }
 
-// callGateway makes a call through the VM and checks that the answer is complete.
+// callGateway makes a call through the VM and checks that the response is complete.
 func (c *overheadClient) callGateway(ctx context.Context, prompt string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"draft/draft-1","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.world.ReadyAddresses()[0]+"/v1/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.deployment.ReadyAddresses()[0]+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build request: %w", err)
 	}
@@ -164,10 +164,10 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	if !strings.HasSuffix(string(text), "[DONE]\n\n") {
-		return fmt.Errorf("incomplete answer through the gateway: %.200s", text)
+		return fmt.Errorf("incomplete response through the gateway: %.200s", text)
 	}
 	return nil
 }
--- a/bench/overhead_test.go
+++ b/bench/overhead_test.go
@@ -16,12 +16,12 @@
 )
 
 // BenchmarkDirect and BenchmarkPipe measure the time and allocations of a request
-// of eight tokens, sent directly to a simulated engine and through the request
+// of eight tokens, sent directly to an engine stand-in and through the request
 // pipeline of a gateway. The difference is the cost of the pipeline.
 func BenchmarkDirect(b *testing.B) {
-	w := newOverheadWorld(b)
+	deployment := newOverheadDeployment(b)
 	engines := engine.New()
-	address := w.Servers()[0].Address
+	address := deployment.Servers()[0].Address
 	b.ReportAllocs()
 	for i := range b.N {
 		err := engines.Generate(context.Background(), address, fmt.Sprint("direct-", i),
@@ -31,22 +31,22 @@
 	}
 }
 
-func newOverheadWorld(b *testing.B) *demo.Deployment {
+func newOverheadDeployment(b *testing.B) *demo.Deployment {
 	b.Helper()
 	s := deploymentSpec{domains: 1, vmsPerDomain: 1, engines: 1, slots: 64, firstToken: time.Millisecond, betweenTokens: 100 * time.Microsecond}
-	w, err := s.start(context.Background(), Options{Seed: 1}, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
+	deployment, err := s.start(context.Background(), Options{Seed: 1}, []wire.Profile{engineProfile("draft", 1, 3)}, nil)
 	require.NoError(b, err)
-	b.Cleanup(w.Close)
-	for _, doc := range w.Servers() {
-		e := w.Engine(doc.Name)
+	b.Cleanup(deployment.Close)
+	for _, doc := range deployment.Servers() {
+		e := deployment.Engine(doc.Name)
 		e.FirstTokenDelay, e.TokenInterval = time.Microsecond, time.Microsecond
 	}
-	return w
+	return deployment
 }
 
 func BenchmarkPipe(b *testing.B) {
-	w := newOverheadWorld(b)
-	d := w.VMs()["domain-1-1"]
+	deployment := newOverheadDeployment(b)
+	d := deployment.VMs()["domain-1-1"]
 	sink := entry.Sink{WriteText: func(string) error { return nil }, WriteResponse: func(hibiscuscart.Answer) error { return nil }}
 	b.ReportAllocs()
 	for i := range b.N {
@@ -67,8 +67,8 @@
 }
 
 func TestOverheadRuns(t *testing.T) {
-	figures, err := overhead(context.Background(), Options{Seed: 1, Duration: 300 * time.Millisecond})
+	report, err := overhead(context.Background(), Options{Seed: 1, Duration: 300 * time.Millisecond})
 	require.NoError(t, err)
-	require.Zero(t, figures.(overheadReport).TotalViolations())
-	require.Positive(t, figures.(overheadReport).GatewayP50Ms)
+	require.Zero(t, report.(overheadReport).TotalViolations())
+	require.Positive(t, report.(overheadReport).GatewayP50Ms)
 }
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := demo.Start(ctx, demo.Options{
+	deployment, err := demo.Start(ctx, demo.Options{
 		Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
 		AdjustVM: func(c *entry.Config) { c.Placement, c.CallersByKey = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
@@ -112,28 +112,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("start deployment: %w", err)
 	}
-	defer w.Close()
+	defer deployment.Close()
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(ready); err != nil {
+	if err := deployment.WaitReady(ready); err != nil {
 		return nil, err
 	}
 	pause.For(ctx, placementSettleTime)
-	before := w.LoadsAndUnloads()
-	stopSampling := countUnreachableModels(w)
+	before := deployment.LoadsAndUnloads()
+	stopSampling := countUnreachableModels(deployment)
 	classes := p.classes(profiles)
-	results := w.SendLoad(ctx, classes, p.duration, o.Seed, nil)
-	result := &placementResult{results: results, moves: w.LoadsAndUnloads() - before}
+	results := deployment.SendLoad(ctx, classes, p.duration, o.Seed, nil)
+	result := &placementResult{results: results, moves: deployment.LoadsAndUnloads() - before}
 	unreachable := stopSampling()
-	result.summary = w.Summarize(classes, results)
+	result.summary = deployment.Summarize(classes, results)
 	result.summary.Violations.UnreachableModels += unreachable
 	if o.Out != nil {
 		fmt.Fprintf(o.Out, "placement %q: attainment %.4f, moves %d\n", placement, result.summary.Total.Attainment, result.moves)
 		if err := result.summary.WriteTable(o.Out); err != nil {
 			return nil, err
 		}
-		for _, s := range w.Servers() {
-			if e := w.Engine(s.Name); e != nil {
+		for _, s := range deployment.Servers() {
+			if e := deployment.Engine(s.Name); e != nil {
 				fmt.Fprintf(o.Out, "%s: %d models\n", s.Name, e.ModelCount())
 			}
 		}
@@ -164,10 +164,10 @@
 	return engines, nil
 }
 
-// countUnreachableModels samples the number of models without a copy. The returned
+// countUnreachableModels samples the number of models without a replica. The returned
 // function stops sampling and returns the sum.
-func countUnreachableModels(w *demo.Deployment) func() int {
-	return sampleSum(50*time.Millisecond, func() int { return len(w.UnreachableModels()) })
+func countUnreachableModels(deployment *demo.Deployment) func() int {
+	return sampleSum(50*time.Millisecond, func() int { return len(deployment.UnreachableModels()) })
 }
 
 // compare runs the trial under the planner and under a baseline placement.
@@ -205,9 +205,9 @@
 }
 
 // pooledBound returns the attainment with full knowledge, as a bound for placements.
-// It treats the slots of all servers as one pool that holds every model. Each request starts in the slot that
-// is free first if it still meets its target, and is dropped otherwise. No
-// placement can have a slot free earlier.
+// It treats the slots of all servers as one pool in which every model is loaded. Each
+// request starts in the slot that is free first if it still meets its target, and is
+// dropped otherwise. No placement can have a slot free earlier.
 func pooledBound(arrivals []load.Arrival, classes []load.Class, slots int) float64 {
 	freeAt := make(slotHeap, slots)
 	attained := 0
@@ -245,7 +245,7 @@
 }
 
 // vadodara floods three of the 13 models of the deployment in turn with about twice
-// what two servers can answer.
+// what two servers can serve.
 func vadodara(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(30 * time.Second)
 	p := placementTrial{
--- a/bench/repeat.go
+++ b/bench/repeat.go
@@ -60,8 +60,8 @@
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	var workers sync.WaitGroup
-	for w := range repeatWorkers {
-		workers.Go(func() { c.runWorker(ctx, w) })
+	for worker := range repeatWorkers {
+		workers.Go(func() { c.runWorker(ctx, worker) })
 	}
 	workers.Wait()
 }
@@ -102,8 +102,8 @@
 	c.recordOutcome(ctx, r, d)
 }
 
-// repeat measures claims against a platform that answers in 5 ms and allows several
-// hundred writes per second, then claims under faults: lost answers, an outage, and
+// repeat measures claims against a platform that responds in 5 ms and allows several
+// hundred writes per second, then claims under faults: lost responses, an outage, and
 // two VMs that both act as the owner of the shard.
 func repeat(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(9*time.Second) / 3
@@ -153,7 +153,7 @@
 	return workers, time.Since(start), platform.Counts().Writes
 }
 
-// injectStoreFaults loses the answers to some writes throughout and injects an
+// injectStoreFaults loses the responses to some writes throughout and injects an
 // outage in the middle. The returned function stops it and returns the number of
 // faults.
 func injectStoreFaults(p *stand.Platform, duration time.Duration) func() int {
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -33,17 +33,17 @@
 		profiles: []wire.Profile{profile},
 		classes:  []load.Class{{Name: "label", Profile: profile, Rate: 420, MaxTokens: 40}},
 		duration: duration,
-		setUp: func(w *demo.Deployment) {
-			for _, doc := range w.Servers() {
-				w.Engine(doc.Name).SetResident("label-1", "", 1, 1<<30)
-				w.Engine(doc.Name).QueueLimit = 4
+		setUp: func(deployment *demo.Deployment) {
+			for _, doc := range deployment.Servers() {
+				deployment.Engine(doc.Name).SetResident("label-1", "", 1, 1<<30)
+				deployment.Engine(doc.Name).QueueLimit = 4
 			}
 			time.Sleep(time.Second)
 		},
-		injectFaults: func(ctx context.Context, w *demo.Deployment) int {
+		injectFaults: func(ctx context.Context, deployment *demo.Deployment) int {
 			pause.For(ctx, duration/3)
-			w.KillServer("llm-1")
-			w.KillServer("llm-2")
+			deployment.KillServer("llm-1")
+			deployment.KillServer("llm-2")
 			return 2
 		},
 	}
@@ -82,14 +82,14 @@
 			{Name: "issue", Profile: issue, Rate: 50, MaxTokens: 60},
 		},
 		duration: duration,
-		setUp: func(w *demo.Deployment) {
-			for _, doc := range w.Servers() {
-				w.Engine(doc.Name).SetFaults(faults)
+		setUp: func(deployment *demo.Deployment) {
+			for _, doc := range deployment.Servers() {
+				deployment.Engine(doc.Name).SetFaults(faults)
 			}
 		},
-		injectFaults: func(ctx context.Context, w *demo.Deployment) int {
+		injectFaults: func(ctx context.Context, deployment *demo.Deployment) int {
 			pause.For(ctx, duration/2)
-			w.KillServer("llm-3")
+			deployment.KillServer("llm-3")
 			return 1
 		},
 	}
@@ -102,11 +102,13 @@
 	report.naiveLatencyReport = naiveLatencyReport(newLatencyReport(baseline.summary.Total, 4))
 	report.WholeShare = wholeShare(system.summary.Total)
 	report.NaiveWholeShare = wholeShare(baseline.summary.Total)
-	for _, doc := range system.world.Servers() {
-		report.StreamsCut += system.world.Engine(doc.Name).Counts().Disconnects
+	for _, doc := range system.deployment.Servers() {
+		report.StreamsCut += system.deployment.Engine(doc.Name).Counts().Disconnects
 	}
 	report.FaultsInjected += int(report.StreamsCut)
 	return report, report.violationError()
 }
 
-func wholeShare(l load.ClassSummary) float64 { return float64(l.Complete) / float64(max(l.Sent, 1)) }
+func wholeShare(summary load.ClassSummary) float64 {
+	return float64(summary.Complete) / float64(max(summary.Sent, 1))
+}
--- a/bench/trial.go
+++ b/bench/trial.go
@@ -35,11 +35,11 @@
 	GapP99                   float64 `json:"naive_between_tokens_p99_ms"`
 }
 
-func newLatencyReport(l load.ClassSummary, accelerators int) latencyReport {
+func newLatencyReport(summary load.ClassSummary, accelerators int) latencyReport {
 	return latencyReport{
-		Attainment: l.Attainment, AttainmentPerAccelerator: l.Attainment / float64(accelerators),
-		FirstP50: l.FirstTokenP50, FirstP95: l.FirstTokenP95, FirstP99: l.FirstTokenP99,
-		GapP50: l.TokenIntervalP50, GapP95: l.TokenIntervalP95, GapP99: l.TokenIntervalP99,
+		Attainment: summary.Attainment, AttainmentPerAccelerator: summary.Attainment / float64(accelerators),
+		FirstP50: summary.FirstTokenP50, FirstP95: summary.FirstTokenP95, FirstP99: summary.FirstTokenP99,
+		GapP50: summary.TokenIntervalP50, GapP95: summary.TokenIntervalP95, GapP99: summary.TokenIntervalP99,
 	}
 }
 
@@ -60,11 +60,11 @@
 
 // trialResult is the result of a trial.
 type trialResult struct {
-	summary  load.Summary
-	results  []load.Result
-	faults   int
-	attempts int64
-	world    *demo.Deployment
+	summary    load.Summary
+	results    []load.Result
+	faults     int
+	attempts   int64
+	deployment *demo.Deployment
 }
 
 // run runs the trial. If baseline is set, the VMs run in the baseline mode.
@@ -75,27 +75,27 @@
 			t.adjustConfig(c)
 		}
 	}
-	w, err := t.spec.start(ctx, o, t.profiles, adjustConfig)
+	deployment, err := t.spec.start(ctx, o, t.profiles, adjustConfig)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer deployment.Close()
 	if t.setUp != nil {
-		t.setUp(w)
+		t.setUp(deployment)
 	}
-	daemons := w.VMs()
+	daemons := deployment.VMs()
 	faults := make(chan int, 1)
 	go func() {
 		if t.injectFaults == nil {
 			faults <- 0
 			return
 		}
-		faults <- t.injectFaults(ctx, w)
+		faults <- t.injectFaults(ctx, deployment)
 	}()
-	result := &trialResult{world: w}
-	result.results = w.SendLoad(ctx, t.classes, t.duration, o.Seed, nil)
+	result := &trialResult{deployment: deployment}
+	result.results = deployment.SendLoad(ctx, t.classes, t.duration, o.Seed, nil)
 	result.faults = <-faults
-	result.summary = w.Summarize(t.classes, result.results)
+	result.summary = deployment.Summarize(t.classes, result.results)
 	for _, d := range daemons {
 		result.attempts += d.Metrics().CounterValue("relay.attempts")
 	}
--- a/bench/worst.go
+++ b/bench/worst.go
@@ -22,8 +22,8 @@
 	// WorstSpanShare is the lowest share in any two seconds.
 	EarnedShare    float64 `json:"worth"`
 	WorstSpanShare float64 `json:"worst_span_worth"`
-	// The naive variant sends to a random server that holds the model and moves no
-	// models.
+	// The naive variant sends to a random server that has loaded the model, and
+	// keeps the initial placement.
 	NaiveShare float64 `json:"naive_worth"`
 	// With exact load, each VM immediately has the load sent by all VMs. With foreseen
 	// demand, the controller gets the demand of four seconds later. Instant loads take
