--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// fetchRunCounts returns how often each request ran, as counted by the simulated
-// servers.
+// fetchRunCounts returns how often each request ran, as counted by the server
+// stand-ins.
 func fetchRunCounts(settings *conf.Settings) map[string]int {
 	counts := make(map[string]int)
 	for _, pool := range settings.Pools() {
-		// The simulated servers of one process share their counts, so the highest
+		// The stand-ins of one process share their counts, so the highest
 		// count is the total. The counts of several processes would have to be added.
 		for _, server := range pool.Servers(settings.FailureDomains()) {
 			for id, n := range fetchServerRunCounts(server.Address) {
--- a/cmd/hibiscuscart/node.go
+++ b/cmd/hibiscuscart/node.go
@@ -133,7 +133,7 @@
 	clientIdleTimeout = 3 * time.Second
 )
 
-// newHTTPClient returns a client whose connections detect a dead peer.
+// newHTTPClient returns a client whose connections detect an unreachable peer.
 func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/cmd/hibiscuscart/operate.go
+++ b/cmd/hibiscuscart/operate.go
@@ -107,9 +107,9 @@
 	return runAction(ctx, fs.Args())
 }
 
-func singleArgument(args []string, what string) (string, error) {
+func singleArgument(args []string, kind string) (string, error) {
 	if len(args) != 1 {
-		return "", usageErrorf("exactly one %s is required", what)
+		return "", usageErrorf("exactly one %s is required", kind)
 	}
 	return args[0], nil
 }
@@ -216,13 +216,13 @@
 	}
 	deadline := time.Now().Add(o.wait)
 	for {
-		nodes, err := o.nodeVersions(ctx, name)
+		vms, err := o.vmVersions(ctx, name)
 		if err != nil {
 			return err
 		}
-		outdated := countOutdated(nodes, latest)
+		outdated := countOutdated(vms, latest)
 		if outdated == 0 || time.Now().After(deadline) {
-			if err := printVersions(nodes, name, latest); err != nil {
+			if err := printVersions(vms, name, latest); err != nil {
 				return err
 			}
 			if outdated > 0 && o.wait > 0 {
@@ -234,43 +234,43 @@
 	}
 }
 
-// nodeVersion is the active version of a profile on one VM.
-type nodeVersion struct {
+// vmVersion is the active version of a profile on one VM.
+type vmVersion struct {
 	wire.NodeStatus
 	version int
 }
 
-// nodeVersions queries one VM for the list of VMs, then each VM for its active
+// vmVersions queries one VM for the list of VMs, then each VM for its active
 // version of the profile.
-func (o *operatorCommand) nodeVersions(ctx context.Context, name string) ([]nodeVersion, error) {
+func (o *operatorCommand) vmVersions(ctx context.Context, name string) ([]vmVersion, error) {
 	reply, err := o.queryFleet(ctx, false)
 	if err != nil {
 		return nil, err
 	}
-	nodes := make([]nodeVersion, len(reply.Nodes))
+	vms := make([]vmVersion, len(reply.Nodes))
 	var group sync.WaitGroup
 	for i, n := range reply.Nodes {
-		nodes[i] = nodeVersion{NodeStatus: n}
+		vms[i] = vmVersion{NodeStatus: n}
 		if n.State == wire.NodeStatusStateUnknown {
 			continue
 		}
 		group.Go(func() {
-			nodeReply, err := queryVM(ctx, o.dialer(), n.PeerAddress, false)
+			vmReply, err := queryVM(ctx, o.dialer(), n.PeerAddress, false)
 			if err != nil {
-				nodes[i].State = wire.NodeStatusStateUnknown
+				vms[i].State = wire.NodeStatusStateUnknown
 				return
 			}
-			nodes[i].version = activeVersion(nodeReply, n.Node, name)
+			vms[i].version = activeVersion(vmReply, n.Node, name)
 		})
 	}
 	group.Wait()
-	return nodes, nil
+	return vms, nil
 }
 
-func activeVersion(reply *wire.FleetReply, node, name string) int {
+func activeVersion(reply *wire.FleetReply, vm, name string) int {
 	for _, n := range reply.Nodes {
 		for _, v := range n.Versions {
-			if n.Node == node && v.Name == profs.ObjectKind+"/"+name {
+			if n.Node == vm && v.Name == profs.ObjectKind+"/"+name {
 				return v.Version
 			}
 		}
@@ -279,9 +279,9 @@
 }
 
 // countOutdated counts the live VMs on which the latest version is not active.
-func countOutdated(nodes []nodeVersion, latest int) int {
+func countOutdated(vms []vmVersion, latest int) int {
 	outdated := 0
-	for _, n := range nodes {
+	for _, n := range vms {
 		if n.State == wire.NodeStatusStateLive && n.version < latest {
 			outdated++
 		}
@@ -289,10 +289,10 @@
 	return outdated
 }
 
-func printVersions(nodes []nodeVersion, name string, latest int) error {
+func printVersions(vms []vmVersion, name string, latest int) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "VM\tfailure domain\tstate\tversion of %s (latest %d)\n", name, latest)
-	for _, n := range nodes {
+	for _, n := range vms {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", n.Node, n.FailureDomain, n.State, n.version)
 	}
 	return t.Flush()
--- a/cmd/hibiscuscart/standin.go
+++ b/cmd/hibiscuscart/standin.go
@@ -96,7 +96,7 @@
 	return listenAndServe(ctx, map[string]http.Handler{s.Text("platform", "address"): mux})
 }
 
-// serveBackendServers serves the simulated engines or services in the settings.
+// serveBackendServers serves the stand-ins for the engines or services in the settings.
 func serveBackendServers(ctx context.Context, s *conf.Settings, service bool, serverName string, random func() float64) error {
 	handlers := make(map[string]http.Handler)
 	runs := &stand.RunCounter{}
