--- a/bench/control.go
+++ b/bench/control.go
@@ -98,7 +98,7 @@
 	time.Sleep(2 * time.Second) // until the second replicas that fit in memory are loaded
 	victim, most := "", 0
 	for _, doc := range deployment.Servers() {
-		if n := deployment.SoleCopies(doc.Name); n > most {
+		if n := deployment.SoleReplicas(doc.Name); n > most {
 			victim, most = doc.Name, n
 		}
 	}
--- a/bench/placement.go
+++ b/bench/placement.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	deployment, err := demo.Start(ctx, demo.Options{
-		Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, PreloadCopies: 2, Seed: o.Seed, Log: zerolog.Nop(),
+		Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, PreloadReplicas: 2, Seed: o.Seed, Log: zerolog.Nop(),
 		AdjustVM: func(c *entry.Config) { c.Placement, c.CallersByKey = placement, nil },
 		AdjustEngine: func(e *stand.Engine) {
 			e.Slots, e.FirstTokenDelay, e.TokenInterval = placementSlots, placementFirstToken, placementBetweenTokens
--- a/bench/repeat.go
+++ b/bench/repeat.go
@@ -164,7 +164,7 @@
 		defer mu.Unlock()
 		return rng.Float64()
 	}
-	faults := stand.PlatformFaults{DelayMs: storeDelayMs, LostReplyShare: 0.2}
+	faults := stand.PlatformFaults{DelayMs: storeDelayMs, LostResponseShare: 0.2}
 	p.SetFaults(faults)
 	outage := faults
 	outage.Outage = true
@@ -173,7 +173,7 @@
 	return func() int {
 		outageStart.Stop()
 		outageEnd.Stop()
-		return int(p.Counts().LostReplies) + 1
+		return int(p.Counts().LostResponses) + 1
 	}
 }
 
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -37,8 +37,8 @@
 	// Preload starts the deployment with one replica of each model loaded, as in a deployment that has
 	// been running.
 	Preload bool
-	// PreloadCopies is the number of replicas of each model that Preload loads; 0 means one.
-	PreloadCopies int
+	// PreloadReplicas is the number of replicas of each model that Preload loads; 0 means one.
+	PreloadReplicas int
 	// AdjustEngine changes an engine stand-in before it starts.
 	AdjustEngine func(*stand.Engine)
 	Seed         uint64
@@ -182,7 +182,7 @@
 	}
 }
 
-// preloadModels makes PreloadCopies replicas of each model resident on the engines.
+// preloadModels makes PreloadReplicas replicas of each model resident on the engines.
 func (d *Deployment) preloadModels() {
 	var models []naive.PoolModel
 	for _, doc := range d.options.Profiles {
@@ -190,7 +190,7 @@
 			models = append(models, naive.PoolModel{Pool: doc.Pool, Model: m})
 		}
 	}
-	placement, _ := naive.Place(d.servers, models, max(d.options.PreloadCopies, 1))
+	placement, _ := naive.Place(d.servers, models, max(d.options.PreloadReplicas, 1))
 	for server, artifacts := range placement {
 		for _, a := range artifacts {
 			d.engines[server].SetResident(a.Model, a.Adapter, a.Version, a.Bytes)
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -265,7 +265,7 @@
 // No order may exceed the memory or adapter slots of a server, and every model must stay reachable.
 func TestLostOrderResponses(t *testing.T) {
 	s, ctx := startSite(t, demo.SiteOptions{})
-	sharedFaults := stand.NewPendingFaults(stand.BackendFaults{LostOrderReplies: 6})
+	sharedFaults := stand.NewPendingFaults(stand.BackendFaults{LostOrderResponses: 6})
 	for _, b := range s.Backends(demo.SiteModelService) {
 		b.SetPendingFaults(sharedFaults)
 	}
--- a/demo/state.go
+++ b/demo/state.go
@@ -90,9 +90,9 @@
 	return d.killed[server]
 }
 
-// SoleCopies returns the number of models and adapters on an engine that no other running engine has
+// SoleReplicas returns the number of models and adapters on an engine that no other running engine has
 // loaded.
-func (d *Deployment) SoleCopies(server string) int {
+func (d *Deployment) SoleReplicas(server string) int {
 	e := d.engines[server]
 	if e == nil {
 		return 0
--- a/engine/client.go
+++ b/engine/client.go
@@ -156,7 +156,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusPreconditionFailed {
-		return &StaleFenceError{}
+		return &StaleFencingTokenError{}
 	}
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
@@ -168,12 +168,12 @@
 	return nil
 }
 
-// StaleFenceError reports that the engine has received a higher fencing token. The
+// StaleFencingTokenError reports that the engine has received a higher fencing token. The
 // order had no effect, and its sender is no longer the controller.
-type StaleFenceError struct{}
+type StaleFencingTokenError struct{}
 
 // Error implements error.
-func (e *StaleFenceError) Error() string { return "engine has received a higher fencing token" }
+func (e *StaleFencingTokenError) Error() string { return "engine has received a higher fencing token" }
 
 // Cancel stops a run.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// RaiseFencingNumber makes the engine reject orders with a lower fencing token.
-func (c *Client) RaiseFencingNumber(ctx context.Context, address string, fencingToken int) error {
+// RaiseFencingToken makes the engine reject orders with a lower fencing token.
+func (c *Client) RaiseFencingToken(ctx context.Context, address string, fencingToken int) error {
 	var ignored struct{}
 	s := requestTo(address).Put("/fence").Set(HeaderFencingNumber, strconv.Itoa(fencingToken))
 	if err := c.callJSON(ctx, s, &ignored); err != nil {
--- a/entry/claims_test.go
+++ b/entry/claims_test.go
@@ -75,11 +75,11 @@
 		}
 		outcomes[id][outcome] = true
 	})
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.3})
+	w.Platform.SetFaults(stand.PlatformFaults{LostResponseShare: 0.3})
 	time.Sleep(300 * time.Millisecond)
 	w.Platform.SetFaults(stand.PlatformFaults{Outage: true})
 	time.Sleep(500 * time.Millisecond)
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.1})
+	w.Platform.SetFaults(stand.PlatformFaults{LostResponseShare: 0.1})
 	w.KillVM("two-1")
 	wg.Wait()
 	done := 0
--- a/entry/control.go
+++ b/entry/control.go
@@ -299,7 +299,7 @@
 			return nil
 		}
 		err := c.order(ctx, b, order)
-		var oldFence *engine.StaleFenceError
+		var oldFence *engine.StaleFencingTokenError
 		if errors.As(err, &oldFence) {
 			b.Reset(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -114,7 +114,7 @@
 func TestLostResponseOfOnceOnlyCall(t *testing.T) {
 	w := startDeployment(t, nil)
 	desk := w.Service("desk-1")
-	desk.SetFaults(stand.ServiceFaults{LostReplyShare: 1})
+	desk.SetFaults(stand.ServiceFaults{LostResponseShare: 1})
 	first := post(t, w, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
@@ -150,7 +150,7 @@
 // claim, finds its own grant and sends the request, once.
 func TestLostClaimResponse(t *testing.T) {
 	w := startDeployment(t, nil)
-	w.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.5})
+	w.Platform.SetFaults(stand.PlatformFaults{LostResponseShare: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
 		r := post(t, w, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id)
--- a/peers/lease_test.go
+++ b/peers/lease_test.go
@@ -94,7 +94,7 @@
 	a, b := newLease(clock, o, "1"), newLease(clock, o, "2")
 	a.Step(t.Context())
 	clock.advance(400 * time.Millisecond)
-	o.SetFaults(stand.ObjectStoreFaults{LostReplies: 1})
+	o.SetFaults(stand.ObjectStoreFaults{LostResponses: 1})
 	a.Step(t.Context())
 	for range 20 {
 		clock.advance(100 * time.Millisecond)
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -50,7 +50,7 @@
 		"success":                     {cause: hibiscuscart.CauseDone, ran: 1},
 		"service draining":            {faults: stand.ServiceFaults{Draining: true}, cause: hibiscuscart.CauseRefused},
 		"disconnect before execution": {faults: stand.ServiceFaults{DisconnectBeforeRunShare: 1}, cause: hibiscuscart.CauseLostBeforeAnswer},
-		"disconnect after execution":  {faults: stand.ServiceFaults{LostReplyShare: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
+		"disconnect after execution":  {faults: stand.ServiceFaults{LostResponseShare: 1}, cause: hibiscuscart.CauseLostBeforeAnswer, ran: 1},
 		"response too large":          {limit: 10, cause: hibiscuscart.CauseBackendError, ran: 1},
 	}
 	for name, tc := range cases {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -78,7 +78,7 @@
 		return func(context.Context, time.Duration) { v.storeProxy.Reset() }, "store_reset"
 	case 9:
 		return func(ctx context.Context, d time.Duration) {
-			r.site.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}, LostReplies: failureCount})
+			r.site.Objects.SetFaults(stand.ObjectStoreFaults{UnavailableTo: []string{"*"}, LostResponses: failureCount})
 			pause.For(ctx, d)
 			r.site.Objects.SetFaults(stand.ObjectStoreFaults{})
 		}, "store_away"
@@ -87,7 +87,7 @@
 	case 11:
 		return r.injectServerFaults(demo.SitePlainService, stand.BackendFaults{ErrorResponses: failureCount, LostResponses: failureCount, DuplicateResponses: failureCount, Rejections: failureCount, ForgedResponses: failureCount}), "plain_servers"
 	case 12:
-		return r.injectServerFaults(demo.SiteModelService, stand.BackendFaults{LostResponses: failureCount, BrokenStreams: failureCount, Rejections: failureCount, LostOrderReplies: failureCount}), "model_servers"
+		return r.injectServerFaults(demo.SiteModelService, stand.BackendFaults{LostResponses: failureCount, BrokenStreams: failureCount, Rejections: failureCount, LostOrderResponses: failureCount}), "model_servers"
 	}
 	return func(context.Context, time.Duration) {
 		if err := r.site.Configure(version, demo.SiteRoutes()); err != nil {
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -22,8 +22,8 @@
 	DuplicateResponses int
 	// Rejections is how many requests are rejected without execution.
 	Rejections int
-	// LostOrderReplies is how many orders are executed without a response.
-	LostOrderReplies int
+	// LostOrderResponses is how many orders are executed without a response.
+	LostOrderResponses int
 	// ForgedResponses is how many requests get a response without the proof that it comes
 	// from this server.
 	ForgedResponses int
@@ -216,7 +216,7 @@
 func (b *Backend) HandleOrder(o steer.Order) (steer.OrderResult, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	dropResponse := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostOrderReplies })
+	dropResponse := b.pendingFaults.consume(func(f *BackendFaults) *int { return &f.LostOrderResponses })
 	if b.orderInProgress || o.ExpectedSequence != b.orderSequence {
 		return steer.Conflict, dropResponse
 	}
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -45,17 +45,17 @@
 
 // EngineCounts are the counters of an Engine.
 type EngineCounts struct {
-	Started       int64 `json:"started"`
-	Finished      int64 `json:"finished"`
-	Canceled      int64 `json:"canceled"`
-	Tokens        int64 `json:"tokens"`
-	Overcommits   int64 `json:"overcommits"`
-	StaleFences   int64 `json:"old_fences"`
-	Loads         int64 `json:"loads"`
-	Unloads       int64 `json:"unloads"`
-	Disconnects   int64 `json:"cut"`
-	DelayedOrders int64 `json:"late_orders"`
-	PeakBytes     int64 `json:"peak_bytes"`
+	Started            int64 `json:"started"`
+	Finished           int64 `json:"finished"`
+	Canceled           int64 `json:"canceled"`
+	Tokens             int64 `json:"tokens"`
+	Overcommits        int64 `json:"overcommits"`
+	StaleFencingTokens int64 `json:"old_fences"`
+	Loads              int64 `json:"loads"`
+	Unloads            int64 `json:"unloads"`
+	Disconnects        int64 `json:"cut"`
+	DelayedOrders      int64 `json:"late_orders"`
+	PeakBytes          int64 `json:"peak_bytes"`
 }
 
 // Engine is a stand-in for a model engine. The zero value is ready for use: 80 GiB
@@ -106,7 +106,7 @@
 
 type engineCounters struct {
 	started, finished, canceled, tokens                   atomic.Int64
-	overcommits, staleTokens                              atomic.Int64
+	overcommits, staleFencingTokens                       atomic.Int64
 	loads, unloads, disconnects, delayedOrders, peakBytes atomic.Int64
 }
 
@@ -159,7 +159,7 @@
 	c := &e.counts
 	return EngineCounts{
 		Started: c.started.Load(), Finished: c.finished.Load(), Canceled: c.canceled.Load(),
-		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), StaleFences: c.staleTokens.Load(),
+		Tokens: c.tokens.Load(), Overcommits: c.overcommits.Load(), StaleFencingTokens: c.staleFencingTokens.Load(),
 		Loads: c.loads.Load(), Unloads: c.unloads.Load(), Disconnects: c.disconnects.Load(),
 		DelayedOrders: c.delayedOrders.Load(), PeakBytes: c.peakBytes.Load(),
 	}
--- a/stand/engine_http.go
+++ b/stand/engine_http.go
@@ -258,7 +258,7 @@
 		writeProblem(w, http.StatusBadRequest, "Fencing-Number is not a number")
 		return
 	}
-	if err := e.RaiseFencingNumber(fencingToken); err != nil {
+	if err := e.RaiseFencingToken(fencingToken); err != nil {
 		writeProblem(w, http.StatusPreconditionFailed, err.Error())
 		return
 	}
--- a/stand/engine_test.go
+++ b/stand/engine_test.go
@@ -29,7 +29,7 @@
 	for name, checks := range map[string]bool{"fencing checked": true, "fencing ignored": false} {
 		t.Run(name, func(t *testing.T) {
 			e := &stand.Engine{ChecksFencing: checks}
-			require.NoError(t, e.RaiseFencingNumber(7))
+			require.NoError(t, e.RaiseFencingToken(7))
 			err := e.Apply(loadOrder("1", "a", 1), 6)
 			require.Equal(t, checks, err != nil)
 		})
@@ -51,7 +51,7 @@
 	}
 	<-done
 	require.GreaterOrEqual(t, <-done, 40*time.Millisecond, "two concurrent loads take twice as long")
-	require.Equal(t, 2, s.CompletedLoads())
+	require.Equal(t, 2, s.EndedLoads())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.Error(t, s.Fetch(ctx, loadOrder("2", "b", 1)))
--- a/stand/objects.go
+++ b/stand/objects.go
@@ -17,8 +17,8 @@
 type ObjectStoreFaults struct {
 	// UnavailableTo lists the callers whose calls are rejected; "*" rejects all callers.
 	UnavailableTo []string
-	// LostReplies is how many of the next changes are applied without a response.
-	LostReplies int
+	// LostResponses is how many of the next changes are applied without a response.
+	LostResponses int
 }
 
 // ObjectStore is a stand-in for the platform's object store: one revision counter,
@@ -70,14 +70,14 @@
 	return true
 }
 
-// DropReply reports whether the response to the last change is to be dropped.
-func (o *ObjectStore) DropReply() bool {
+// DropResponse reports whether the response to the last change is to be dropped.
+func (o *ObjectStore) DropResponse() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.faults.LostReplies == 0 {
+	if o.faults.LostResponses == 0 {
 		return false
 	}
-	o.faults.LostReplies--
+	o.faults.LostResponses--
 	return true
 }
 
@@ -92,7 +92,7 @@
 				return 0, fmt.Errorf("encode %s/%s: %w", kind, name, err)
 			}
 			got, err := o.Put(kind, name, ifVersion, data)
-			if err == nil && o.DropReply() {
+			if err == nil && o.DropResponse() {
 				return 0, &store.ResponseLostError{}
 			}
 			return got.Version, err
--- a/stand/orders.go
+++ b/stand/orders.go
@@ -8,17 +8,17 @@
 	"github.com/hibiscuscart/hibiscuscart/wire"
 )
 
-// staleTokenError reports that a call had a fencing token below the highest
+// staleFencingTokenError reports that a call had a fencing token below the highest
 // one received.
-type staleTokenError struct{ current int }
+type staleFencingTokenError struct{ current int }
 
-func (e *staleTokenError) Error() string {
+func (e *staleFencingTokenError) Error() string {
 	return fmt.Sprintf("the fencing number is now %d", e.current)
 }
 
-// RaiseFencingNumber sets the fencing token. It returns an error if the token is lower
+// RaiseFencingToken sets the fencing token. It returns an error if the token is lower
 // than the current one.
-func (e *Engine) RaiseFencingNumber(token int) error {
+func (e *Engine) RaiseFencingToken(token int) error {
 	e.init()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -30,8 +30,8 @@
 		return nil
 	}
 	if token < e.fencingToken {
-		e.counts.staleTokens.Add(1)
-		return &staleTokenError{current: e.fencingToken}
+		e.counts.staleFencingTokens.Add(1)
+		return &staleFencingTokenError{current: e.fencingToken}
 	}
 	e.fencingToken = token
 	return nil
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -25,9 +25,9 @@
 	Outage bool `json:"outage"`
 	// DelayMs delays each call.
 	DelayMs int `json:"delay_ms"`
-	// LostReplyShare is the fraction of writes whose connection breaks after
+	// LostResponseShare is the fraction of writes whose connection breaks after
 	// they were applied.
-	LostReplyShare float64 `json:"lose_answers"`
+	LostResponseShare float64 `json:"lose_answers"`
 	// WatchDelayMs delays each watch event.
 	WatchDelayMs int `json:"watch_lag_ms"`
 	// VMListDelayMs delays changes of the VM list.
@@ -38,11 +38,11 @@
 
 // PlatformCounts are the counters of a Platform.
 type PlatformCounts struct {
-	Reads       int64 `json:"reads"`
-	Writes      int64 `json:"writes"`
-	Watches     int64 `json:"watches"`
-	RateLimited int64 `json:"limited"`
-	LostReplies int64 `json:"lost"`
+	Reads         int64 `json:"reads"`
+	Writes        int64 `json:"writes"`
+	Watches       int64 `json:"watches"`
+	RateLimited   int64 `json:"limited"`
+	LostResponses int64 `json:"lost"`
 }
 
 // Platform is a stand-in for the platform's object API. The zero value is ready for
@@ -121,11 +121,11 @@
 // Counts returns the current values of the counters.
 func (p *Platform) Counts() PlatformCounts {
 	return PlatformCounts{
-		Reads:       p.counts.reads.Load(),
-		Writes:      p.counts.writes.Load(),
-		Watches:     p.counts.watches.Load(),
-		RateLimited: p.counts.limited.Load(),
-		LostReplies: p.counts.lost.Load(),
+		Reads:         p.counts.reads.Load(),
+		Writes:        p.counts.writes.Load(),
+		Watches:       p.counts.watches.Load(),
+		RateLimited:   p.counts.limited.Load(),
+		LostResponses: p.counts.lost.Load(),
 	}
 }
 
--- a/stand/platform_http.go
+++ b/stand/platform_http.go
@@ -109,7 +109,7 @@
 }
 
 func (p *Platform) writeVersion(w http.ResponseWriter, version int, ok bool) {
-	if share := p.Faults().LostReplyShare; share > 0 && p.shouldInject(share) {
+	if share := p.Faults().LostResponseShare; share > 0 && p.shouldInject(share) {
 		p.counts.lost.Add(1)
 		closeConnection(w)
 		return
--- a/stand/service.go
+++ b/stand/service.go
@@ -19,9 +19,9 @@
 
 // ServiceFaults are the faults that can be injected into a Service.
 type ServiceFaults struct {
-	// LostReplyShare is the fraction of calls whose connection breaks after
+	// LostResponseShare is the fraction of calls whose connection breaks after
 	// execution, DisconnectBeforeRunShare of those whose connection breaks before it.
-	LostReplyShare           float64 `json:"lose_answers"`
+	LostResponseShare        float64 `json:"lose_answers"`
 	DisconnectBeforeRunShare float64 `json:"cut_before"`
 	// Hang executes calls and sends no responses.
 	Hang     bool `json:"hang"`
@@ -111,7 +111,7 @@
 		<-r.Context().Done()
 		return
 	}
-	if s.shouldInject(faults.LostReplyShare) {
+	if s.shouldInject(faults.LostResponseShare) {
 		closeConnection(w)
 		return
 	}
--- a/stand/weights.go
+++ b/stand/weights.go
@@ -50,8 +50,8 @@
 	return v
 }
 
-// CompletedLoads returns the number of ended loads, canceled ones included.
-func (s *WeightStore) CompletedLoads() int {
+// EndedLoads returns the number of ended loads, canceled ones included.
+func (s *WeightStore) EndedLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endedLoads
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -62,7 +62,7 @@
 // it would be applied twice.
 func TestLostResponseIsNotRetried(t *testing.T) {
 	p, c := newPlatform(t)
-	p.SetFaults(stand.PlatformFaults{LostReplyShare: 1})
+	p.SetFaults(stand.PlatformFaults{LostResponseShare: 1})
 	_, err := c.Put(timeoutContext(t, 5*time.Second), "things", "a", 0, 1)
 	require.True(t, store.IsResponseLost(err), "%v", err)
 	require.Equal(t, int64(1), p.Counts().Writes)
