--- a/bench/control.go
+++ b/bench/control.go
@@ -96,17 +96,17 @@
 // returns the time until every model has a replica again, in milliseconds.
 func killOnlyReplicas(ctx context.Context, deployment *demo.Deployment) (float64, error) {
 	time.Sleep(2 * time.Second) // until the second replicas that fit in memory are loaded
-	victim, most := "", 0
+	server, most := "", 0
 	for _, doc := range deployment.Servers() {
 		if n := deployment.SoleReplicas(doc.Name); n > most {
-			victim, most = doc.Name, n
+			server, most = doc.Name, n
 		}
 	}
-	if victim == "" {
+	if server == "" {
 		return 0, errors.New("no server has the only replica of a model")
 	}
 	start := time.Now()
-	deployment.KillServer(victim)
+	deployment.KillServer(server)
 	if !waitUntil(ctx, func() bool { return len(deployment.UnreachableModels()) == 0 }) {
 		return 0, fmt.Errorf("%d models are still unreachable", len(deployment.UnreachableModels()))
 	}
--- a/bench/leave.go
+++ b/bench/leave.go
@@ -20,9 +20,9 @@
 
 const stopTimeout = 30 * time.Second
 
-// leave marks a backend server as leaving and stops two VMs in turn under a full
-// load of streams. Only the server's document on the platform announces that it
-// leaves. The baseline stops its VMs without draining.
+// leave marks a backend server as draining and stops two VMs in turn under a full
+// load of streams. Only the server's document on the platform announces that it is
+// draining. The baseline stops its VMs without draining.
 func leave(ctx context.Context, o Options) (Report, error) {
 	duration := o.duration(10 * time.Second)
 	profile := engineProfile("label", 1, 3)
--- a/cmd/hibiscuscart/load.go
+++ b/cmd/hibiscuscart/load.go
@@ -104,8 +104,8 @@
 	}
 	runner := &load.Runner{
 		Classes: classes, Targets: func() []string { return targets },
-		Progress: func(done time.Duration, sent, answered int) {
-			fmt.Fprintf(os.Stderr, "%3.0fs sent %d answered %d\n", done.Seconds(), sent, answered)
+		Progress: func(elapsed time.Duration, sent, completed int) {
+			fmt.Fprintf(os.Stderr, "%3.0fs sent %d answered %d\n", elapsed.Seconds(), sent, completed)
 		},
 	}
 	results := runner.Run(ctx, load.Schedule(f.seed, f.duration, classes))
--- a/demo/run.go
+++ b/demo/run.go
@@ -86,8 +86,8 @@
 	if out == nil {
 		return nil
 	}
-	return func(done time.Duration, sent, answered int) {
-		fmt.Fprintf(out, "%3.0fs sent %d answered %d\n", done.Seconds(), sent, answered)
+	return func(elapsed time.Duration, sent, completed int) {
+		fmt.Fprintf(out, "%3.0fs sent %d answered %d\n", elapsed.Seconds(), sent, completed)
 	}
 }
 
--- a/demo/site_test.go
+++ b/demo/site_test.go
@@ -108,7 +108,7 @@
 }
 
 // Guards against a wrong retry after a backend fault; each fault affects one attempt. Another server
-// must completely answer an idempotent request or a resumable stream. An at-most-once request must be
+// must complete the response to an idempotent request or a resumable stream. An at-most-once request must be
 // reported as possibly run, and may be sent again only if the server refused it.
 func TestBackendFaults(t *testing.T) {
 	tests := map[string]struct {
--- a/load/run.go
+++ b/load/run.go
@@ -25,7 +25,7 @@
 	// uses.
 	Targets func() []string
 	// Progress, when set, is called every second.
-	Progress func(done time.Duration, sent, answered int)
+	Progress func(elapsed time.Duration, sent, completed int)
 	// TimeoutMargin is added to the profile's time for the complete response to get the
 	// timeout of a request; 0 is 5 seconds.
 	TimeoutMargin time.Duration
@@ -39,9 +39,9 @@
 // Run sends the arrivals and returns their results in the same order.
 func (r *Runner) Run(ctx context.Context, arrivals []Arrival) []Result {
 	results := make([]Result, len(arrivals))
-	var answered atomic.Int64
+	var completed atomic.Int64
 	var sent atomic.Int64
-	stop := r.reportProgress(&sent, &answered)
+	stop := r.reportProgress(&sent, &completed)
 	defer stop()
 	startedAt := clock.Now()
 	var wg sync.WaitGroup
@@ -53,7 +53,7 @@
 		sent.Add(1)
 		wg.Go(func() {
 			results[i] = r.send(ctx, a)
-			answered.Add(1)
+			completed.Add(1)
 		})
 	}
 	wg.Wait()
@@ -62,7 +62,7 @@
 }
 
 // reportProgress calls Progress until the returned function is called.
-func (r *Runner) reportProgress(sent, answered *atomic.Int64) func() {
+func (r *Runner) reportProgress(sent, completed *atomic.Int64) func() {
 	if r.Progress == nil {
 		return func() {}
 	}
@@ -75,7 +75,7 @@
 			case <-done:
 				return
 			case <-tick.C:
-				r.Progress(clock.Now().Sub(startedAt), int(sent.Load()), int(answered.Load()))
+				r.Progress(clock.Now().Sub(startedAt), int(sent.Load()), int(completed.Load()))
 			}
 		}
 	}()
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	// maxAttempts, roundDelay and maxRounds are the values of the request path.
+	// maxAttempts, roundDelay and maxRounds equal those of the request path.
 	maxAttempts = 4
 	roundDelay  = 40 * time.Millisecond
 	maxRounds   = 4
@@ -103,8 +103,8 @@
 	return pick.Choice{Server: available[v.rng.IntN(len(available))]}, true
 }
 
-// candidates returns the servers that have loaded the request's model and adapter, as far as the VMs
-// have been informed.
+// candidates returns the servers that have loaded the request's model and adapter according to the
+// information that the VMs have received.
 func (v *vm) candidates(now time.Time, r *request) []backs.Entry {
 	var list []backs.Entry
 	for _, e := range v.sim.serving(now) {
