--- a/demo/run.go
+++ b/demo/run.go
@@ -41,22 +41,22 @@
 	if err != nil {
 		return 0, err
 	}
-	w, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
+	d, err := Start(ctx, Options{Settings: settings, Profiles: profiles, MaxVMsPerDomain: 1, Preload: true, Seed: o.Seed, Log: o.Log})
 	if err != nil {
 		return 0, fmt.Errorf("start deployment: %w", err)
 	}
-	defer w.Close()
+	defer d.Close()
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := w.WaitReady(readyCtx); err != nil {
+	if err := d.WaitReady(readyCtx); err != nil {
 		return 0, err
 	}
-	w.printUsage(o.Out, settings, profiles)
+	d.printUsage(o.Out, settings, profiles)
 	if o.LoadDuration == 0 {
 		<-ctx.Done()
 		return 0, nil
 	}
-	summary := w.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
+	summary := d.RunLoad(ctx, MixedLoad(settings, profiles, o.Rate), o.LoadDuration, o.Seed, o.Out)
 	if err := summary.WriteTable(o.Out); err != nil {
 		return 0, err
 	}
@@ -86,8 +86,8 @@
 	if out == nil {
 		return nil
 	}
-	return func(done time.Duration, sent, answered int) {
-		fmt.Fprintf(out, "%3.0fs sent %d answered %d\n", done.Seconds(), sent, answered)
+	return func(elapsed time.Duration, sent, completed int) {
+		fmt.Fprintf(out, "%3.0fs sent %d answered %d\n", elapsed.Seconds(), sent, completed)
 	}
 }
 
--- a/entry/control.go
+++ b/entry/control.go
@@ -299,7 +299,7 @@
 			return nil
 		}
 		err := c.order(ctx, r, order)
-		var staleTokenErr *engine.StaleFenceError
+		var staleTokenErr *engine.StaleFencingTokenError
 		if errors.As(err, &staleTokenErr) {
 			r.Reset(0, wire.Ledger{})
 			return fmt.Errorf("send order: %w", err)
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -114,7 +114,7 @@
 func TestLostResponseOfOnceOnlyCall(t *testing.T) {
 	deployment := startDeployment(t, nil)
 	desk := deployment.Service("desk-1")
-	desk.SetFaults(stand.ServiceFaults{LostReplyShare: 1})
+	desk.SetFaults(stand.ServiceFaults{LostResponseShare: 1})
 	first := post(t, deployment, "one-1", "/services/desk/loans", loanCall("lost"), entry.HeaderIdempotencyKey, "k")
 	require.Equal(t, "unknown", first.problem.Outcome, first.body)
 	desk.SetFaults(stand.ServiceFaults{})
@@ -150,7 +150,7 @@
 // claim, finds its own grant and sends the request, once.
 func TestLostClaimResponse(t *testing.T) {
 	deployment := startDeployment(t, nil)
-	deployment.Platform.SetFaults(stand.PlatformFaults{LostReplyShare: 0.5})
+	deployment.Platform.SetFaults(stand.PlatformFaults{LostResponseShare: 0.5})
 	for i := range 20 {
 		id := fmt.Sprint("claim", i)
 		r := post(t, deployment, "one-1", "/services/desk/loans", loanCall(id), entry.HeaderIdempotencyKey, id)
--- a/replay/vm.go
+++ b/replay/vm.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	// maxAttempts, roundDelay and maxRounds are the values of the request path.
+	// maxAttempts, roundDelay and maxRounds equal those of the request path.
 	maxAttempts = 4
 	roundDelay  = 40 * time.Millisecond
 	maxRounds   = 4
@@ -103,8 +103,8 @@
 	return pick.Choice{Server: available[v.rng.IntN(len(available))]}, true
 }
 
-// candidates returns the servers that have loaded the request's model and adapter, as far as the VMs
-// have been informed.
+// candidates returns the servers that have loaded the request's model and adapter according to the
+// information that the VMs have received.
 func (v *vm) candidates(now time.Time, r *request) []backs.Entry {
 	var list []backs.Entry
 	for _, e := range v.sim.serving(now) {
@@ -264,7 +264,7 @@
 	})
 }
 
-// fail ends a request without an answer.
+// fail ends a request without a complete response.
 func (v *vm) fail(r *request, reason string) {
 	if r.ended {
 		return
@@ -281,10 +281,10 @@
 	}
 	r.ended = true
 	delete(v.pending, r)
-	v.sim.tally.recordAnswer(v.sim.now, r)
+	v.sim.tally.recordResponse(v.sim.now, r)
 }
 
-// takeDemand returns the demand since the last call.
+// takeDemand returns and resets the demand since the last call.
 func (v *vm) takeDemand() []steer.ModelDemand {
 	list := make([]steer.ModelDemand, 0, len(v.demand))
 	for _, d := range v.demand {
