--- a/cmd/hibiscuscart/operate.go
+++ b/cmd/hibiscuscart/operate.go
@@ -173,13 +173,13 @@
 		return err
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "profile\tversion\tbackend\tmodels\tstate")
+	fmt.Fprintln(t, "profile\tversion\tback end\tmodels\tstate")
 	for _, obj := range list.Items {
 		doc, err := profs.Parse(obj.Value)
-		state := "active"
+		state := "in force"
 		switch {
 		case err != nil:
-			state = "invalid"
+			state = "not valid"
 		case doc.Retired:
 			state = "retired"
 		}
@@ -226,7 +226,7 @@
 				return err
 			}
 			if outdated > 0 && o.wait > 0 {
-				return fmt.Errorf("version %d of %s is not active on %d VMs after %v", latest, name, outdated, o.wait)
+				return fmt.Errorf("version %d of %s is not in force at %d VMs after %v", latest, name, outdated, o.wait)
 			}
 			return nil
 		}
@@ -291,7 +291,7 @@
 
 func printVersions(vms []vmVersion, name string, latest int) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "VM\tfailure domain\tstate\tversion of %s (latest %d)\n", name, latest)
+	fmt.Fprintf(t, "VM\tfailure domain\tstate\tversion of %s (newest %d)\n", name, latest)
 	for _, n := range vms {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", n.Node, n.FailureDomain, n.State, n.version)
 	}
@@ -365,7 +365,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("as observed by", reply.Node)
+	fmt.Println("as seen by", reply.Node)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "VM\tfailure domain\tstate\taddress")
 	for _, n := range reply.Nodes {
--- a/demo/drive.go
+++ b/demo/drive.go
@@ -89,7 +89,7 @@
 	for _, k := range SiteRequestKinds {
 		fmt.Fprintf(out, "%-8s %8d %8d\n", k.Name, sent[k.Name], served[k.Name])
 	}
-	fmt.Fprintf(out, "violated guarantees: %d\n", len(violations))
+	fmt.Fprintf(out, "broken promises: %d\n", len(violations))
 	for _, violation := range violations {
 		fmt.Fprintln(out, "  "+violation)
 	}
--- a/load/summary.go
+++ b/load/summary.go
@@ -245,7 +245,7 @@
 		return fmt.Errorf("write table: %w", err)
 	}
 	violations := s.Violations
-	fmt.Fprintf(out, "violations: overcommits %d, double_runs %d, lost_answers %d, wrong_answers %d, false_not_run %d, unreachable_models %d, cut_off_in_shutdown %d, config_reverts %d\n",
+	fmt.Fprintf(out, "broken promises: overcommits %d, double_runs %d, lost_answers %d, wrong_answers %d, false_not_run %d, unreachable_models %d, cut_off_in_shutdown %d, config_reverts %d\n",
 		violations.Overcommits, violations.DoubleRuns, violations.LostAnswers, violations.WrongAnswers, violations.FalseNotRun, violations.UnreachableModels, violations.CutOffInShutdown, violations.ConfigReverts)
 	for code, n := range s.Failures {
 		fmt.Fprintf(out, "failures: %s %d\n", code, n)
