--- a/design_page_test.go
+++ b/design_page_test.go
@@ -14,7 +14,7 @@
 func TestDesignPageListsPackages(t *testing.T) {
 	page, err := os.ReadFile("docs/DESIGN.md")
 	require.NoError(t, err)
-	_, section, found := strings.Cut(string(page), "## Which room decides what\n")
+	_, section, found := strings.Cut(string(page), "## Which package decides what\n")
 	require.True(t, found)
 	section, _, _ = strings.Cut(section, "\n## ")
 	entries, err := os.ReadDir(".")
